--- a/src/main/kotlin/linemast/admission/AdmissionCodec.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionCodec.kt
@@ -1,6 +1,6 @@
 package linemast.admission
 
-import linemast.wire.Fields
+import linemast.serialization.Fields
 
 /** What one controller tells the leader of the submissions that reach it. */
 class DemandReport(val node: String, val demands: Map<Flow, FlowDemand>)
--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -3,16 +3,17 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import linemast.leadership.attempt
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.WatchResult
-import linemast.state.Write
-import linemast.wire.Cbor
-import linemast.wire.Fields
-import linemast.wire.SECOND_MICROS
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.settings.AdmissionSettings
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.WatchResult
+import linemast.store.Write
+import linemast.store.attempt
+import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
 /** Keeps one controller's gate up to date, and tells the leader what the flows ask for here. Every controller runs it. */
--- a/src/main/kotlin/linemast/admission/AdmissionGate.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionGate.kt
@@ -1,8 +1,8 @@
 package linemast.admission
 
-import linemast.jobs.JobSpec
-import linemast.wire.Clock
-import linemast.wire.SECOND_MICROS
+import linemast.domain.JobSpec
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
 
 /** Admits or puts off new submissions at one controller, by the plan in force. */
 class AdmissionGate(private val flows: FlowClassifier, private val clock: Clock) {
--- a/src/main/kotlin/linemast/admission/AdmissionLeader.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionLeader.kt
@@ -2,15 +2,16 @@
 
 import kotlinx.coroutines.delay
 import linemast.leadership.Authority
-import linemast.leadership.attempt
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.Write
-import linemast.state.listAll
-import linemast.wire.Cbor
-import linemast.wire.Clock
+import linemast.serialization.Cbor
+import linemast.settings.AdmissionSettings
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.Write
+import linemast.store.attempt
+import linemast.store.listAll
+import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /** Makes the plan that all controllers admit by, while some flow has to be limited: a duty of the leader. */
--- a/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
@@ -1,6 +1,7 @@
 package linemast.admission
 
-import linemast.wire.SECOND_MICROS
+import linemast.settings.AdmissionSettings
+import linemast.time.SECOND_MICROS
 
 /**
  * Decides which flows are limited, and how fast each of those is let in; pure, the leader's.
--- a/src/main/kotlin/linemast/admission/DemandBoard.kt
+++ b/src/main/kotlin/linemast/admission/DemandBoard.kt
@@ -1,7 +1,7 @@
 package linemast.admission
 
-import linemast.state.Item
-import linemast.wire.MalformedException
+import linemast.serialization.MalformedException
+import linemast.store.Item
 import org.slf4j.LoggerFactory
 
 /** The demand reports of all controllers, as the leader has read them; a report that is not renewed is of no account. */
--- a/src/main/kotlin/linemast/admission/FlowClassifier.kt
+++ b/src/main/kotlin/linemast/admission/FlowClassifier.kt
@@ -1,6 +1,6 @@
 package linemast.admission
 
-import linemast.jobs.JobSpec
+import linemast.domain.JobSpec
 import linemast.settings.Objective
 
 /** Tells the flow of a job. Classes that no aim names share one flow of their team, so that there are few flows whatever users write. */
--- a/src/main/kotlin/linemast/admission/StartTurns.kt
+++ b/src/main/kotlin/linemast/admission/StartTurns.kt
@@ -1,6 +1,6 @@
 package linemast.admission
 
-import linemast.workers.Job
+import linemast.domain.Job
 
 /**
  * Whose turn it is among jobs that have waited for long without a start; pure, the leader's.
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -4,15 +4,15 @@
 import kotlinx.coroutines.launch
 import linemast.cloud.CloudClient
 import linemast.peers.PeerLinks
-import linemast.planning.Policy
 import linemast.settings.Features
+import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.state.StoreClient
-import linemast.wire.EventLoop
-import linemast.wire.HttpRequest
-import linemast.wire.HttpResponse
-import linemast.wire.HttpServer
-import linemast.wire.SteadyClock
+import linemast.store.StoreClient
+import linemast.time.SteadyClock
+import linemast.transport.EventLoop
+import linemast.transport.HttpRequest
+import linemast.transport.HttpResponse
+import linemast.transport.HttpServer
 import org.slf4j.LoggerFactory
 
 /** One controller: a [Node] with its sockets, running until it is cancelled. */
--- a/src/main/kotlin/linemast/app/InspectionCommand.kt
+++ b/src/main/kotlin/linemast/app/InspectionCommand.kt
@@ -2,13 +2,13 @@
 
 import linemast.duties.DutyInspection
 import linemast.duties.DutyReport
-import linemast.duties.DutySettings
+import linemast.serialization.MalformedException
+import linemast.settings.DutySettings
 import linemast.settings.Settings
-import linemast.state.StoreClient
-import linemast.state.StoreException
-import linemast.wire.EventLoop
-import linemast.wire.MalformedException
-import linemast.wire.SteadyClock
+import linemast.store.StoreClient
+import linemast.store.StoreException
+import linemast.time.SteadyClock
+import linemast.transport.EventLoop
 import java.io.IOException
 import java.nio.file.Files
 import java.nio.file.Path
--- a/src/main/kotlin/linemast/app/Main.kt
+++ b/src/main/kotlin/linemast/app/Main.kt
@@ -1,15 +1,15 @@
 package linemast.app
 
-import linemast.admission.AdmissionSettings
-import linemast.duties.DutySettings
-import linemast.planning.Policy
-import linemast.recovery.RecoverySettings
+import linemast.settings.AdmissionSettings
+import linemast.settings.DutySettings
 import linemast.settings.Features
+import linemast.settings.Policy
 import linemast.settings.PolicyScript
+import linemast.settings.RecoverySettings
 import linemast.settings.Settings
 import linemast.settings.SettingsException
 import linemast.settings.SettingsReader
-import linemast.wire.EventLoop
+import linemast.transport.EventLoop
 import picocli.CommandLine
 import picocli.CommandLine.Model.CommandSpec
 import picocli.CommandLine.Model.OptionSpec
--- a/src/main/kotlin/linemast/app/Metrics.kt
+++ b/src/main/kotlin/linemast/app/Metrics.kt
@@ -2,10 +2,10 @@
 
 import com.sun.management.OperatingSystemMXBean
 import kotlinx.coroutines.delay
-import linemast.wire.Clock
-import linemast.wire.HttpRequest
-import linemast.wire.HttpResponse
-import linemast.wire.SECOND_MICROS
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
+import linemast.transport.HttpRequest
+import linemast.transport.HttpResponse
 import org.HdrHistogram.Histogram
 import org.slf4j.LoggerFactory
 import java.lang.management.ManagementFactory
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -12,30 +12,31 @@
 import linemast.admission.FlowClassifier
 import linemast.cloud.Cloud
 import linemast.cloud.CloudException
-import linemast.cloud.MachineType
+import linemast.cloud.MachineTypeCodec
+import linemast.control.Leader
+import linemast.domain.MachineType
 import linemast.jobs.JobService
 import linemast.leadership.Authority
 import linemast.leadership.Election
-import linemast.leadership.Leader
 import linemast.leadership.LeaderKeys
 import linemast.leadership.LeaderView
 import linemast.peers.PeerFrame
 import linemast.peers.PeerView
-import linemast.planning.Policy
+import linemast.serialization.Cbor
+import linemast.serialization.MalformedException
 import linemast.settings.Features
+import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.StoreProbe
-import linemast.state.Write
-import linemast.wire.Cbor
-import linemast.wire.Clock
-import linemast.wire.HttpRequest
-import linemast.wire.HttpResponse
-import linemast.wire.HttpStatus
-import linemast.wire.MalformedException
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.StoreProbe
+import linemast.store.Write
+import linemast.time.Clock
+import linemast.transport.HttpRequest
+import linemast.transport.HttpResponse
+import linemast.transport.HttpStatus
 import linemast.workers.ReportCodec
 import org.slf4j.LoggerFactory
 
@@ -197,12 +198,12 @@
         log.info("machine types: {}", types?.map { it.name })
     }
 
-    private suspend fun storedTypes(): List<MachineType>? = store.get(MachineType.KEY)?.let { MachineType.readAll(it.value) }
+    private suspend fun storedTypes(): List<MachineType>? = store.get(MachineTypeCodec.KEY)?.let { MachineTypeCodec.decode(it.value) }
 
     private suspend fun firstTypes(): List<MachineType>? {
         val fresh = cloud.types()
-        val record = Write.Put(MachineType.KEY, MachineType.toMap(fresh))
-        val result = store.commit(listOf(Condition(MachineType.KEY, 0L)), listOf(record))
+        val record = Write.Put(MachineTypeCodec.KEY, MachineTypeCodec.encode(fresh))
+        val result = store.commit(listOf(Condition(MachineTypeCodec.KEY, 0L)), listOf(record))
         return if (result is CommitResult.Applied) fresh else null
     }
 
--- a/src/main/kotlin/linemast/planning/Demand.kt
+++ b/src/main/kotlin/linemast/autoscaling/Demand.kt
@@ -1,4 +1,4 @@
-package linemast.planning
+package linemast.autoscaling
 
 /**
  * Tells a pause between submissions from the end of demand.
--- a/src/main/kotlin/linemast/planning/Provisioner.kt
+++ b/src/main/kotlin/linemast/autoscaling/Provisioner.kt
@@ -1,14 +1,17 @@
-package linemast.planning
+package linemast.autoscaling
 
 import linemast.cloud.Fleet
-import linemast.cloud.MachineType
 import linemast.cloud.RentRequest
 import linemast.cloud.ReturnReason
-import linemast.placement.Cluster
-import linemast.placement.JobOrder
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.MachineShape
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineShape
+import linemast.domain.MachineType
+import linemast.planning.Planner
+import linemast.planning.WaitingStage
+import linemast.scheduling.Cluster
+import linemast.scheduling.JobOrder
+import linemast.settings.Policy
 import org.slf4j.LoggerFactory
 
 /** What the planning wants from the cloud now. */
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -1,20 +1,21 @@
 package linemast.cloud
 
 import kotlinx.coroutines.delay
+import linemast.domain.MachineType
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
 import linemast.settings.CloudLimits
-import linemast.state.Priority
-import linemast.state.TokenBucket
-import linemast.wire.Address
-import linemast.wire.Cbor
-import linemast.wire.Clock
-import linemast.wire.EventLoop
-import linemast.wire.Fields
-import linemast.wire.HttpClient
-import linemast.wire.HttpReply
-import linemast.wire.HttpStatus
-import linemast.wire.MalformedException
-import linemast.wire.NoAnswerException
-import linemast.wire.SECOND_MICROS
+import linemast.store.Priority
+import linemast.store.TokenBucket
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
+import linemast.transport.Address
+import linemast.transport.EventLoop
+import linemast.transport.HttpClient
+import linemast.transport.HttpReply
+import linemast.transport.HttpStatus
+import linemast.transport.NoAnswerException
 
 /** As many machines as the cloud lists in one call. */
 const val MACHINES_A_LIST_CALL = 500
@@ -71,7 +72,7 @@
     private val http = HttpClient(loop, address, MAX_CALLS)
     private val tokens = TokenBucket(limits.rps * USED_SHARE)
 
-    override suspend fun types(): List<MachineType> = read(call("GET", "/machine_types", null, Priority.VITAL)) { MachineType.readAll(it) }
+    override suspend fun types(): List<MachineType> = read(call("GET", "/machine_types", null, Priority.VITAL)) { MachineTypeCodec.decode(it) }
 
     override suspend fun machines(): List<ListedMachine> {
         val all = ArrayList<ListedMachine>()
--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -1,11 +1,12 @@
 package linemast.cloud
 
-import linemast.planning.Policy
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineShape
+import linemast.domain.MachineType
 import linemast.planning.RentalWish
+import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.MachineShape
 import org.slf4j.LoggerFactory
 
 /** A machine of the cloud's list, or of a rental that the list does not show yet. */
--- a/src/main/kotlin/linemast/cloud/ReturnRules.kt
+++ b/src/main/kotlin/linemast/cloud/ReturnRules.kt
@@ -1,8 +1,8 @@
 package linemast.cloud
 
-import linemast.planning.Policy
+import linemast.domain.Machine
+import linemast.settings.Policy
 import linemast.settings.WorkerSettings
-import linemast.workers.Machine
 
 /** Which machines are to be given back to the cloud, by what their workers report and by what they are still needed for. */
 internal class ReturnRules(private val workers: WorkerSettings, private val policy: Policy) {
--- a/src/main/kotlin/linemast/leadership/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -1,8 +1,10 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import linemast.autoscaling.CloudActions
+import linemast.autoscaling.Provisioner
 import linemast.cloud.Cloud
 import linemast.cloud.CloudException
 import linemast.cloud.CloudExecutor
@@ -11,11 +13,10 @@
 import linemast.cloud.RentRequest
 import linemast.cloud.RentResult
 import linemast.cloud.Returns
-import linemast.placement.Cluster
-import linemast.planning.CloudActions
-import linemast.planning.Provisioner
-import linemast.state.StoreException
-import linemast.wire.Clock
+import linemast.leadership.Authority
+import linemast.scheduling.Cluster
+import linemast.store.StoreException
+import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/leadership/FleetStore.kt
+++ b/src/main/kotlin/linemast/control/FleetStore.kt
@@ -1,17 +1,19 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.sync.Mutex
 import kotlinx.coroutines.sync.withLock
-import linemast.cloud.MachineType
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Store
-import linemast.state.Write
-import linemast.state.listAll
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.leadership.Authority
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Store
+import linemast.store.Write
+import linemast.store.attempt
+import linemast.store.listAll
 import linemast.workers.FleetRecord
-import linemast.workers.Machine
 import org.slf4j.LoggerFactory
 
 /** Keeps the stored list of machines that may run tasks. */
--- a/src/main/kotlin/linemast/leadership/InheritedActions.kt
+++ b/src/main/kotlin/linemast/control/InheritedActions.kt
@@ -1,4 +1,4 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
@@ -9,7 +9,8 @@
 import linemast.duties.DutyHolder
 import linemast.duties.Inheritance
 import linemast.duties.InheritanceEffects
-import linemast.placement.Cluster
+import linemast.scheduling.Cluster
+import linemast.store.attempt
 import org.slf4j.LoggerFactory
 
 /** Has a new leader's state know what earlier leaders have committed to do at the cloud, before anything is decided. */
--- a/src/main/kotlin/linemast/leadership/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -1,23 +1,26 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import linemast.domain.Job
+import linemast.domain.Verdict
+import linemast.domain.VerdictRecord
 import linemast.jobs.DoneSet
 import linemast.jobs.JobKeys
-import linemast.jobs.OpenRecord
-import linemast.jobs.Verdict
-import linemast.jobs.VerdictRecord
-import linemast.placement.Cluster
-import linemast.state.Change
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.Write
-import linemast.state.listAll
-import linemast.workers.Job
+import linemast.jobs.JobRecordCodec
+import linemast.leadership.Authority
+import linemast.leadership.LeaderKeys
+import linemast.scheduling.Cluster
+import linemast.store.Change
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.Write
+import linemast.store.attempt
+import linemast.store.listAll
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
@@ -46,11 +49,11 @@
                 val version = job.version
                 val result = attempt(log) {
                     val item = store.get(JobKeys.open(job.id), Priority.INTAKE) ?: return@attempt null
-                    val record = OpenRecord.read(item)
+                    val record = JobRecordCodec.decodeJob(item.value)
                     if (record.cancelled) return@attempt null
                     store.commit(
                         listOf(fence, Condition(item.key, item.version)),
-                        listOf(Write.Put(item.key, record.with(opened = true).within(cluster().types.values).toMap())),
+                        listOf(Write.Put(item.key, JobRecordCodec.encode(record.with(opened = true).within(cluster().types.values)))),
                         Priority.INTAKE,
                     )
                 }
@@ -121,8 +124,8 @@
 
     private suspend fun commitDone(job: Job): CommitResult {
         val verdict = store.get(JobKeys.verdict(job.id), Priority.INTAKE) ?: return CommitResult.Conflict(emptyList())
-        if (VerdictRecord.read(verdict.value).verdict.isFinal) return CommitResult.Conflict(emptyList())
-        val end = Write.Put(verdict.key, VerdictRecord(Verdict.DONE, job.spec.taskCount).toMap())
+        if (JobRecordCodec.decodeOutcome(verdict.value).verdict.isFinal) return CommitResult.Conflict(emptyList())
+        val end = Write.Put(verdict.key, JobRecordCodec.encode(VerdictRecord(Verdict.DONE, job.spec.taskCount)))
         return commitEnd(job, listOf(end), Condition(verdict.key, verdict.version))
     }
 
--- a/src/main/kotlin/linemast/leadership/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -1,4 +1,4 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
@@ -9,30 +9,32 @@
 import linemast.admission.Flow
 import linemast.admission.FlowClassifier
 import linemast.admission.StartTurns
+import linemast.autoscaling.Provisioner
 import linemast.cloud.Cloud
 import linemast.cloud.DirectExecutor
 import linemast.cloud.Fleet
-import linemast.cloud.MachineType
+import linemast.domain.Job
+import linemast.domain.JobProgress
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.Report
+import linemast.domain.Verdict
 import linemast.duties.DutyHolder
-import linemast.jobs.Progress
-import linemast.jobs.Verdict
+import linemast.leadership.Authority
+import linemast.leadership.CancellationKnowledge
 import linemast.peers.PeerView
-import linemast.placement.AllowedCommands
-import linemast.placement.Cluster
-import linemast.placement.Effects
 import linemast.planning.Planner
-import linemast.planning.Policy
-import linemast.planning.Provisioner
 import linemast.planning.TaskTimes
 import linemast.recovery.Recovery
 import linemast.recovery.RecoveryStore
+import linemast.scheduling.AllowedCommands
+import linemast.scheduling.Cluster
+import linemast.scheduling.Effects
 import linemast.settings.Features
+import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.state.Store
-import linemast.wire.Clock
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Report
+import linemast.store.Store
+import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
@@ -185,10 +187,10 @@
     }
 
     /** Counts of a job's tasks; null if the job is not known here. */
-    fun progressOf(id: String): Progress? = cluster.jobs[id]?.let { Progress(it.doneCount, it.runningCount) }
+    fun progressOf(id: String): JobProgress? = cluster.jobs[id]?.let { JobProgress(it.doneCount, it.runningCount) }
 
     /** Counts of the tasks of all jobs. */
-    fun progress(): Map<String, Progress> = cluster.jobs.values.associate { it.id to Progress(it.doneCount, it.runningCount) }
+    fun progress(): Map<String, JobProgress> = cluster.jobs.values.associate { it.id to JobProgress(it.doneCount, it.runningCount) }
 
     /** Leads until it is cancelled. */
     suspend fun run() {
--- a/src/main/kotlin/linemast/leadership/PipelineCoordinator.kt
+++ b/src/main/kotlin/linemast/control/PipelineCoordinator.kt
@@ -1,25 +1,29 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
+import linemast.domain.Job
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
+import linemast.domain.VerdictRecord
 import linemast.jobs.JobKeys
-import linemast.jobs.OpenRecord
-import linemast.jobs.Verdict
-import linemast.jobs.VerdictRecord
-import linemast.placement.Cluster
+import linemast.jobs.JobRecordCodec
+import linemast.leadership.Authority
+import linemast.leadership.LeaderKeys
 import linemast.planning.WaitingStage
-import linemast.state.Change
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.Write
-import linemast.wire.MalformedException
-import linemast.workers.Job
+import linemast.scheduling.Cluster
+import linemast.serialization.MalformedException
+import linemast.store.Change
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.Write
+import linemast.store.attempt
 import org.slf4j.LoggerFactory
 
 /** Brings what [Pipelines] decides into the store, and what the store says of waiting jobs to [Pipelines]. */
@@ -44,7 +48,7 @@
     /** Whether anything was asked of jobs that has to be taken back when nothing waits any more. */
     private var hasPropagatedNeeds = false
 
-    fun load(items: List<Item>) = items.forEach { pipelines.put(OpenRecord.read(it), it.version) }
+    fun load(items: List<Item>) = items.forEach { pipelines.put(JobRecordCodec.decodeJob(it.value), it.version) }
 
     /** All that waits now, after changes were missed. */
     fun reload(items: List<Item>) {
@@ -56,7 +60,7 @@
         val value = change.value
         if (value == null) return pipelines.drop(change.key.removePrefix(JobKeys.WAITING_PREFIX))
         try {
-            pipelines.put(OpenRecord.read(value), change.version)
+            pipelines.put(JobRecordCodec.decodeJob(value), change.version)
         } catch (e: MalformedException) {
             log.error("{}: malformed record: {}", change.key, e.message)
         }
@@ -116,7 +120,7 @@
         scope.launch {
             val record = job.record.released(wallMicros()).within(cluster().types.values)
             val key = JobKeys.waiting(job.id)
-            val writes = listOf(Write.Put(JobKeys.open(job.id), record.toMap()), Write.Drop(key))
+            val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Drop(key))
             val result = attempt(log) { store.commit(listOf(authority.fence, Condition(key, job.version)), writes, Priority.INTAKE) }
             settle(listOf(job), result) { revision ->
                 log.info("{}: released: all that it depends on is done", job.id)
@@ -130,7 +134,7 @@
             val conditions = jobs.map { Condition(JobKeys.waiting(it.id), it.version) }
             val writes = jobs.flatMap {
                 val verdict = VerdictRecord(Verdict.CANCELLED, it.record.spec.taskCount)
-                listOf(Write.Put(JobKeys.verdict(it.id), verdict.toMap()), Write.Drop(JobKeys.waiting(it.id)))
+                listOf(Write.Put(JobKeys.verdict(it.id), JobRecordCodec.encode(verdict)), Write.Drop(JobKeys.waiting(it.id)))
             }
             val result = cancellations.withPermit {
                 attempt(log) { store.commit(listOf(authority.fence) + conditions, writes, Priority.INTAKE) }
@@ -159,7 +163,7 @@
     private fun readVerdict(id: String) {
         scope.launch {
             val item = attempt(log) { store.get(JobKeys.verdict(id)) } ?: return@launch
-            val verdict = attempt(log) { VerdictRecord.read(item.value).verdict } ?: return@launch
+            val verdict = attempt(log) { JobRecordCodec.decodeOutcome(item.value).verdict } ?: return@launch
             onLeaderLoop { over(id, verdict) }
         }
     }
--- a/src/main/kotlin/linemast/leadership/Pipelines.kt
+++ b/src/main/kotlin/linemast/control/Pipelines.kt
@@ -1,8 +1,8 @@
-package linemast.leadership
+package linemast.control
 
-import linemast.jobs.JobPriority
-import linemast.jobs.OpenRecord
-import linemast.jobs.Verdict
+import linemast.domain.JobPriority
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
 
 /** A job that waits for others, as the store holds it. */
 class WaitingJob(val record: OpenRecord, val version: Long) {
--- a/src/main/kotlin/linemast/leadership/PlanStore.kt
+++ b/src/main/kotlin/linemast/control/PlanStore.kt
@@ -1,13 +1,15 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
+import linemast.domain.Job
+import linemast.leadership.Authority
 import linemast.planning.Planner
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.Write
-import linemast.wire.Cbor
-import linemast.workers.Job
+import linemast.serialization.Cbor
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.Write
+import linemast.store.attempt
 import org.slf4j.LoggerFactory
 
 /** Writes the plans as they stand to the store, for operators to read: as many jobs as fit a value. Nothing reads them back. */
--- a/src/main/kotlin/linemast/leadership/ReportAnswer.kt
+++ b/src/main/kotlin/linemast/control/ReportAnswer.kt
@@ -1,6 +1,8 @@
-package linemast.leadership
+package linemast.control
 
-import linemast.workers.Command
+import linemast.domain.Command
+import linemast.leadership.Authority
+import linemast.leadership.CancellationKnowledge
 
 /**
  * The answer to a worker's report, and until when it may leave.
--- a/src/main/kotlin/linemast/leadership/StandingFleetStore.kt
+++ b/src/main/kotlin/linemast/control/StandingFleetStore.kt
@@ -1,15 +1,16 @@
-package linemast.leadership
+package linemast.control
 
 import linemast.cloud.Cloud
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Store
-import linemast.state.Write
-import linemast.state.WriteBatches
-import linemast.state.listAll
-import linemast.wire.Cbor
-import linemast.wire.Clock
+import linemast.leadership.Authority
+import linemast.serialization.Cbor
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Store
+import linemast.store.Write
+import linemast.store.WriteBatches
+import linemast.store.listAll
+import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/leadership/StoredJobs.kt
+++ b/src/main/kotlin/linemast/control/StoredJobs.kt
@@ -1,23 +1,24 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import linemast.cloud.MachineType
+import linemast.domain.MachineType
+import linemast.domain.Verdict
 import linemast.jobs.JobKeys
-import linemast.jobs.OpenRecord
-import linemast.jobs.Verdict
-import linemast.placement.Cluster
-import linemast.state.Change
-import linemast.state.Item
-import linemast.state.Page
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.WatchResult
-import linemast.state.listAll
-import linemast.wire.Clock
-import linemast.wire.MalformedException
-import linemast.wire.SECOND_MICROS
+import linemast.jobs.JobRecordCodec
+import linemast.leadership.CancellationKnowledge
+import linemast.scheduling.Cluster
+import linemast.serialization.MalformedException
+import linemast.store.Change
+import linemast.store.Item
+import linemast.store.Page
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.WatchResult
+import linemast.store.listAll
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
 /**
@@ -68,7 +69,7 @@
         val waiting = store.listAll(JobKeys.WAITING_PREFIX)
         val done = store.listAll(JobKeys.DONE_PREFIX)
         val machines = fleetStore.load()
-        val records = open.items.map { OpenRecord.read(it) to it.version }
+        val records = open.items.map { JobRecordCodec.decodeJob(it.value) to it.version }
         cluster.load(records, machines, clock.nowMicros())
         takeDoneParts(done.items)
         pipelines().load(waiting.items)
@@ -134,7 +135,7 @@
 
     private fun openChanged(changes: List<Change>) = changes.forEach(::openChanged)
 
-    private fun openListed(page: Page) = page.items.forEach { cluster.putJob(OpenRecord.read(it), it.version) }
+    private fun openListed(page: Page) = page.items.forEach { cluster.putJob(JobRecordCodec.decodeJob(it.value), it.version) }
 
     private fun waitingChanged(changes: List<Change>) = changes.forEach(pipelines()::changed)
 
@@ -144,7 +145,7 @@
     fun openChanged(change: Change) {
         val value = change.value ?: return cluster.dropJob(change.key.removePrefix(JobKeys.OPEN_PREFIX))
         try {
-            val record = OpenRecord.read(value)
+            val record = JobRecordCodec.decodeJob(value)
             cluster.putJob(record, change.version)
             if (record.cancelled) pipelines().over(record.spec.id, Verdict.CANCELLED)
         } catch (e: MalformedException) {
--- a/src/main/kotlin/linemast/leadership/UsageLog.kt
+++ b/src/main/kotlin/linemast/control/UsageLog.kt
@@ -1,9 +1,9 @@
-package linemast.leadership
+package linemast.control
 
 import linemast.cloud.Fleet
-import linemast.placement.Cluster
-import linemast.wire.SECOND_MICROS
-import linemast.workers.Placement
+import linemast.domain.Placement
+import linemast.scheduling.Cluster
+import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
 /** Logs now and then, at `debug`, what the machines are paid for: running tasks, image fetches, saves, boots, idle room. */
--- a/src/main/kotlin/linemast/workers/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -1,6 +1,5 @@
-package linemast.workers
+package linemast.domain
 
-import linemast.jobs.OpenRecord
 import org.agrona.collections.Int2IntCounterMap
 import java.util.BitSet
 
--- a/src/main/kotlin/linemast/jobs/JobSpec.kt
+++ b/src/main/kotlin/linemast/domain/JobSpec.kt
@@ -1,6 +1,4 @@
-package linemast.jobs
-
-import linemast.cloud.MachineType
+package linemast.domain
 
 /** How the tasks of a job belong together. */
 enum class JobKind {
--- a/src/main/kotlin/linemast/workers/Machine.kt
+++ b/src/main/kotlin/linemast/domain/Machine.kt
@@ -1,7 +1,4 @@
-package linemast.workers
-
-import linemast.cloud.MachineType
-import linemast.jobs.JobSpec
+package linemast.domain
 
 /** What the leader knows of a task that may be on a machine. */
 class Placement(
--- a/src/main/kotlin/linemast/workers/MachineShape.kt
+++ b/src/main/kotlin/linemast/domain/MachineShape.kt
@@ -1,7 +1,4 @@
-package linemast.workers
-
-import linemast.cloud.MachineType
-import linemast.jobs.JobSpec
+package linemast.domain
 
 /** What machines have in common as far as placing a job goes: a few shapes stand for a fleet of any size. */
 data class MachineShape(val type: MachineType, val zone: String, val spot: Boolean) {
--- a/src/main/kotlin/linemast/workers/Report.kt
+++ b/src/main/kotlin/linemast/domain/Report.kt
@@ -1,6 +1,4 @@
-package linemast.workers
-
-import linemast.jobs.JobSpec
+package linemast.domain
 
 /** State of a task as its worker reports it. */
 enum class TaskState { FETCHING, WAITING_FOR_GANG, RUNNING, SAVING, ENDED }
--- a/src/main/kotlin/linemast/duties/DutyHolder.kt
+++ b/src/main/kotlin/linemast/duties/DutyHolder.kt
@@ -8,10 +8,12 @@
 import linemast.cloud.RentResult
 import linemast.cloud.Returns
 import linemast.leadership.Authority
+import linemast.serialization.Cbor
+import linemast.settings.Duty
+import linemast.settings.DutySettings
 import linemast.settings.StateLimits
-import linemast.state.Store
-import linemast.wire.Cbor
-import linemast.wire.Clock
+import linemast.store.Store
+import linemast.time.Clock
 
 /**
  * The single-holder duties during one term of leading: renting, returning, reclaiming and cleaning up machines.
@@ -56,14 +58,14 @@
         return result
     }
 
-    override fun parts(returns: Returns): List<Returns> = returns.entries.groupBy { Duty.of(it.value) }.flatMap { (duty, group) ->
+    override fun parts(returns: Returns): List<Returns> = returns.entries.groupBy { it.value.duty }.flatMap { (duty, group) ->
         if (duty in settings.suspended) return@flatMap emptyList()
         group.chunked(namesInValue(group.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
     }
 
     override suspend fun giveBack(returns: Returns) {
         val names = returns.keys.toList()
-        val open = writer.begin(CloudAction.Return(names, Duty.of(returns.values.first())))
+        val open = writer.begin(CloudAction.Return(names, returns.values.first().duty))
         runner.giveBack(names)
         runner.closeReturn(open, names.size)
     }
--- a/src/main/kotlin/linemast/duties/DutyInspection.kt
+++ b/src/main/kotlin/linemast/duties/DutyInspection.kt
@@ -1,8 +1,9 @@
 package linemast.duties
 
 import linemast.leadership.LeaderKeys
-import linemast.state.Store
-import linemast.state.listAll
+import linemast.settings.DutySettings
+import linemast.store.Store
+import linemast.store.listAll
 
 /** Reads what the store holds of single-holder duties, and reports on it. Changes nothing. */
 class DutyInspection(private val store: Store, private val settings: DutySettings, private val wallMicros: () -> Long) {
--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -1,6 +1,7 @@
 package linemast.duties
 
 import linemast.cloud.RentRequest
+import linemast.settings.Duty
 
 /** Identifies an intent: the fencing token of the term that decided it, and its number within that term. */
 data class IntentId(val fencingToken: Long, val number: Long) : Comparable<IntentId> {
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -1,7 +1,8 @@
 package linemast.duties
 
 import linemast.cloud.RentRequest
-import linemast.wire.Fields
+import linemast.serialization.Fields
+import linemast.settings.Duty
 
 /** The stored form of intents. Names in the store occur only here. */
 object IntentCodec {
--- a/src/main/kotlin/linemast/duties/IntentLog.kt
+++ b/src/main/kotlin/linemast/duties/IntentLog.kt
@@ -4,8 +4,8 @@
 import kotlinx.collections.immutable.PersistentSet
 import kotlinx.collections.immutable.persistentHashSetOf
 import kotlinx.collections.immutable.persistentMapOf
-import linemast.state.Item
-import linemast.wire.MalformedException
+import linemast.serialization.MalformedException
+import linemast.store.Item
 
 /** An intent as the store holds it in a slot. */
 data class StoredIntent(val slot: Int, val intent: Intent, val version: Long)
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -5,8 +5,8 @@
 import linemast.cloud.CloudException
 import linemast.cloud.RentResult
 import linemast.leadership.Authority
-import linemast.wire.Clock
-import linemast.wire.SECOND_MICROS
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -5,14 +5,14 @@
 import kotlinx.coroutines.delay
 import linemast.cloud.CloudException
 import linemast.leadership.Authority
-import linemast.leadership.attempt
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.Write
-import linemast.state.WriteBatches
-import linemast.state.listAll
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.Write
+import linemast.store.WriteBatches
+import linemast.store.attempt
+import linemast.store.listAll
 import org.slf4j.LoggerFactory
 
 /** This controller does not hold the duties any more: whatever it wanted to do is for the next holder to decide. */
--- a/src/main/kotlin/linemast/jobs/DependencyCheck.kt
+++ b/src/main/kotlin/linemast/jobs/DependencyCheck.kt
@@ -7,7 +7,8 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeout
 import kotlinx.coroutines.withTimeoutOrNull
-import linemast.state.StoreException
+import linemast.domain.Verdict
+import linemast.store.StoreException
 
 /**
  * Tells whether a job depends on a cancelled one, directly or through others, whatever their number and depth.
--- a/src/main/kotlin/linemast/jobs/DoneSet.kt
+++ b/src/main/kotlin/linemast/jobs/DoneSet.kt
@@ -1,6 +1,6 @@
 package linemast.jobs
 
-import linemast.wire.MalformedException
+import linemast.serialization.MalformedException
 import java.util.Base64
 import java.util.BitSet
 
--- a/src/main/kotlin/linemast/jobs/JobAnswers.kt
+++ b/src/main/kotlin/linemast/jobs/JobAnswers.kt
@@ -1,6 +1,7 @@
 package linemast.jobs
 
-import linemast.wire.Cbor
+import linemast.domain.JobProgress
+import linemast.serialization.Cbor
 
 /** What users are told of a job. */
 enum class JobState(val wire: String) {
@@ -16,7 +17,7 @@
     fun accepted(id: String, state: JobState): ByteArray = Cbor.encode(mapOf("name_id" to id, "status" to state.wire))
 
     /** The state of a job, with counts of its tasks for display. */
-    fun state(id: String, state: JobState, progress: Progress): ByteArray =
+    fun state(id: String, state: JobState, progress: JobProgress): ByteArray =
         Cbor.encode(mapOf("name_id" to id, "status" to state.wire, "done" to progress.done, "running" to progress.running))
 
     /** A submission can never be accepted. */
--- a/src/main/kotlin/linemast/jobs/JobCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobCodec.kt
@@ -1,6 +1,9 @@
 package linemast.jobs
 
-import linemast.wire.Fields
+import linemast.domain.JobKind
+import linemast.domain.JobPriority
+import linemast.domain.JobSpec
+import linemast.serialization.Fields
 
 /** The form of a job that users send, which is also the stored one; see docs/glossary.md for the names. */
 object JobCodec {
--- /dev/null
+++ b/src/main/kotlin/linemast/jobs/JobKeys.kt
@@ -0,0 +1,27 @@
+package linemast.jobs
+
+/**
+ * The keys a job has in the store.
+ *
+ * `j/ID` holds the outcome and is kept forever. `o/ID` holds the whole job while any of its tasks may be on a machine, so
+ * that a failover reads only what still matters. `d/ID/PART` hold the sets of completed tasks. `w/ID` holds a job that is
+ * blocked by its dependencies instead of `o/ID`; the transaction that releases it moves it from one key to the other, so
+ * that a program version without dependencies never sees a job that may not start.
+ */
+object JobKeys {
+    const val OPEN_PREFIX = "o/"
+    const val DONE_PREFIX = "d/"
+    const val WAITING_PREFIX = "w/"
+
+    /** Key of the outcome, which is kept forever. */
+    fun verdict(id: String) = "j/$id"
+
+    /** Key of a job that may start or run. */
+    fun open(id: String) = OPEN_PREFIX + id
+
+    /** Key of a job that is blocked by its dependencies. */
+    fun waiting(id: String) = WAITING_PREFIX + id
+
+    /** Key of one part of the set of completed tasks. */
+    fun donePart(id: String, part: Int) = "$DONE_PREFIX$id/$part"
+}
--- a/src/main/kotlin/linemast/jobs/JobService.kt
+++ b/src/main/kotlin/linemast/jobs/JobService.kt
@@ -3,32 +3,34 @@
 import kotlinx.coroutines.CoroutineScope
 import linemast.admission.AdmissionGate
 import linemast.admission.Decision
-import linemast.cloud.MachineType
+import linemast.domain.JobProgress
+import linemast.domain.JobSpec
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
+import linemast.domain.VerdictRecord
+import linemast.serialization.Cbor
+import linemast.serialization.MalformedException
 import linemast.settings.Team
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.Write
-import linemast.wire.Cbor
-import linemast.wire.Clock
-import linemast.wire.HttpRequest
-import linemast.wire.HttpResponse
-import linemast.wire.HttpStatus
-import linemast.wire.MalformedException
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.Write
+import linemast.time.Clock
+import linemast.transport.HttpRequest
+import linemast.transport.HttpResponse
+import linemast.transport.HttpStatus
 import org.slf4j.LoggerFactory
 
 /** Progress of jobs for display, as the leader last told it. */
 fun interface ProgressView {
     /** Done and running tasks of a job, or null when nothing is known. */
-    fun progressOf(id: String): Progress?
+    fun progressOf(id: String): JobProgress?
 }
 
-/** Counts of a job's tasks, for display only. */
-class Progress(val done: Int, val running: Int)
-
 /**
  * The users' side: submissions, polls and cancellations, at any controller.
  *
@@ -111,7 +113,7 @@
      * once more for a job that was accepted a moment ago; that one is still admitted, and so found without this.
      */
     private suspend fun knownCheaply(id: String): VerdictRecord? = try {
-        store.get(JobKeys.verdict(id), Priority.BACKGROUND)?.let { item -> verdicts.decoded { VerdictRecord.read(item.value) } }
+        store.get(JobKeys.verdict(id), Priority.BACKGROUND)?.let { item -> verdicts.decoded { JobRecordCodec.decodeOutcome(item.value) } }
     } catch (e: StoreException) {
         log.debug("{}: put off without a look: {}", id, e.message)
         null
@@ -132,11 +134,11 @@
     private fun refused(reason: String) = HttpResponse(HttpStatus.UNPROCESSABLE_CONTENT, JobAnswers.refused(reason))
 
     private suspend fun accept(spec: JobSpec, verdict: Verdict): HttpResponse {
-        val record = OpenRecord(spec, wallMicros(), opened = false, cancelled = false).toMap()
+        val record = JobRecordCodec.encode(OpenRecord(spec, wallMicros(), opened = false, cancelled = false))
         if (Cbor.jsonSize(record) > mostValueBytes) throw MalformedException("the job is too large to be kept")
         val writes = ArrayList<Write>()
         val verdictRecord = VerdictRecord(verdict, spec.taskCount, spec.dependencies)
-        writes += Write.Put(JobKeys.verdict(spec.id), verdictRecord.toMap())
+        writes += Write.Put(JobKeys.verdict(spec.id), JobRecordCodec.encode(verdictRecord))
         // One that awaits a job that was cancelled is over as soon as it is known.
         if (!verdict.isFinal) {
             writes +=
@@ -181,7 +183,7 @@
         repeat(CANCEL_TRIES) {
             verdicts.final(id)?.let { return known(id, it) }
             val item = store.get(JobKeys.verdict(id), Priority.INTAKE) ?: return HttpResponse(HttpStatus.NOT_FOUND)
-            val verdict = verdicts.decoded { VerdictRecord.read(item.value) }
+            val verdict = verdicts.decoded { JobRecordCodec.decodeOutcome(item.value) }
             if (verdict.verdict.isFinal) return known(id, verdicts.remember(id, verdict))
             // The leader releases a waiting job by one transaction from one key to the other.
             val waits = verdict.dependencies.isNotEmpty()
@@ -191,7 +193,7 @@
             val end = if (open.key == JobKeys.waiting(id)) Write.Drop(open.key) else Write.Put(open.key, cancelledRecord(open))
             val result = store.commit(
                 listOf(Condition(item.key, item.version), Condition(open.key, open.version)),
-                listOf(Write.Put(item.key, cancelled.toMap()), end),
+                listOf(Write.Put(item.key, JobRecordCodec.encode(cancelled)), end),
                 Priority.INTAKE,
             )
             if (result is CommitResult.Applied) return known(id, verdicts.remember(id, cancelled))
@@ -201,9 +203,9 @@
 
     /** The record of an open job with its cancellation, from which the leader learns of it. */
     private fun cancelledRecord(open: Item): Map<String, Any?> {
-        val record = verdicts.decoded { OpenRecord.read(open) }.with(cancelled = true)
-        val machineTypes = types() ?: return record.toMap()
-        return record.within(machineTypes).toMap()
+        val record = verdicts.decoded { JobRecordCodec.decodeJob(open.value) }.with(cancelled = true)
+        val machineTypes = types() ?: return JobRecordCodec.encode(record)
+        return JobRecordCodec.encode(record.within(machineTypes))
     }
 
     private fun known(id: String, record: VerdictRecord): HttpResponse {
@@ -216,7 +218,7 @@
         }
         val done = if (record.verdict == Verdict.DONE) record.taskCount else shown?.done ?: 0
         val running = if (record.verdict == Verdict.OPEN) shown?.running ?: 0 else 0
-        return HttpResponse(HttpStatus.OK, JobAnswers.state(id, state, Progress(done, running)))
+        return HttpResponse(HttpStatus.OK, JobAnswers.state(id, state, JobProgress(done, running)))
     }
 
     private fun canEverRun(spec: JobSpec, machineTypes: List<MachineType>): Boolean {
--- a/src/main/kotlin/linemast/jobs/VerdictReader.kt
+++ b/src/main/kotlin/linemast/jobs/VerdictReader.kt
@@ -7,11 +7,13 @@
 import kotlinx.coroutines.awaitAll
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.launch
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.listAll
-import linemast.wire.Clock
-import linemast.wire.MalformedException
+import linemast.domain.Verdict
+import linemast.domain.VerdictRecord
+import linemast.serialization.MalformedException
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.listAll
+import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
@@ -101,7 +103,7 @@
         val sentMicros = clock.nowMicros()
         for (prefix in listOf(JobKeys.WAITING_PREFIX, JobKeys.OPEN_PREFIX)) {
             for (item in store.listAll(prefix).items) {
-                val record = decoded { OpenRecord.read(item) }
+                val record = decoded { JobRecordCodec.decodeJob(item.value) }
                 val verdict = if (record.cancelled) Verdict.CANCELLED else Verdict.OPEN
                 remember(record.spec.id, VerdictRecord(verdict, record.spec.taskCount, record.spec.dependencies), sentMicros)
             }
@@ -138,7 +140,7 @@
     private suspend fun read(id: String): Result<VerdictRecord?> = try {
         val sentMicros = clock.nowMicros()
         val item = store.get(JobKeys.verdict(id))
-        Result.success(item?.let { remember(id, decoded { VerdictRecord.read(it.value) }, sentMicros) })
+        Result.success(item?.let { remember(id, decoded { JobRecordCodec.decodeOutcome(it.value) }, sentMicros) })
     } catch (e: StoreException) {
         Result.failure(e)
     } catch (e: CancellationException) {
--- a/src/main/kotlin/linemast/leadership/Authority.kt
+++ b/src/main/kotlin/linemast/leadership/Authority.kt
@@ -1,6 +1,6 @@
 package linemast.leadership
 
-import linemast.state.Condition
+import linemast.store.Condition
 
 /** The two keys leadership lives in. */
 object LeaderKeys {
--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -1,17 +1,17 @@
 package linemast.leadership
 
 import kotlinx.coroutines.delay
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.WatchResult
-import linemast.state.Write
-import linemast.wire.Clock
-import linemast.wire.MalformedException
-import linemast.wire.SECOND_MICROS
+import linemast.serialization.MalformedException
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.WatchResult
+import linemast.store.Write
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
 /** Who leads, as far as this controller knows. */
--- a/src/main/kotlin/linemast/peers/PeerFrame.kt
+++ b/src/main/kotlin/linemast/peers/PeerFrame.kt
@@ -1,7 +1,7 @@
 package linemast.peers
 
-import linemast.jobs.Progress
-import linemast.wire.MalformedException
+import linemast.domain.JobProgress
+import linemast.serialization.MalformedException
 import okio.Buffer
 import java.io.EOFException
 
@@ -21,7 +21,7 @@
     val storeWorks: Boolean,
     /** Whether workers have reported to the sender lately. */
     val workersAsk: Boolean,
-    val progress: Map<String, Progress>,
+    val progress: Map<String, JobProgress>,
 ) {
     /** The bytes on the wire. */
     fun encode(): Buffer {
@@ -57,8 +57,8 @@
             val flags = from.readByte().toInt()
             val count = from.readShort().toInt()
             if (count !in 0..MAX_JOBS) throw MalformedException("peer frame: too many jobs")
-            val progress = LinkedHashMap<String, Progress>(count * 2)
-            repeat(count) { progress[readText(from)] = Progress(from.readInt(), from.readInt()) }
+            val progress = LinkedHashMap<String, JobProgress>(count * 2)
+            repeat(count) { progress[readText(from)] = JobProgress(from.readInt(), from.readInt()) }
             if (!from.exhausted()) throw MalformedException("peer frame: too long")
             PeerFrame(node, fencingToken, flags and LEADS != 0, flags and STORE_WORKS != 0, flags and WORKERS_ASK != 0, progress)
         } catch (e: EOFException) {
--- a/src/main/kotlin/linemast/peers/PeerLinks.kt
+++ b/src/main/kotlin/linemast/peers/PeerLinks.kt
@@ -7,11 +7,11 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeout
 import linemast.settings.Settings
-import linemast.wire.Address
-import linemast.wire.Connection
-import linemast.wire.EventLoop
-import linemast.wire.Listener
-import linemast.wire.connect
+import linemast.transport.Address
+import linemast.transport.Connection
+import linemast.transport.EventLoop
+import linemast.transport.Listener
+import linemast.transport.connect
 import okio.Buffer
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -1,8 +1,8 @@
 package linemast.peers
 
-import linemast.jobs.Progress
-import linemast.wire.Clock
-import linemast.wire.SECOND_MICROS
+import linemast.domain.JobProgress
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
 
 /** The latest frame of the leader, for as long as it is fresh. */
 class PeerView(private val clock: Clock) {
@@ -38,7 +38,7 @@
     }
 
     /** Counts of a job's tasks by the leader's last frame; null if that is old or does not hold the job. */
-    fun progressOf(id: String): Progress? = if (clock.nowMicros() - heardMicros < FRESH_MICROS) frame?.progress?.get(id) else null
+    fun progressOf(id: String): JobProgress? = if (clock.nowMicros() - heardMicros < FRESH_MICROS) frame?.progress?.get(id) else null
 
     private companion object {
         const val FRESH_MICROS = 5 * SECOND_MICROS
--- a/src/main/kotlin/linemast/planning/Aims.kt
+++ b/src/main/kotlin/linemast/planning/Aims.kt
@@ -1,8 +1,8 @@
 package linemast.planning
 
+import linemast.domain.Job
 import linemast.settings.Objective
 import linemast.settings.Team
-import linemast.workers.Job
 
 /**
  * What the users aim at for a job, and whether that can still be reached.
--- a/src/main/kotlin/linemast/planning/Forecast.kt
+++ b/src/main/kotlin/linemast/planning/Forecast.kt
@@ -1,9 +1,9 @@
 package linemast.planning
 
-import linemast.cloud.MachineType
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.MachineShape
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineShape
+import linemast.domain.MachineType
 
 /**
  * The forecast of free owned room: per machine and interval, its vcpus less what will still run then.
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -1,9 +1,10 @@
 package linemast.planning
 
-import linemast.cloud.MachineType
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.workers.Job
-import linemast.workers.Machine
 
 /** One job's plan: tasks per interval on owned and on rented machines. */
 class JobPlan(
--- a/src/main/kotlin/linemast/planning/TaskTimes.kt
+++ b/src/main/kotlin/linemast/planning/TaskTimes.kt
@@ -1,7 +1,7 @@
 package linemast.planning
 
-import linemast.jobs.JobSpec
-import linemast.workers.Job
+import linemast.domain.Job
+import linemast.domain.JobSpec
 
 /**
  * Estimates of run times: the owners' estimates, corrected by what finished tasks took.
--- a/src/main/kotlin/linemast/planning/WaitingStage.kt
+++ b/src/main/kotlin/linemast/planning/WaitingStage.kt
@@ -1,6 +1,6 @@
 package linemast.planning
 
-import linemast.workers.Job
+import linemast.domain.Job
 
 /** A job that waits for others, as far as it can be planned before it may start. */
 class WaitingStage(
--- a/src/main/kotlin/linemast/recovery/Recovery.kt
+++ b/src/main/kotlin/linemast/recovery/Recovery.kt
@@ -1,8 +1,9 @@
 package linemast.recovery
 
-import linemast.state.Priority
-import linemast.state.TokenBucket
-import linemast.workers.TaskAttempt
+import linemast.domain.TaskAttempt
+import linemast.settings.RecoverySettings
+import linemast.store.Priority
+import linemast.store.TokenBucket
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/recovery/RecoveryLedger.kt
+++ b/src/main/kotlin/linemast/recovery/RecoveryLedger.kt
@@ -1,6 +1,6 @@
 package linemast.recovery
 
-import linemast.workers.TaskAttempt
+import linemast.domain.TaskAttempt
 import java.util.EnumMap
 
 /** Counts what a new leader has found and ordered until all that earlier ones started is accounted for; pure. */
--- a/src/main/kotlin/linemast/recovery/RecoveryStore.kt
+++ b/src/main/kotlin/linemast/recovery/RecoveryStore.kt
@@ -4,15 +4,15 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.jobs.JobKeys
-import linemast.jobs.VerdictRecord
+import linemast.jobs.JobRecordCodec
 import linemast.leadership.Authority
-import linemast.leadership.attempt
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.Write
-import linemast.wire.Clock
-import linemast.wire.MalformedException
+import linemast.serialization.MalformedException
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.Write
+import linemast.store.attempt
+import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /** Reads the verdicts of jobs that the leader does not know, and stores what a recovery has found, for operators to read. */
@@ -49,7 +49,7 @@
 
     private suspend fun read(job: String): VerdictAnswer = try {
         val item = store.get(JobKeys.verdict(job), Priority.INTAKE)
-        if (item == null) VerdictAnswer.Absent else VerdictAnswer.Found(VerdictRecord.read(item.value).verdict)
+        if (item == null) VerdictAnswer.Absent else VerdictAnswer.Found(JobRecordCodec.decodeOutcome(item.value).verdict)
     } catch (e: StoreException) {
         logger.debug("verdict of {}: {}", job, e.message)
         VerdictAnswer.NoAnswer
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -1,6 +1,6 @@
 package linemast.recovery
 
-import linemast.jobs.Verdict
+import linemast.domain.Verdict
 
 /** What the store says of a job that a worker reports and the leader does not know. */
 enum class JobStanding {
--- a/src/main/kotlin/linemast/placement/AllowedCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/AllowedCommands.kt
@@ -1,4 +1,4 @@
-package linemast.placement
+package linemast.scheduling
 
 /** Which commands the answer to a report may carry. */
 enum class AllowedCommands {
--- a/src/main/kotlin/linemast/placement/AttemptNumbers.kt
+++ b/src/main/kotlin/linemast/scheduling/AttemptNumbers.kt
@@ -1,4 +1,4 @@
-package linemast.placement
+package linemast.scheduling
 
 /**
  * The attempt numbers of one leader, which no other leader uses: they begin with its fencing token.
--- a/src/main/kotlin/linemast/placement/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -1,21 +1,21 @@
-package linemast.placement
+package linemast.scheduling
 
 import linemast.admission.StartTurns
-import linemast.cloud.MachineType
-import linemast.jobs.OpenRecord
+import linemast.domain.Command
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.domain.Placement
+import linemast.domain.Report
+import linemast.domain.TaskId
 import linemast.leadership.CancellationKnowledge
 import linemast.planning.Planner
 import linemast.planning.TaskTimes
 import linemast.planning.WaitingStage
 import linemast.recovery.Recovery
 import linemast.settings.Settings
-import linemast.wire.Clock
-import linemast.workers.Command
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Placement
-import linemast.workers.Report
-import linemast.workers.TaskId
+import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/placement/Effects.kt
+++ b/src/main/kotlin/linemast/scheduling/Effects.kt
@@ -1,7 +1,7 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.workers.Job
-import linemast.workers.Machine
+import linemast.domain.Job
+import linemast.domain.Machine
 
 /** What the leader's state wants done in the outside world. */
 interface Effects {
--- a/src/main/kotlin/linemast/placement/ImageAffinity.kt
+++ b/src/main/kotlin/linemast/scheduling/ImageAffinity.kt
@@ -1,7 +1,7 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.workers.Job
-import linemast.workers.Machine
+import linemast.domain.Job
+import linemast.domain.Machine
 
 /**
  * Tells machines that are better left to another job, one whose image they have already.
--- a/src/main/kotlin/linemast/placement/JobOrder.kt
+++ b/src/main/kotlin/linemast/scheduling/JobOrder.kt
@@ -1,7 +1,7 @@
-package linemast.placement
+package linemast.scheduling
 
+import linemast.domain.Job
 import linemast.planning.Planner
-import linemast.workers.Job
 
 /** The order in which jobs get what is free. */
 object JobOrder {
--- a/src/main/kotlin/linemast/placement/Pass.kt
+++ b/src/main/kotlin/linemast/scheduling/Pass.kt
@@ -1,8 +1,8 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Placement
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.Placement
 
 /** What one pass of placement works with: jobs in their order, machines by their room, and what teams may still use. */
 internal class Pass(val nowMicros: Long, val jobs: List<JobOrder.Ranked>, val machines: UsableMachines, private val cluster: Cluster) {
--- a/src/main/kotlin/linemast/placement/PlaceRules.kt
+++ b/src/main/kotlin/linemast/scheduling/PlaceRules.kt
@@ -1,6 +1,6 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.workers.Job
+import linemast.domain.Job
 
 /** Counts a job's tasks by zone and tells where one more may start. */
 internal class PlaceRules(private val job: Job) {
--- a/src/main/kotlin/linemast/placement/Placer.kt
+++ b/src/main/kotlin/linemast/scheduling/Placer.kt
@@ -1,12 +1,12 @@
-package linemast.placement
+package linemast.scheduling
 
 import linemast.admission.StartTurns
-import linemast.cloud.MachineType
-import linemast.jobs.JobSpec
+import linemast.domain.Job
+import linemast.domain.JobSpec
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.Placement
 import linemast.settings.Settings
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Placement
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/placement/ReportHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/ReportHandler.kt
@@ -1,18 +1,18 @@
-package linemast.placement
-
+package linemast.scheduling
+
+import linemast.domain.Command
+import linemast.domain.EndCause
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.Placement
+import linemast.domain.Report
+import linemast.domain.TaskAttempt
+import linemast.domain.TaskReport
+import linemast.domain.TaskState
 import linemast.jobs.DoneSet
 import linemast.leadership.CancellationKnowledge
 import linemast.recovery.RecoveryLedger
 import linemast.settings.WorkerSettings
-import linemast.workers.Command
-import linemast.workers.EndCause
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Placement
-import linemast.workers.Report
-import linemast.workers.TaskAttempt
-import linemast.workers.TaskReport
-import linemast.workers.TaskState
 import org.slf4j.LoggerFactory
 
 /** Brings the leader's records into line with the reports of workers, and answers them. */
--- a/src/main/kotlin/linemast/placement/RoomMaker.kt
+++ b/src/main/kotlin/linemast/scheduling/RoomMaker.kt
@@ -1,9 +1,9 @@
-package linemast.placement
+package linemast.scheduling
 
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.Placement
 import linemast.settings.Settings
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Placement
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/placement/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -1,7 +1,7 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.cloud.MachineType
-import linemast.jobs.JobSpec
+import linemast.domain.JobSpec
+import linemast.domain.MachineType
 
 /**
  * Keeps machines that only some jobs need free of tasks that fit elsewhere.
--- a/src/main/kotlin/linemast/placement/Takeover.kt
+++ b/src/main/kotlin/linemast/scheduling/Takeover.kt
@@ -1,8 +1,8 @@
-package linemast.placement
+package linemast.scheduling
 
+import linemast.domain.Job
+import linemast.domain.Machine
 import linemast.leadership.Authority
-import linemast.workers.Job
-import linemast.workers.Machine
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/placement/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -1,12 +1,12 @@
-package linemast.placement
+package linemast.scheduling
 
+import linemast.domain.Command
+import linemast.domain.EndCause
+import linemast.domain.Machine
+import linemast.domain.Placement
+import linemast.domain.TaskReport
 import linemast.jobs.DoneSet
 import linemast.recovery.RecoveryLedger
-import linemast.workers.Command
-import linemast.workers.EndCause
-import linemast.workers.Machine
-import linemast.workers.Placement
-import linemast.workers.TaskReport
 
 /** Chooses the commands that leave in the answer to a worker's report. */
 internal class TaskCommands(private val cluster: Cluster) {
--- a/src/main/kotlin/linemast/placement/TeamUsage.kt
+++ b/src/main/kotlin/linemast/scheduling/TeamUsage.kt
@@ -1,6 +1,6 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.jobs.JobSpec
+import linemast.domain.JobSpec
 import linemast.settings.Team
 
 /** What each team's tasks may be using at this moment, and how that stands to its limits. */
--- a/src/main/kotlin/linemast/placement/UsableMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/UsableMachines.kt
@@ -1,11 +1,11 @@
-package linemast.placement
-
-import linemast.cloud.MachineType
-import linemast.jobs.JobPriority
-import linemast.jobs.JobSpec
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Placement
+package linemast.scheduling
+
+import linemast.domain.Job
+import linemast.domain.JobPriority
+import linemast.domain.JobSpec
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.Placement
 
 /**
  * The machines that one pass may use, by shape and by free room.
--- a/src/main/kotlin/linemast/placement/WorkerTiming.kt
+++ b/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
@@ -1,4 +1,4 @@
-package linemast.placement
+package linemast.scheduling
 
 import linemast.leadership.Authority
 import linemast.settings.WorkerSettings
--- a/src/main/kotlin/linemast/wire/Cbor.kt
+++ b/src/main/kotlin/linemast/serialization/Cbor.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.serialization
 
 import com.fasterxml.jackson.core.JsonFactory
 import com.fasterxml.jackson.core.JsonGenerator
--- a/src/main/kotlin/linemast/wire/Fields.kt
+++ b/src/main/kotlin/linemast/serialization/Fields.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.serialization
 
 /** Input that does not have the form a page of the protocol or of the settings gives it. */
 class MalformedException(message: String) : Exception(message)
--- a/src/main/kotlin/linemast/admission/AdmissionSettings.kt
+++ b/src/main/kotlin/linemast/settings/AdmissionSettings.kt
@@ -1,9 +1,7 @@
-package linemast.admission
+package linemast.settings
 
-import linemast.settings.FeatureFile
-import linemast.settings.StateLimits
-import linemast.wire.Fields
-import linemast.wire.SECOND_MICROS
+import linemast.serialization.Fields
+import linemast.time.SECOND_MICROS
 import java.nio.file.Path
 
 /** The operators' settings of fair admission; the values here hold for what a file leaves out. */
--- a/src/main/kotlin/linemast/duties/Duty.kt
+++ b/src/main/kotlin/linemast/settings/Duty.kt
@@ -1,8 +1,6 @@
-package linemast.duties
+package linemast.settings
 
-import linemast.cloud.ReturnReason
-
-/** What only the current leader may do at the cloud; [stored] is its name in the store and in settings. */
+/** A kind of action at the cloud that only the current leader may take; [stored] is its name in the store and in settings. */
 enum class Duty(val stored: String) {
     /** Renting machines. */
     RENT("rent"),
@@ -22,12 +20,5 @@
 
         /** The duty called [stored]; null if there is none. */
         fun of(stored: String): Duty? = byStored[stored]
-
-        /** The duty that a return for [reason] belongs to. */
-        fun of(reason: ReturnReason): Duty = when (reason) {
-            ReturnReason.IDLE, ReturnReason.OWNED_IDLE -> RETURN
-            ReturnReason.FAILED, ReturnReason.NEVER_UP, ReturnReason.TAKEN -> CLEAN_UP
-            ReturnReason.FAULTY, ReturnReason.PREEMPTED, ReturnReason.SILENT, ReturnReason.DEAF, ReturnReason.ABSENT -> RECLAIM
-        }
     }
 }
--- a/src/main/kotlin/linemast/settings/FeatureFile.kt
+++ b/src/main/kotlin/linemast/settings/FeatureFile.kt
@@ -1,7 +1,7 @@
 package linemast.settings
 
-import linemast.wire.Fields
-import linemast.wire.MalformedException
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
 import java.io.IOException
 import java.nio.file.Files
 import java.nio.file.Path
--- a/src/main/kotlin/linemast/settings/Features.kt
+++ b/src/main/kotlin/linemast/settings/Features.kt
@@ -1,9 +1,5 @@
 package linemast.settings
 
-import linemast.admission.AdmissionSettings
-import linemast.duties.DutySettings
-import linemast.recovery.RecoverySettings
-
 /** The optional parts of the service that are enabled; null for those that are not. */
 class Features(
     /** See docs/duties.md. */
--- a/src/main/kotlin/linemast/planning/Policy.kt
+++ b/src/main/kotlin/linemast/settings/Policy.kt
@@ -1,6 +1,6 @@
-package linemast.planning
+package linemast.settings
 
-import linemast.wire.SECOND_MICROS
+import linemast.time.SECOND_MICROS
 
 /** What operators may set in their own file; the values here hold without one. */
 class Policy(
--- a/src/main/kotlin/linemast/settings/PolicyScript.kt
+++ b/src/main/kotlin/linemast/settings/PolicyScript.kt
@@ -1,6 +1,5 @@
 package linemast.settings
 
-import linemast.planning.Policy
 import org.luaj.vm2.Globals
 import org.luaj.vm2.LoadState
 import org.luaj.vm2.LuaError
--- a/src/main/kotlin/linemast/recovery/RecoverySettings.kt
+++ b/src/main/kotlin/linemast/settings/RecoverySettings.kt
@@ -1,8 +1,7 @@
-package linemast.recovery
+package linemast.settings
 
-import linemast.settings.FeatureFile
-import linemast.wire.Fields
-import linemast.wire.SECOND_MICROS
+import linemast.serialization.Fields
+import linemast.time.SECOND_MICROS
 import java.nio.file.Path
 
 /** The operators' settings of the restart after an outage; the values here hold for what a file leaves out. */
--- a/src/main/kotlin/linemast/settings/Settings.kt
+++ b/src/main/kotlin/linemast/settings/Settings.kt
@@ -1,6 +1,6 @@
 package linemast.settings
 
-import linemast.wire.Address
+import linemast.transport.Address
 
 /** The platform's settings file, checked; see [SettingsReader]. */
 class Settings(
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.core.JsonToken
 import com.fasterxml.jackson.dataformat.toml.TomlFactory
-import linemast.wire.Address
-import linemast.wire.Cbor
-import linemast.wire.Fields
-import linemast.wire.MalformedException
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
+import linemast.transport.Address
 import java.io.IOException
 import java.nio.file.Files
 import java.nio.file.Path
--- a/src/main/kotlin/linemast/leadership/Attempt.kt
+++ b/src/main/kotlin/linemast/store/Attempt.kt
@@ -1,8 +1,7 @@
-package linemast.leadership
+package linemast.store
 
 import kotlinx.coroutines.CancellationException
-import linemast.state.StoreException
-import linemast.wire.MalformedException
+import linemast.serialization.MalformedException
 import org.slf4j.Logger
 
 /** The result of a store call, or null if it gave none. */
--- a/src/main/kotlin/linemast/state/Store.kt
+++ b/src/main/kotlin/linemast/store/Store.kt
@@ -1,7 +1,7 @@
-package linemast.state
+package linemast.store
 
-import linemast.wire.Fields
-import linemast.wire.SECOND_MICROS
+import linemast.serialization.Fields
+import linemast.time.SECOND_MICROS
 
 /** A key's value with the revision of its latest change. */
 class Item(val key: String, val value: Fields, val version: Long)
--- a/src/main/kotlin/linemast/state/StoreClient.kt
+++ b/src/main/kotlin/linemast/store/StoreClient.kt
@@ -1,18 +1,18 @@
-package linemast.state
+package linemast.store
 
 import kotlinx.coroutines.delay
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
 import linemast.settings.StateLimits
-import linemast.wire.Address
-import linemast.wire.Cbor
-import linemast.wire.Clock
-import linemast.wire.EventLoop
-import linemast.wire.Fields
-import linemast.wire.HttpClient
-import linemast.wire.HttpReply
-import linemast.wire.HttpStatus
-import linemast.wire.MalformedException
-import linemast.wire.NoAnswerException
-import linemast.wire.SECOND_MICROS
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
+import linemast.transport.Address
+import linemast.transport.EventLoop
+import linemast.transport.HttpClient
+import linemast.transport.HttpReply
+import linemast.transport.HttpStatus
+import linemast.transport.NoAnswerException
 import org.slf4j.LoggerFactory
 
 /** The state service over HTTP, within this controller's part of the service's limits. */
--- a/src/main/kotlin/linemast/state/StoreProbe.kt
+++ b/src/main/kotlin/linemast/store/StoreProbe.kt
@@ -1,8 +1,8 @@
-package linemast.state
+package linemast.store
 
 import kotlinx.coroutines.delay
-import linemast.wire.Clock
-import linemast.wire.SECOND_MICROS
+import linemast.time.Clock
+import linemast.time.SECOND_MICROS
 
 /**
  * Whether the state service answers this controller.
--- a/src/main/kotlin/linemast/state/TokenBucket.kt
+++ b/src/main/kotlin/linemast/store/TokenBucket.kt
@@ -1,4 +1,4 @@
-package linemast.state
+package linemast.store
 
 /**
  * Tokens for calls to an outside service, which refuses calls above a rate.
--- a/src/main/kotlin/linemast/state/WriteBatches.kt
+++ b/src/main/kotlin/linemast/store/WriteBatches.kt
@@ -1,6 +1,6 @@
-package linemast.state
+package linemast.store
 
-import linemast.wire.Cbor
+import linemast.serialization.Cbor
 
 /** Packs writes into transactions within what the state service takes in one. */
 class WriteBatches(private val maxWrites: Int) {
--- a/src/main/kotlin/linemast/wire/Clock.kt
+++ b/src/main/kotlin/linemast/time/Clock.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.time
 
 /** The steady clock in whole microseconds; never the time of day. */
 fun interface Clock {
--- a/src/main/kotlin/linemast/wire/Address.kt
+++ b/src/main/kotlin/linemast/transport/Address.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 /** Host and port of an endpoint, as the settings write it: `10.0.0.1:8080`. */
 data class Address(val host: String, val port: Int) {
--- a/src/main/kotlin/linemast/wire/EventLoop.kt
+++ b/src/main/kotlin/linemast/transport/EventLoop.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 import io.ktor.network.selector.SelectInterest
 import io.ktor.network.selector.Selectable
--- a/src/main/kotlin/linemast/wire/Http.kt
+++ b/src/main/kotlin/linemast/transport/Http.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 import io.ktor.http.cio.HttpHeadersMap
 import io.ktor.http.cio.RequestResponseBuilder
@@ -9,6 +9,8 @@
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.launch
 import kotlinx.io.readByteArray
+import linemast.serialization.Cbor
+import linemast.serialization.MalformedException
 
 /** What the protocol page allows for a request body, and for a response to workers and users. */
 const val MAX_BODY_BYTES = 64 * 1024
--- a/src/main/kotlin/linemast/wire/HttpClient.kt
+++ b/src/main/kotlin/linemast/transport/HttpClient.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 import io.ktor.http.HttpMethod
 import io.ktor.http.cio.parseResponse
@@ -7,6 +7,10 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
 import kotlinx.coroutines.withTimeoutOrNull
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.time.SECOND_MICROS
+import linemast.time.SteadyClock
 import java.io.IOException
 
 /** The answer to a request that this process sent. */
--- a/src/main/kotlin/linemast/wire/HttpServer.kt
+++ b/src/main/kotlin/linemast/transport/HttpServer.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 import io.ktor.http.cio.parseRequest
 import io.ktor.utils.io.ByteReadChannel
@@ -6,6 +6,9 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import linemast.serialization.MalformedException
+import linemast.time.SECOND_MICROS
+import linemast.time.SteadyClock
 import org.slf4j.LoggerFactory
 
 /**
--- a/src/main/kotlin/linemast/wire/HttpStatus.kt
+++ b/src/main/kotlin/linemast/transport/HttpStatus.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 /** The HTTP status codes that controllers, workers, users, the cloud and the state service exchange. */
 object HttpStatus {
--- a/src/main/kotlin/linemast/wire/Listener.kt
+++ b/src/main/kotlin/linemast/transport/Listener.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 import io.ktor.network.sockets.aSocket
 import kotlinx.coroutines.CoroutineScope
--- a/src/main/kotlin/linemast/workers/FleetRecord.kt
+++ b/src/main/kotlin/linemast/workers/FleetRecord.kt
@@ -1,8 +1,9 @@
 package linemast.workers
 
-import linemast.cloud.MachineType
-import linemast.state.Item
-import linemast.wire.Cbor
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.serialization.Cbor
+import linemast.store.Item
 
 /**
  * The stored list of machines that may run tasks.
--- a/src/main/kotlin/linemast/workers/ReportCodec.kt
+++ b/src/main/kotlin/linemast/workers/ReportCodec.kt
@@ -1,7 +1,13 @@
 package linemast.workers
 
-import linemast.wire.Fields
-import linemast.wire.MalformedException
+import linemast.domain.Command
+import linemast.domain.EndCause
+import linemast.domain.Report
+import linemast.domain.TaskId
+import linemast.domain.TaskReport
+import linemast.domain.TaskState
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
 
 /** The wire form of workers' reports and of the answers to them; see docs/glossary.md for the names. */
 object ReportCodec {
--- a/src/test/kotlin/linemast/TestSpecs.kt
+++ b/src/test/kotlin/linemast/TestSpecs.kt
@@ -1,8 +1,8 @@
 package linemast
 
+import linemast.domain.JobSpec
 import linemast.jobs.JobCodec
-import linemast.jobs.JobSpec
-import linemast.wire.Fields
+import linemast.serialization.Fields
 
 /** A job as a user would submit it, a small sweep that may go anywhere, with [fields] in place of the usual ones. */
 internal fun testSpec(id: String, vararg fields: Pair<String, Any?>): JobSpec = JobCodec.decode(
--- a/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
@@ -1,9 +1,10 @@
 package linemast.admission
 
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
+import linemast.settings.AdmissionSettings
 import linemast.settings.SettingsReader
-import linemast.wire.Cbor
-import linemast.wire.Fields
-import linemast.wire.MalformedException
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -1,9 +1,10 @@
 package linemast.admission
 
-import linemast.jobs.OpenRecord
+import linemast.domain.Job
+import linemast.domain.OpenRecord
+import linemast.settings.AdmissionSettings
 import linemast.settings.Objective
 import linemast.testSpec
-import linemast.workers.Job
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.test.TestScope
+import linemast.settings.AdmissionSettings
 import linemast.settings.Features
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
--- a/src/test/kotlin/linemast/planning/DemandTest.kt
+++ b/src/test/kotlin/linemast/autoscaling/DemandTest.kt
@@ -1,4 +1,4 @@
-package linemast.planning
+package linemast.autoscaling
 
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/cloud/RentalCallsTest.kt
+++ b/src/test/kotlin/linemast/cloud/RentalCallsTest.kt
@@ -1,11 +1,12 @@
 package linemast.cloud
 
-import linemast.jobs.OpenRecord
-import linemast.planning.Policy
+import linemast.domain.Job
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
 import linemast.planning.RentalWish
+import linemast.settings.Policy
 import linemast.testSettings
 import linemast.testSpec
-import linemast.workers.Job
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/cloud/ReturnRulesTest.kt
+++ b/src/test/kotlin/linemast/cloud/ReturnRulesTest.kt
@@ -1,8 +1,9 @@
 package linemast.cloud
 
-import linemast.planning.Policy
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.settings.Policy
 import linemast.testSettings
-import linemast.workers.Machine
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/linemast/leadership/PipelineCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/PipelineCoordinatorTest.kt
@@ -1,23 +1,25 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
+import linemast.domain.JobPriority
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
 import linemast.jobs.JobKeys
-import linemast.jobs.JobPriority
-import linemast.jobs.OpenRecord
-import linemast.jobs.Verdict
-import linemast.placement.ClusterFixture
-import linemast.placement.HandWorker
+import linemast.jobs.JobRecordCodec
+import linemast.leadership.Authority
+import linemast.scheduling.ClusterFixture
+import linemast.scheduling.HandWorker
+import linemast.serialization.Fields
 import linemast.simulation.SimStore
-import linemast.state.Change
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.Write
+import linemast.store.Change
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.Write
 import linemast.testSpec
-import linemast.wire.Clock
-import linemast.wire.Fields
+import linemast.time.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
@@ -38,7 +40,7 @@
                 cancelled = false,
             )
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), waiting.toMap())))
+        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(waiting))))
         val fixture = ClusterFixture()
         val first = fixture.submit("req-1", 2)
         HandWorker(fixture, "host-000001").reportFor(3)
@@ -74,7 +76,7 @@
         val inner = store.clientOf("mast-0")
         val waiting = OpenRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, opened = false, cancelled = false)
         inner.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), waiting.toMap())))
+        inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(waiting))))
         val racing = object : Store by inner {
             override suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority): CommitResult {
                 inner.commit(emptyList(), listOf(Write.Drop(JobKeys.waiting("req-2"))))
--- a/src/test/kotlin/linemast/leadership/PipelinesTest.kt
+++ b/src/test/kotlin/linemast/control/PipelinesTest.kt
@@ -1,8 +1,8 @@
-package linemast.leadership
+package linemast.control
 
-import linemast.jobs.JobPriority
-import linemast.jobs.OpenRecord
-import linemast.jobs.Verdict
+import linemast.domain.JobPriority
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
 import linemast.testSpec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/linemast/leadership/StandingFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/StandingFleetStoreTest.kt
@@ -1,15 +1,17 @@
-package linemast.leadership
+package linemast.control
 
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
 import linemast.cloud.Cloud
 import linemast.cloud.ListedMachine
-import linemast.cloud.MachineType
 import linemast.cloud.RentRequest
 import linemast.cloud.RentResult
+import linemast.domain.MachineType
+import linemast.leadership.Authority
+import linemast.leadership.LeaderKeys
 import linemast.simulation.SimStore
-import linemast.state.Write
-import linemast.wire.Clock
+import linemast.store.Write
+import linemast.time.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -2,14 +2,15 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import linemast.planning.Policy
+import linemast.settings.DutySettings
 import linemast.settings.Features
+import linemast.settings.Policy
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
 import linemast.simulation.leaderOf
 import linemast.simulation.restart
 import linemast.simulation.simulate
-import linemast.wire.Clock
+import linemast.time.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/linemast/duties/IntentAuditTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentAuditTest.kt
@@ -1,6 +1,7 @@
 package linemast.duties
 
 import linemast.cloud.RentRequest
+import linemast.settings.Duty
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
@@ -1,12 +1,14 @@
 package linemast.duties
 
 import linemast.cloud.RentRequest
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
+import linemast.settings.Duty
+import linemast.settings.DutySettings
 import linemast.settings.SettingsException
 import linemast.settings.SettingsReader
-import linemast.state.Item
-import linemast.wire.Cbor
-import linemast.wire.Fields
-import linemast.wire.MalformedException
+import linemast.store.Item
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/linemast/duties/IntentLogTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentLogTest.kt
@@ -1,5 +1,6 @@
 package linemast.duties
 
+import linemast.settings.Duty
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -7,22 +7,25 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
-import linemast.cloud.MachineType
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
+import linemast.domain.VerdictRecord
+import linemast.serialization.Cbor
 import linemast.settings.Team
 import linemast.simulation.SimStore
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Page
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.TokenBucket
-import linemast.state.Write
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Page
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.TokenBucket
+import linemast.store.Write
 import linemast.testSpec
-import linemast.wire.Cbor
-import linemast.wire.Clock
-import linemast.wire.HttpRequest
+import linemast.time.Clock
+import linemast.transport.HttpRequest
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -124,7 +127,7 @@
             val record = OpenRecord(spec, 0, opened = false, cancelled = false)
             val key = if (dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.waiting(spec.id)
             val verdict = VerdictRecord(Verdict.OPEN, spec.taskCount, spec.dependencies)
-            client.commit(emptyList(), listOf(Write.Put(JobKeys.verdict(spec.id), verdict.toMap()), Write.Put(key, record.toMap())))
+            client.commit(emptyList(), listOf(Write.Put(JobKeys.verdict(spec.id), JobRecordCodec.encode(verdict)), Write.Put(key, JobRecordCodec.encode(record))))
         }
     }
 
--- a/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
@@ -1,9 +1,11 @@
 package linemast.jobs
 
+import linemast.domain.JobProgress
+import linemast.domain.OpenRecord
 import linemast.peers.PeerFrame
-import linemast.wire.Cbor
-import linemast.wire.Fields
-import linemast.wire.MalformedException
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
 import okio.Buffer
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -22,8 +24,8 @@
         repeat(300) {
             val record =
                 OpenRecord(JobCodec.decode(Fields(job(random))), random.nextLong(1L shl 50), random.nextBoolean(), random.nextBoolean())
-            val again = OpenRecord.read(Cbor.decodeMap(Cbor.encode(record.toMap())))
-            assertEquals(record.toMap(), again.toMap())
+            val again = JobRecordCodec.decodeJob(Cbor.decodeMap(Cbor.encode(JobRecordCodec.encode(record))))
+            assertEquals(JobRecordCodec.encode(record), JobRecordCodec.encode(again))
         }
     }
 
@@ -62,7 +64,7 @@
     fun `peer frames come back and truncated or lengthened ones are refused`() {
         val random = Random(seed)
         repeat(50) {
-            val progress = (0 until random.nextInt(30)).associate { "req-$it" to Progress(random.nextInt(100), random.nextInt(100)) }
+            val progress = (0 until random.nextInt(30)).associate { "req-$it" to JobProgress(random.nextInt(100), random.nextInt(100)) }
             val bytes = PeerFrame(
                 "mast-1",
                 random.nextLong(1000),
--- a/src/test/kotlin/linemast/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobServiceTest.kt
@@ -10,20 +10,23 @@
 import linemast.admission.Flow
 import linemast.admission.FlowClassifier
 import linemast.admission.IdCircle
-import linemast.cloud.MachineType
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
+import linemast.domain.VerdictRecord
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.serialization.MalformedException
 import linemast.settings.Team
 import linemast.simulation.SimStore
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.Write
-import linemast.wire.Cbor
-import linemast.wire.Clock
-import linemast.wire.Fields
-import linemast.wire.HttpRequest
-import linemast.wire.MalformedException
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.Write
+import linemast.time.Clock
+import linemast.transport.HttpRequest
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
@@ -165,13 +168,13 @@
         submit(jobService(store) { types }, job())
         submit(jobService(store) { types }, job("name_id" to "req-000002", "awaits" to listOf("req-000001")))
         val inner = store.clientOf("mast-0")
-        val waiting = OpenRecord.read(requireNotNull(inner.get(JobKeys.waiting("req-000002"))))
+        val waiting = JobRecordCodec.decodeJob(requireNotNull(inner.get(JobKeys.waiting("req-000002"))).value)
         var isReleased = false
         val racing = object : Store by inner {
             override suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority): CommitResult {
                 if (!isReleased) {
                     isReleased = true
-                    val released = Write.Put(JobKeys.open("req-000002"), waiting.released(5).toMap())
+                    val released = Write.Put(JobKeys.open("req-000002"), JobRecordCodec.encode(waiting.released(5)))
                     inner.commit(emptyList(), listOf(released, Write.Drop(JobKeys.waiting("req-000002"))))
                 }
                 return inner.commit(conditions, writes, priority)
@@ -190,7 +193,7 @@
         fun id(at: Int) = "req-%06d".format(at)
         submit(jobService(store) { types }, job("name_id" to id(1)))
         submit(jobService(store) { types }, job("name_id" to id(2), "crew" to "other"))
-        store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/${id(3)}", VerdictRecord(Verdict.DONE, 3).toMap())))
+        store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/${id(3)}", JobRecordCodec.encode(VerdictRecord(Verdict.DONE, 3)))))
         val names = listOf(id(1), id(2), id(3))
         assertEquals(201, submit(jobService(store) { types }, job("name_id" to id(4), "awaits" to names)))
         assertEquals("pending", state(jobService(store) { types }, id(4)))
@@ -215,7 +218,7 @@
     /** The size of a stored job is counted in the form in which the store counts it. */
     @Test
     fun `a job just at, under and over what a value takes`() = runTest {
-        val record = OpenRecord(JobCodec.decode(Fields(job())), 0L, opened = false, cancelled = false).toMap()
+        val record = JobRecordCodec.encode(OpenRecord(JobCodec.decode(Fields(job())), 0L, opened = false, cancelled = false))
         val size = Cbor.jsonSize(record)
         assertEquals(201, submit(jobService(store(), mostValueBytes = size) { types }, job()))
         assertEquals(201, submit(jobService(store(), mostValueBytes = size + 1) { types }, job()))
@@ -228,7 +231,7 @@
     fun `what awaits only jobs that are done need not wait`() = runTest {
         val store = store()
         val jobService = jobService(store) { types }
-        store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/req-000007", VerdictRecord(Verdict.DONE, 3).toMap())))
+        store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/req-000007", JobRecordCodec.encode(VerdictRecord(Verdict.DONE, 3)))))
         assertEquals(201, submit(jobService, job("awaits" to listOf("req-000007"))))
         assertEquals(setOf("o/req-000001"), store.keysUnder("o/"))
     }
--- a/src/test/kotlin/linemast/leadership/CancellationKnowledgeTest.kt
+++ b/src/test/kotlin/linemast/leadership/CancellationKnowledgeTest.kt
@@ -1,7 +1,8 @@
 package linemast.leadership
 
-import linemast.workers.Command
-import linemast.workers.TaskId
+import linemast.control.ReportAnswer
+import linemast.domain.Command
+import linemast.domain.TaskId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -5,11 +5,11 @@
 import kotlinx.coroutines.launch
 import linemast.duties.IntentCodec
 import linemast.duties.OrderHistoryAudit
+import linemast.serialization.Fields
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
 import linemast.simulation.leaderOf
-import linemast.state.Write
-import linemast.wire.Fields
+import linemast.store.Write
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Tag
--- a/src/test/kotlin/linemast/loopback/StandInServers.kt
+++ b/src/test/kotlin/linemast/loopback/StandInServers.kt
@@ -3,20 +3,20 @@
 import kotlinx.coroutines.awaitCancellation
 import linemast.cloud.Cloud
 import linemast.cloud.CloudException
-import linemast.cloud.MachineType
+import linemast.cloud.MachineTypeCodec
 import linemast.cloud.RentRequest
 import linemast.cloud.RentResult
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.WatchResult
-import linemast.state.Write
-import linemast.wire.Cbor
-import linemast.wire.Fields
-import linemast.wire.HttpRequest
-import linemast.wire.HttpResponse
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.WatchResult
+import linemast.store.Write
+import linemast.transport.HttpRequest
+import linemast.transport.HttpResponse
 
 /** The stand-in of the state service behind its protocol, as one controller reaches it. */
 internal class StoreServer(private val store: Store) {
@@ -84,7 +84,7 @@
 /** The stand-in of the cloud behind its protocol, as one controller reaches it. */
 internal class CloudServer(private val cloud: Cloud) {
     suspend fun answer(request: HttpRequest): HttpResponse = when {
-        request.path == "/machine_types" -> HttpResponse(200, Cbor.encode(MachineType.toMap(cloud.types())))
+        request.path == "/machine_types" -> HttpResponse(200, Cbor.encode(MachineTypeCodec.encode(cloud.types())))
         request.path == "/machines/return" -> giveBack(Cbor.decodeMap(request.body).textsOrNull("rigs")!!)
         request.method == "POST" -> rent(Cbor.decodeMap(request.body))
         else -> list()
--- a/src/test/kotlin/linemast/peers/PeerViewTest.kt
+++ b/src/test/kotlin/linemast/peers/PeerViewTest.kt
@@ -1,7 +1,7 @@
 package linemast.peers
 
-import linemast.jobs.Progress
-import linemast.wire.Clock
+import linemast.domain.JobProgress
+import linemast.time.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
@@ -42,5 +42,5 @@
         storeWorks: Boolean = false,
         workersAsk: Boolean = false,
         done: Int = 0,
-    ) = PeerFrame(node, fencingToken, leads, storeWorks, workersAsk, mapOf("req-1" to Progress(done, 0)))
+    ) = PeerFrame(node, fencingToken, leads, storeWorks, workersAsk, mapOf("req-1" to JobProgress(done, 0)))
 }
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -1,11 +1,12 @@
 package linemast.planning
 
-import linemast.cloud.MachineType
-import linemast.jobs.OpenRecord
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.settings.Policy
 import linemast.testSettings
 import linemast.testSpec
-import linemast.workers.Job
-import linemast.workers.Machine
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.coroutines.delay
 import linemast.settings.Features
+import linemast.settings.RecoverySettings
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorker
 import linemast.simulation.SimWorld
--- a/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
+++ b/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
@@ -1,10 +1,11 @@
 package linemast.recovery
 
-import linemast.jobs.Verdict
+import linemast.domain.TaskAttempt
+import linemast.domain.TaskId
+import linemast.domain.Verdict
+import linemast.serialization.MalformedException
+import linemast.settings.RecoverySettings
 import linemast.settings.SettingsReader
-import linemast.wire.MalformedException
-import linemast.workers.TaskAttempt
-import linemast.workers.TaskId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertThrows
--- a/src/test/kotlin/linemast/placement/AttemptNumbersTest.kt
+++ b/src/test/kotlin/linemast/scheduling/AttemptNumbersTest.kt
@@ -1,4 +1,4 @@
-package linemast.placement
+package linemast.scheduling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/linemast/placement/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -1,20 +1,20 @@
-package linemast.placement
-
-import linemast.cloud.MachineType
-import linemast.jobs.OpenRecord
+package linemast.scheduling
+
+import linemast.domain.Command
+import linemast.domain.EndCause
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.domain.Report
+import linemast.domain.TaskId
+import linemast.domain.TaskReport
+import linemast.domain.TaskState
 import linemast.planning.Planner
-import linemast.planning.Policy
 import linemast.planning.TaskTimes
+import linemast.settings.Policy
 import linemast.testSettings
 import linemast.testSpec
-import linemast.workers.Command
-import linemast.workers.EndCause
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Report
-import linemast.workers.TaskId
-import linemast.workers.TaskReport
-import linemast.workers.TaskState
 
 /** A leader's cluster state with workers played by hand; the store takes everything at once. */
 internal class ClusterFixture(
--- a/src/test/kotlin/linemast/placement/ClusterTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterTest.kt
@@ -1,10 +1,10 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.jobs.OpenRecord
-import linemast.workers.Command
-import linemast.workers.Report
-import linemast.workers.TaskId
-import linemast.workers.TaskState
+import linemast.domain.Command
+import linemast.domain.OpenRecord
+import linemast.domain.Report
+import linemast.domain.TaskId
+import linemast.domain.TaskState
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
--- a/src/test/kotlin/linemast/placement/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -1,12 +1,12 @@
-package linemast.placement
+package linemast.scheduling
 
-import linemast.cloud.MachineType
-import linemast.jobs.OpenRecord
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.domain.Placement
+import linemast.domain.TaskId
 import linemast.testSpec
-import linemast.workers.Job
-import linemast.workers.Machine
-import linemast.workers.Placement
-import linemast.workers.TaskId
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/wire/CborTest.kt
+++ b/src/test/kotlin/linemast/serialization/CborTest.kt
@@ -1,5 +1,6 @@
-package linemast.wire
+package linemast.serialization
 
+import linemast.transport.message
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/linemast/settings/SettingsTest.kt
+++ b/src/test/kotlin/linemast/settings/SettingsTest.kt
@@ -1,7 +1,6 @@
 package linemast.settings
 
-import linemast.planning.Policy
-import linemast.wire.MalformedException
+import linemast.serialization.MalformedException
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
@@ -4,11 +4,11 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.test.TestScope
-import linemast.admission.AdmissionSettings
-import linemast.duties.DutySettings
 import linemast.duties.OrderHistoryAudit
-import linemast.recovery.RecoverySettings
+import linemast.settings.AdmissionSettings
+import linemast.settings.DutySettings
 import linemast.settings.Features
+import linemast.settings.RecoverySettings
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
+++ b/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
@@ -1,12 +1,12 @@
 package linemast.simulation
 
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Page
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.WatchResult
-import linemast.state.Write
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Page
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.WatchResult
+import linemast.store.Write
 
 /**
  * What a controller of the version before pipelines sees of the store and leaves in it.
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -5,9 +5,9 @@
 import linemast.cloud.Cloud
 import linemast.cloud.CloudException
 import linemast.cloud.ListedMachine
-import linemast.cloud.MachineType
 import linemast.cloud.RentRequest
 import linemast.cloud.RentResult
+import linemast.domain.MachineType
 
 /** An order that the cloud has carried out, with the store's revision at that moment. */
 class SimOrder(
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -3,18 +3,18 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import linemast.state.Change
-import linemast.state.CommitResult
-import linemast.state.Condition
-import linemast.state.Item
-import linemast.state.Page
-import linemast.state.Priority
-import linemast.state.Store
-import linemast.state.StoreException
-import linemast.state.WatchResult
-import linemast.state.Write
-import linemast.wire.Cbor
-import linemast.wire.Clock
+import linemast.serialization.Cbor
+import linemast.store.Change
+import linemast.store.CommitResult
+import linemast.store.Condition
+import linemast.store.Item
+import linemast.store.Page
+import linemast.store.Priority
+import linemast.store.Store
+import linemast.store.StoreException
+import linemast.store.WatchResult
+import linemast.store.Write
+import linemast.time.Clock
 import kotlin.random.Random
 
 /** Stand-in of the state service, with its leases, revisions and ways to fail. */
--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -4,9 +4,9 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 import linemast.cloud.ListedMachine
-import linemast.cloud.MachineType
-import linemast.wire.Cbor
-import linemast.wire.Fields
+import linemast.domain.MachineType
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
 
 /** Stand-in of a worker: sessions, leases, tokens and tasks as the protocol's page has them. */
 class SimWorker(
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -9,15 +9,15 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import linemast.admission.AdmissionPlan
 import linemast.app.Node
-import linemast.cloud.MachineType
-import linemast.planning.Policy
+import linemast.domain.MachineType
+import linemast.serialization.Cbor
+import linemast.serialization.MalformedException
 import linemast.settings.Features
+import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.wire.Cbor
-import linemast.wire.Clock
-import linemast.wire.HttpRequest
-import linemast.wire.HttpResponse
-import linemast.wire.MalformedException
+import linemast.time.Clock
+import linemast.transport.HttpRequest
+import linemast.transport.HttpResponse
 import kotlin.random.Random
 
 /**
--- a/src/test/kotlin/linemast/simulation/Simulation.kt
+++ b/src/test/kotlin/linemast/simulation/Simulation.kt
@@ -3,12 +3,12 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
-import linemast.cloud.MachineType
-import linemast.planning.Policy
+import linemast.domain.MachineType
 import linemast.settings.Features
+import linemast.settings.Policy
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
-import linemast.wire.Clock
+import linemast.time.Clock
 import kotlin.time.Duration.Companion.minutes
 
 internal const val LEASE_SECONDS = 8.0
--- a/src/test/kotlin/linemast/size/LargeFleetTest.kt
+++ b/src/test/kotlin/linemast/size/LargeFleetTest.kt
@@ -1,6 +1,6 @@
 package linemast.size
 
-import linemast.cloud.MachineType
+import linemast.domain.MachineType
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
--- a/src/test/kotlin/linemast/state/StoreRatesTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRatesTest.kt
@@ -1,4 +1,4 @@
-package linemast.state
+package linemast.store
 
 import linemast.settings.StateLimits
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/linemast/state/TokenBucketTest.kt
+++ b/src/test/kotlin/linemast/store/TokenBucketTest.kt
@@ -1,4 +1,4 @@
-package linemast.state
+package linemast.store
 
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/linemast/wire/EventLoopTest.kt
+++ b/src/test/kotlin/linemast/transport/EventLoopTest.kt
@@ -1,4 +1,4 @@
-package linemast.wire
+package linemast.transport
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.cancelChildren
--- a/src/test/kotlin/linemast/wire/HttpServerTest.kt
+++ b/src/test/kotlin/linemast/transport/HttpServerTest.kt
@@ -1,10 +1,11 @@
-package linemast.wire
+package linemast.transport
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.Dispatchers
 import kotlinx.coroutines.cancelChildren
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withContext
+import linemast.serialization.MalformedException
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.Timeout
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -1,19 +1,20 @@
 package linemast.upgrade
 
-import linemast.cloud.MachineType
+import linemast.domain.JobProgress
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.domain.OpenRecord
+import linemast.domain.Verdict
+import linemast.domain.VerdictRecord
 import linemast.jobs.JobCodec
 import linemast.jobs.JobKeys
-import linemast.jobs.OpenRecord
-import linemast.jobs.Progress
-import linemast.jobs.Verdict
-import linemast.jobs.VerdictRecord
+import linemast.jobs.JobRecordCodec
 import linemast.peers.PeerFrame
-import linemast.state.Item
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.store.Item
 import linemast.testSpec
-import linemast.wire.Cbor
-import linemast.wire.Fields
 import linemast.workers.FleetRecord
-import linemast.workers.Machine
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -40,14 +41,14 @@
 
     @Test
     fun `records of jobs are read and rewritten without a loss`() {
-        val record = OpenRecord.read(stored(oldOpen))
-        assertEquals(oldOpen, stored(record.toMap()).map)
-        assertEquals(oldOpen + ("withdrawn" to true), stored(record.with(cancelled = true).within(types).toMap()).map)
+        val record = JobRecordCodec.decodeJob(stored(oldOpen))
+        assertEquals(oldOpen, stored(JobRecordCodec.encode(record)).map)
+        assertEquals(oldOpen + ("withdrawn" to true), stored(JobRecordCodec.encode(record.with(cancelled = true).within(types))).map)
         assertEquals(emptyList<String>(), record.spec.dependencies)
         assertNull(record.releasedWallMicros)
         for (verdict in listOf("open", "done", "withdrawn")) {
             val old = mapOf("verdict" to verdict, "pieces" to 16L)
-            assertEquals(old, stored(VerdictRecord.read(stored(old)).toMap()).map)
+            assertEquals(old, stored(JobRecordCodec.encode(JobRecordCodec.decodeOutcome(stored(old)))).map)
         }
     }
 
@@ -55,14 +56,14 @@
     @Test
     fun `what is written now passes the readers of the version before`() {
         val waiting = OpenRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, opened = false, cancelled = false)
-        val released = stored(waiting.released(9).toMap())
+        val released = stored(JobRecordCodec.encode(waiting.released(9)))
         assertTrue(released.child("job").map.keys.containsAll(oldJob.keys - setOf("builds", "due_s")))
         assertFalse(released.child("job").has("awaits"), "a job that may start awaits nothing: nothing is lost when it is rewritten")
         assertEquals(listOf(5L, true, false), listOf(released.long("at_us"), released.flag("opened"), released.flag("withdrawn")))
         JobCodec.decode(released.child("job"))
-        val rewritten = OpenRecord.read(stored(released.map - "from_us"))
+        val rewritten = JobRecordCodec.decodeJob(stored(released.map - "from_us"))
         assertEquals(rewritten.acceptedWallMicros, rewritten.releasedWallMicros ?: 5L)
-        val verdict = stored(VerdictRecord(Verdict.OPEN, 3, listOf("req-1")).toMap())
+        val verdict = stored(JobRecordCodec.encode(VerdictRecord(Verdict.OPEN, 3, listOf("req-1"))))
         assertEquals("open" to 3L, verdict.text("verdict") to verdict.long("pieces"))
     }
 
@@ -75,15 +76,15 @@
             "opened" to false,
             "withdrawn" to false,
         )
-        val record = OpenRecord.read(stored(waiting))
+        val record = JobRecordCodec.decodeJob(stored(waiting))
         assertEquals(listOf("req-000398", "req-000405"), record.spec.dependencies)
-        assertEquals(waiting, stored(record.toMap()).map)
+        assertEquals(waiting, stored(JobRecordCodec.encode(record)).map)
         val released = oldOpen + ("from_us" to 1_700_000_050_000_000L)
-        assertEquals(released, stored(record.released(1_700_000_050_000_000L).toMap()).map, "what a release puts in place of it")
-        assertEquals(released, stored(OpenRecord.read(stored(released)).toMap()).map)
-        assertEquals(released + ("withdrawn" to true), stored(OpenRecord.read(stored(released)).with(cancelled = true).toMap()).map)
+        assertEquals(released, stored(JobRecordCodec.encode(record.released(1_700_000_050_000_000L))).map, "what a release puts in place of it")
+        assertEquals(released, stored(JobRecordCodec.encode(JobRecordCodec.decodeJob(stored(released)))).map)
+        assertEquals(released + ("withdrawn" to true), stored(JobRecordCodec.encode(JobRecordCodec.decodeJob(stored(released)).with(cancelled = true))).map)
         val verdict = mapOf("verdict" to "open", "pieces" to 16L, "awaits" to listOf("req-000398", "req-000405"))
-        assertEquals(verdict, stored(VerdictRecord.read(stored(verdict)).toMap()).map)
+        assertEquals(verdict, stored(JobRecordCodec.encode(JobRecordCodec.decodeOutcome(stored(verdict)))).map)
         assertEquals(
             listOf("j/req-1", "o/req-1", "w/req-1", "d/req-1/0"),
             listOf(JobKeys.verdict("req-1"), JobKeys.open("req-1"), JobKeys.waiting("req-1"), JobKeys.donePart("req-1", 0)),
@@ -112,7 +113,7 @@
     /** It refuses frames of another version, and bytes behind the last job. */
     @Test
     fun `frames between controllers are the same to the byte`() {
-        val frame = PeerFrame("mast-1", 7, leads = true, storeWorks = true, workersAsk = false, mapOf("req-1" to Progress(2, 3)))
+        val frame = PeerFrame("mast-1", 7, leads = true, storeWorks = true, workersAsk = false, mapOf("req-1" to JobProgress(2, 3)))
         val bytes = "0100066d6173742d3100000000000000070300010005" + "7265712d310000000200000003"
         assertEquals(bytes, frame.encode().readByteString().hex())
         val read = PeerFrame.decode(Buffer().write(bytes.decodeHex()))
--- a/src/test/kotlin/linemast/workers/FleetRecordTest.kt
+++ b/src/test/kotlin/linemast/workers/FleetRecordTest.kt
@@ -1,9 +1,10 @@
 package linemast.workers
 
-import linemast.cloud.MachineType
-import linemast.state.Item
-import linemast.wire.Cbor
-import linemast.wire.Fields
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.store.Item
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
