--- a/src/main/kotlin/linemast/admission/AdmissionCodec.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionCodec.kt
@@ -32,11 +32,11 @@
         arcs = fields.children("flows").associate { flow(it) to arc(it) },
     )
 
-    private fun arc(fields: Fields): AdmissionArc {
-        val arc = AdmissionArc(fields.long("head"), fields.long("width"), fields.long("pace"))
-        if (arc.head !in 0 until IdCircle.SIZE) fields.fail("head", "is not a point of the circle")
-        if (arc.width !in 0..IdCircle.SIZE) fields.fail("width", "is not an arc of the circle")
-        if (arc.pace !in 1..IdCircle.SIZE) fields.fail("pace", "must be at least 1")
+    private fun arc(fields: Fields): HashRange {
+        val arc = HashRange(fields.long("head"), fields.long("width"), fields.long("pace"))
+        if (arc.head !in 0 until HashRing.SIZE) fields.fail("head", "is not a point of the circle")
+        if (arc.width !in 0..HashRing.SIZE) fields.fail("width", "is not an arc of the circle")
+        if (arc.pace !in 1..HashRing.SIZE) fields.fail("pace", "must be at least 1")
         return arc
     }
 
--- a/src/main/kotlin/linemast/admission/AdmissionGate.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionController.kt
@@ -5,7 +5,7 @@
 import linemast.time.SECOND_MICROS
 
 /** Admits or puts off new submissions at one controller, by the plan in force. */
-class AdmissionGate(private val flows: FlowClassifier, private val clock: Clock) {
+class AdmissionController(private val flows: FlowClassifier, private val clock: Clock) {
     private val meter = DemandMeter()
     private var seenMicros = 0L
 
--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -7,9 +7,9 @@
 import linemast.serialization.Fields
 import linemast.settings.AdmissionSettings
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.WatchResult
 import linemast.store.Write
 import linemast.store.attempt
@@ -18,8 +18,8 @@
 
 /** Keeps one controller's gate up to date, and tells the leader what the flows ask for here. Every controller runs it. */
 internal class AdmissionFollower(
-    private val store: Store,
-    private val gate: AdmissionGate,
+    private val store: KeyValueStore,
+    private val gate: AdmissionController,
     private val settings: AdmissionSettings,
     private val nodeName: String,
     private val maxValueBytes: Int,
@@ -55,7 +55,7 @@
 
     private suspend fun readPlan(): Long {
         val page = store.list(AdmissionCodec.PLAN_KEY, null)
-        page.items.firstOrNull()?.let { take(it.value) }
+        page.entries.firstOrNull()?.let { take(it.value) }
         return page.revision
     }
 
@@ -87,10 +87,14 @@
 
     /** Depends on the version of the report before, so that a late write cannot undo a newer one. */
     private suspend fun put(value: Map<String, Any?>) {
-        val result = store.commit(listOf(Condition(demandKey, demandVersion)), listOf(Write.Put(demandKey, value)), Priority.VITAL)
+        val result = store.commit(
+            listOf(Precondition(demandKey, demandVersion)),
+            listOf(Write.Put(demandKey, value)),
+            RequestPriority.CRITICAL,
+        )
         demandVersion = when (result) {
             is CommitResult.Applied -> result.revision
-            else -> store.get(demandKey)?.version ?: 0L
+            else -> store.get(demandKey)?.revision ?: 0L
         }
     }
 
--- a/src/main/kotlin/linemast/admission/AdmissionPlan.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionPlan.kt
@@ -20,19 +20,19 @@
     val epoch: Long,
     /** The term that made it. */
     val fencingToken: Long,
-    val arcs: Map<Flow, AdmissionArc>,
+    val arcs: Map<Flow, HashRange>,
 ) {
     /** What to do with the submission of [id] in [flow]. */
     fun decide(flow: Flow, id: String): Decision {
         val arc = arcs[flow] ?: return Decision.Admitted
-        val point = IdCircle.pointOf(id)
+        val point = HashRing.pointOf(id)
         if (arc.contains(point)) return Decision.Admitted
-        return Decision.Later(arc.secondsUntil(point).coerceIn(1, MOST_RETRY_SECONDS).toInt())
+        return Decision.Later(arc.secondsUntil(point).coerceIn(1, MAX_RETRY_SECONDS).toInt())
     }
 
     companion object {
         /** Users wait for no longer, whatever they are told. */
-        private const val MOST_RETRY_SECONDS = 30L
+        private const val MAX_RETRY_SECONDS = 30L
 
         /** Everything is admitted. */
         val UNLIMITED = AdmissionPlan(0, 0, emptyMap())
--- a/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
@@ -15,14 +15,14 @@
 
     /** The arcs of the next plan, [elapsedMicros] after the one with [arcs]. */
     fun next(
-        arcs: Map<Flow, AdmissionArc>,
+        arcs: Map<Flow, HashRange>,
         demands: Map<Flow, FlowDemand>,
         openJobs: Map<Flow, Int>,
         elapsedMicros: Long,
-    ): Map<Flow, AdmissionArc> {
+    ): Map<Flow, HashRange> {
         val wanted = demands.mapValues { (_, demand) -> demand.offered + demand.waiting / WORK_OFF_SECONDS }
         val allowed = allowedRates(wanted, openJobs)
-        val next = LinkedHashMap<Flow, AdmissionArc>()
+        val next = LinkedHashMap<Flow, HashRange>()
         for ((flow, demand) in demands) {
             val rate = allowed.getValue(flow)
             val arc = arcs[flow]
@@ -36,36 +36,36 @@
     }
 
     private fun allowedRates(wanted: Map<Flow, Double>, openJobs: Map<Flow, Int>): Map<Flow, Double> {
-        val byIntake = FairShares.divideAmongFlows(capacity, wanted)
+        val byIntake = MaxMinFairShare.divideAmongFlows(capacity, wanted)
         val flows = wanted.keys + openJobs.keys
         val backlog = flows.associateWith { (openJobs[it] ?: 0) + (wanted[it] ?: 0.0) * WORK_OFF_SECONDS }
-        val fairBacklog = FairShares.divideAmongFlows(settings.mostOpenJobs.toDouble(), backlog)
+        val fairBacklog = MaxMinFairShare.divideAmongFlows(settings.maxOpenJobs.toDouble(), backlog)
         return wanted.keys.associateWith { flow ->
             val room = fairBacklog.getValue(flow) - (openJobs[flow] ?: 0)
-            maxOf(LEAST_RATE, minOf(byIntake.getValue(flow), room / WORK_OFF_SECONDS))
+            maxOf(MIN_RATE, minOf(byIntake.getValue(flow), room / WORK_OFF_SECONDS))
         }
     }
 
     /** Null if the flow need not be limited after all. */
-    private fun arc(flow: Flow, demand: FlowDemand, rate: Double, arc: AdmissionArc?, elapsedMicros: Long): AdmissionArc? {
+    private fun arc(flow: Flow, demand: FlowDemand, rate: Double, arc: HashRange?, elapsedMicros: Long): HashRange? {
         val dwellSeconds = settings.dwellMicros / 1e6
         // What comes anew meets an arc that is as wide as the head moves in the dwell time; what waits is met by the head.
         val met = demand.offered * dwellSeconds + demand.waiting
-        val share = rate / maxOf(met, LEAST_RATE) * correction(flow, demand, rate, arc)
+        val share = rate / maxOf(met, MIN_RATE) * correction(flow, demand, rate, arc)
         if (share * dwellSeconds >= 1.0) return null
-        val pace = (share * IdCircle.SIZE).toLong().coerceAtLeast(1)
+        val pace = (share * HashRing.SIZE).toLong().coerceAtLeast(1)
         val head = arc?.after(elapsedMicros)?.head ?: 0L
-        return AdmissionArc(head, width = pace * settings.dwellMicros / SECOND_MICROS, pace = pace)
+        return HashRange(head, width = pace * settings.dwellMicros / SECOND_MICROS, pace = pace)
     }
 
-    private fun correction(flow: Flow, demand: FlowDemand, rate: Double, arc: AdmissionArc?): Double {
+    private fun correction(flow: Flow, demand: FlowDemand, rate: Double, arc: HashRange?): Double {
         val last = corrections[flow] ?: 1.0
         val next = when {
             arc == null -> 1.0
             demand.accepted > rate * CLEARLY_MORE -> last / CORRECTION_STEP
             demand.accepted < rate / CLEARLY_MORE -> last * CORRECTION_STEP
             else -> last
-        }.coerceIn(1 / MOST_CORRECTION, MOST_CORRECTION)
+        }.coerceIn(1 / MAX_CORRECTION, MAX_CORRECTION)
         corrections[flow] = next
         return next
     }
@@ -75,10 +75,10 @@
         const val WORK_OFF_SECONDS = 30.0
 
         /** However much others ask for: each flow moves on, so that nothing waits for ever. */
-        const val LEAST_RATE = 0.2
+        const val MIN_RATE = 0.2
         const val RELEASE_SHARE = 0.8
         const val CLEARLY_MORE = 1.2
         const val CORRECTION_STEP = 1.25
-        const val MOST_CORRECTION = 4.0
+        const val MAX_CORRECTION = 4.0
     }
 }
--- a/src/main/kotlin/linemast/admission/DemandMeter.kt
+++ b/src/main/kotlin/linemast/admission/DemandMeter.kt
@@ -50,7 +50,7 @@
         val ids = seen.values.iterator()
         while (ids.hasNext()) {
             val first = ids.next()
-            if (seen.size <= MOST_IDS && first.firstMicros > nowMicros - PATIENCE_MICROS) return
+            if (seen.size <= MAX_IDS && first.firstMicros > nowMicros - PATIENCE_MICROS) return
             ids.remove()
         }
     }
@@ -62,6 +62,6 @@
 
         /** Users ask for so long at most. */
         const val PATIENCE_MICROS = 60_000_000L
-        const val MOST_IDS = 20_000
+        const val MAX_IDS = 20_000
     }
 }
--- a/src/main/kotlin/linemast/admission/DemandBoard.kt
+++ b/src/main/kotlin/linemast/admission/DemandTable.kt
@@ -1,23 +1,23 @@
 package linemast.admission
 
 import linemast.serialization.MalformedException
-import linemast.store.Item
+import linemast.store.Entry
 import org.slf4j.LoggerFactory
 
 /** The demand reports of all controllers, as the leader has read them; a report that is not renewed is of no account. */
-internal class DemandBoard(private val validMicros: Long) {
-    private class Entry(val version: Long, val sinceMicros: Long, val report: DemandReport)
+internal class DemandTable(private val validMicros: Long) {
+    private class Row(val revision: Long, val sinceMicros: Long, val report: DemandReport)
 
-    private val logger = LoggerFactory.getLogger(DemandBoard::class.java)
-    private val entries = HashMap<String, Entry>()
+    private val logger = LoggerFactory.getLogger(DemandTable::class.java)
+    private val rows = HashMap<String, Row>()
 
     /** Takes the reports as the store holds them at [nowMicros]. */
-    fun take(items: List<Item>, nowMicros: Long) {
-        entries.keys.retainAll(items.mapTo(HashSet()) { it.key })
+    fun take(items: List<Entry>, nowMicros: Long) {
+        rows.keys.retainAll(items.mapTo(HashSet()) { it.key })
         for (item in items) {
-            if (entries[item.key]?.version == item.version) continue
+            if (rows[item.key]?.revision == item.revision) continue
             try {
-                entries[item.key] = Entry(item.version, nowMicros, AdmissionCodec.decodeDemand(item.value))
+                rows[item.key] = Row(item.revision, nowMicros, AdmissionCodec.decodeDemand(item.value))
             } catch (e: MalformedException) {
                 logger.error("{}: malformed demand report: {}", item.key, e.message)
             }
@@ -25,7 +25,7 @@
     }
 
     /** The sums of all valid reports. */
-    fun demands(nowMicros: Long): Map<Flow, FlowDemand> = entries.values
+    fun demands(nowMicros: Long): Map<Flow, FlowDemand> = rows.values
         .filter { nowMicros - it.sinceMicros < validMicros }
         .flatMap { it.report.demands.entries }
         .groupBy({ it.key }, { it.value })
--- a/src/main/kotlin/linemast/admission/StartTurns.kt
+++ b/src/main/kotlin/linemast/admission/FlowRoundRobin.kt
@@ -8,7 +8,7 @@
  * The flows take turns, the one that was served longest ago first, with a few jobs each: however many jobs a team submits,
  * what waits of the others begins after a few of each flow.
  */
-class StartTurns(private val flows: FlowClassifier) {
+class FlowRoundRobin(private val flows: FlowClassifier) {
     private val lastTurns = HashMap<Flow, Long>()
     private var turns = 0L
 
--- a/src/main/kotlin/linemast/admission/IdCircle.kt
+++ b/src/main/kotlin/linemast/admission/HashRing.kt
@@ -8,7 +8,7 @@
  * A limited flow admits the ids in an arc of the circle whose head moves on: each id gets its turn once in a round,
  * and how far away that is can be told from the point alone.
  */
-object IdCircle {
+object HashRing {
     /** Points of the circle. */
     const val SIZE = 1L shl 32
 
@@ -23,13 +23,13 @@
 }
 
 /** The ids that a limited flow admits: those from [width] behind the [head] up to it; the head moves on by [pace] each second. */
-data class AdmissionArc(val head: Long, val width: Long, val pace: Long) {
+data class HashRange(val head: Long, val width: Long, val pace: Long) {
     /** Whether [point] lies in the arc. */
-    fun contains(point: Long): Boolean = IdCircle.distance(point, head) <= width
+    fun contains(point: Long): Boolean = HashRing.distance(point, head) <= width
 
     /** Whole seconds until the head reaches [point]. */
-    fun secondsUntil(point: Long): Long = (IdCircle.distance(head, point) + pace - 1) / pace
+    fun secondsUntil(point: Long): Long = (HashRing.distance(head, point) + pace - 1) / pace
 
     /** The arc [micros] later. */
-    fun after(micros: Long): AdmissionArc = copy(head = IdCircle.ahead(head, (pace * (micros / 1e6)).toLong().coerceAtMost(IdCircle.SIZE)))
+    fun after(micros: Long): HashRange = copy(head = HashRing.ahead(head, (pace * (micros / 1e6)).toLong().coerceAtMost(HashRing.SIZE)))
 }
--- a/src/main/kotlin/linemast/admission/FairShares.kt
+++ b/src/main/kotlin/linemast/admission/MaxMinFairShare.kt
@@ -1,7 +1,7 @@
 package linemast.admission
 
 /** Max-min fair sharing: nobody gets more than asked for, and what one leaves is shared by the others. */
-object FairShares {
+object MaxMinFairShare {
     /** Parts of [capacity] for those that ask for [demands]. */
     fun <K : Comparable<K>> divide(capacity: Double, demands: Map<K, Double>): Map<K, Double> {
         val shares = LinkedHashMap<K, Double>()
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -7,7 +7,7 @@
 import linemast.settings.Features
 import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.store.StoreClient
+import linemast.store.KeyValueStoreClient
 import linemast.time.SteadyClock
 import linemast.transport.EventLoop
 import linemast.transport.HttpRequest
@@ -22,7 +22,7 @@
     /** Serves until it is cancelled. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
-        val store = StoreClient(loop, settings.state, settings.stateLimits, settings.controllers, clock)
+        val store = KeyValueStoreClient(loop, settings.state, settings.stateLimits, settings.controllers, clock)
         val node = Node(
             settings = settings,
             policy = policy,
@@ -31,7 +31,7 @@
             clock = clock,
             wallMicros = { System.currentTimeMillis() * 1_000 },
             scope = this,
-            onLead = store::share,
+            onLeadershipChange = store::share,
             features = features,
         )
         var handler: suspend (HttpRequest) -> HttpResponse = node::route
--- a/src/main/kotlin/linemast/app/InspectionCommand.kt
+++ b/src/main/kotlin/linemast/app/InspectionCommand.kt
@@ -5,7 +5,7 @@
 import linemast.serialization.MalformedException
 import linemast.settings.DutySettings
 import linemast.settings.Settings
-import linemast.store.StoreClient
+import linemast.store.KeyValueStoreClient
 import linemast.store.StoreException
 import linemast.time.SteadyClock
 import linemast.transport.EventLoop
@@ -21,7 +21,7 @@
         val loop = EventLoop()
         try {
             loop.run {
-                val store = StoreClient(loop, settings.state, settings.stateLimits, settings.controllers, SteadyClock)
+                val store = KeyValueStoreClient(loop, settings.state, settings.stateLimits, settings.controllers, SteadyClock)
                 report = DutyInspection(store, duties) { System.currentTimeMillis() * MICROS_PER_MILLI }.report()
             }
             val found = checkNotNull(report)
--- a/src/main/kotlin/linemast/app/Metrics.kt
+++ b/src/main/kotlin/linemast/app/Metrics.kt
@@ -27,7 +27,7 @@
     fun turn(micros: Long) = record("turn", micros)
 
     private fun record(kind: String, micros: Long) {
-        latencies.getOrPut(kind) { Histogram(MOST_MICROS, 2) }.recordValue(micros.coerceIn(0, MOST_MICROS))
+        latencies.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
     }
 
     private fun kind(request: HttpRequest): String = when {
@@ -70,6 +70,6 @@
         const val P90 = 90.0
         const val P99 = 99.0
         const val PERIOD_MILLIS = 60_000L
-        const val MOST_MICROS = 60 * SECOND_MICROS
+        const val MAX_MICROS = 60 * SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -6,8 +6,8 @@
 import kotlinx.coroutines.cancel
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import linemast.admission.AdmissionController
 import linemast.admission.AdmissionFollower
-import linemast.admission.AdmissionGate
 import linemast.admission.AdmissionPlan
 import linemast.admission.FlowClassifier
 import linemast.cloud.Cloud
@@ -16,9 +16,9 @@
 import linemast.control.Leader
 import linemast.domain.MachineType
 import linemast.jobs.JobService
-import linemast.leadership.Authority
 import linemast.leadership.Election
 import linemast.leadership.LeaderKeys
+import linemast.leadership.LeaderLease
 import linemast.leadership.LeaderView
 import linemast.peers.PeerFrame
 import linemast.peers.PeerView
@@ -28,44 +28,44 @@
 import linemast.settings.Policy
 import linemast.settings.Settings
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Store
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
 import linemast.store.StoreException
-import linemast.store.StoreProbe
+import linemast.store.StoreHealthProbe
 import linemast.store.Write
 import linemast.time.Clock
 import linemast.transport.HttpRequest
 import linemast.transport.HttpResponse
 import linemast.transport.HttpStatus
-import linemast.workers.ReportCodec
+import linemast.workers.HeartbeatCodec
 import org.slf4j.LoggerFactory
 
 /** A controller without its sockets: requests come through [route], frames of peers through [heard]. */
 class Node(
     private val settings: Settings,
     private val policy: Policy,
-    private val store: Store,
+    private val store: KeyValueStore,
     private val cloud: Cloud,
     private val clock: Clock,
     private val wallMicros: () -> Long,
     private val scope: CoroutineScope,
     /** Told when this controller begins to lead and when it ends. */
-    private val onLead: (Boolean) -> Unit = {},
+    private val onLeadershipChange: (Boolean) -> Unit = {},
     private val features: Features = Features(),
 ) {
     private val log = LoggerFactory.getLogger(Node::class.java)
     private val view = LeaderView()
     private val peers = PeerView(clock)
-    private val graceMicros = Authority.graceMicros(settings.workers.leaseMicros, settings.workers.cancelMicros)
-    private val probe = StoreProbe(store, clock)
+    private val degradedModeMicros = LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros)
+    private val healthProbe = StoreHealthProbe(store, clock)
     private var types: List<MachineType>? = null
     private var leader: Leader? = null
     private var leaderScope: CoroutineScope? = null
 
     /** When a worker last reported here. */
-    private var reportedMicros = Long.MIN_VALUE / 2
+    private var lastHeartbeatMicros = Long.MIN_VALUE / 2
     private val flows = FlowClassifier(settings.objectives)
-    private val admissionGate = features.admission?.let { AdmissionGate(flows, clock) }
+    private val admissionGate = features.admission?.let { AdmissionController(flows, clock) }
     private val jobService = JobService(
         store = store,
         scope = scope,
@@ -73,7 +73,7 @@
         types = { types },
         progress = { id -> leader?.progressOf(id) ?: peers.progressOf(id) },
         wallMicros = wallMicros,
-        mostValueBytes = settings.stateLimits.mostValueBytes,
+        maxValueBytes = settings.stateLimits.maxValueBytes,
         clock = clock,
         cancelMicros = settings.workers.cancelMicros,
         admission = admissionGate,
@@ -85,13 +85,13 @@
     /** Starts the long-lived duties in the node's scope. */
     fun start() {
         scope.launch { learnTypes() }
-        scope.launch { probe.run(LeaderKeys.FENCING_TOKEN) }
+        scope.launch { healthProbe.run(LeaderKeys.FENCING_TOKEN) }
         val election = Election(
             store,
             clock,
             settings.nodeName,
             policy.leaderLeaseMicros,
-            graceMicros,
+            degradedModeMicros,
             view,
             onElected = ::startLeader,
             onLost = ::stopLeader,
@@ -104,22 +104,22 @@
         val admission = features.admission ?: return
         val gate = admissionGate ?: return
         val quietRate = admission.capacity(settings.stateLimits) / (settings.controllers * QUIET_PARTS)
-        AdmissionFollower(store, gate, admission, settings.nodeName, settings.stateLimits.mostValueBytes, quietRate).start(scope)
+        AdmissionFollower(store, gate, admission, settings.nodeName, settings.stateLimits.maxValueBytes, quietRate).start(scope)
     }
 
-    private fun startLeader(authority: Authority) {
+    private fun startLeader(leaderLease: LeaderLease) {
         val leaderScope = CoroutineScope(scope.coroutineContext + SupervisorJob(scope.coroutineContext[Job]))
         val next = Leader(
-            settings, policy, store, cloud, clock, authority, graceMicros, leaderScope, wallMicros, peers, { types }, features,
+            settings, policy, store, cloud, clock, leaderLease, degradedModeMicros, leaderScope, wallMicros, peers, { types }, features,
         )
         this.leaderScope = leaderScope
         leader = next
         leaderScope.launch { next.run() }
-        onLead(true)
+        onLeadershipChange(true)
     }
 
     private fun stopLeader() {
-        onLead(false)
+        onLeadershipChange(false)
         leader = null
         leaderScope?.cancel()
         leaderScope = null
@@ -128,12 +128,12 @@
     /** What this controller tells the others now. */
     fun frame(): PeerFrame {
         val leading = leader
-        val workersAsk = clock.nowMicros() - reportedMicros < WORKERS_ASK_MICROS
+        val workersAsk = clock.nowMicros() - lastHeartbeatMicros < WORKERS_ASK_MICROS
         return PeerFrame(
             settings.nodeName,
             view.highestFencingToken,
             leading != null,
-            probe.works,
+            healthProbe.works,
             workersAsk,
             leading?.progress() ?: emptyMap(),
         )
@@ -141,8 +141,8 @@
 
     /** Takes a frame of another controller. */
     fun heard(frame: PeerFrame) {
-        view.heardOf(frame.fencingToken)
-        if (frame.leads && frame.fencingToken >= view.highestFencingToken && view.own == null) view.leaderName = frame.node
+        view.observeFencingToken(frame.fencingToken)
+        if (frame.isLeader && frame.fencingToken >= view.highestFencingToken && view.own == null) view.leaderName = frame.node
         peers.heard(frame)
         leader?.peerKnows(frame.node, frame.fencingToken)
     }
@@ -150,7 +150,7 @@
     /** Answers a request of a user, a worker or the load balancer. */
     suspend fun route(request: HttpRequest): HttpResponse = when (request.path) {
         "/healthz" -> if (request.method == "GET") health() else HttpResponse(HttpStatus.NOT_FOUND)
-        "/agent/beat" -> if (request.method == "POST") report(request) else HttpResponse(HttpStatus.NOT_FOUND)
+        "/agent/beat" -> if (request.method == "POST") heartbeat(request) else HttpResponse(HttpStatus.NOT_FOUND)
         else -> jobService.handle(request) ?: HttpResponse(HttpStatus.NOT_FOUND)
     }
 
@@ -161,14 +161,14 @@
      * controller: in an outage for all, being taken out would only delay the return.
      */
     private fun isHealthy(): Boolean =
-        types != null && (probe.failingFor(clock.nowMicros()) < UNHEALTHY_MICROS || !peers.storeWorksElsewhere)
-
-    private suspend fun report(request: HttpRequest): HttpResponse {
-        val report = ReportCodec.decode(Cbor.decodeMap(request.body))
-        reportedMicros = clock.nowMicros()
-        view.heardOf(report.fencingToken)
-        val answer = leader?.answer(report) ?: return elsewhere()
-        val body = ReportCodec.encodeAnswer(answer.fencingToken, answer.commands)
+        types != null && (healthProbe.failingFor(clock.nowMicros()) < UNHEALTHY_MICROS || !peers.storeWorksElsewhere)
+
+    private suspend fun heartbeat(request: HttpRequest): HttpResponse {
+        val heartbeat = HeartbeatCodec.decode(Cbor.decodeMap(request.body))
+        lastHeartbeatMicros = clock.nowMicros()
+        view.observeFencingToken(heartbeat.fencingToken)
+        val answer = leader?.answer(heartbeat) ?: return elsewhere()
+        val body = HeartbeatCodec.encodeAnswer(answer.fencingToken, answer.commands)
         return HttpResponse(HttpStatus.OK, Cbor.encode(body), stillValid = { answer.isValid(clock.nowMicros()) })
     }
 
@@ -177,7 +177,7 @@
         return if (leader == null || leader == settings.nodeName) {
             HttpResponse(HttpStatus.MISDIRECTED_REQUEST)
         } else {
-            HttpResponse(HttpStatus.MISDIRECTED_REQUEST, Cbor.encode(ReportCodec.encodeRedirect(leader)))
+            HttpResponse(HttpStatus.MISDIRECTED_REQUEST, Cbor.encode(HeartbeatCodec.encodeRedirect(leader)))
         }
     }
 
@@ -203,7 +203,7 @@
     private suspend fun firstTypes(): List<MachineType>? {
         val fresh = cloud.types()
         val record = Write.Put(MachineTypeCodec.KEY, MachineTypeCodec.encode(fresh))
-        val result = store.commit(listOf(Condition(MachineTypeCodec.KEY, 0L)), listOf(record))
+        val result = store.commit(listOf(Precondition(MachineTypeCodec.KEY, 0L)), listOf(record))
         return if (result is CommitResult.Applied) fresh else null
     }
 
--- a/src/main/kotlin/linemast/autoscaling/Provisioner.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -1,8 +1,8 @@
 package linemast.autoscaling
 
 import linemast.cloud.Fleet
-import linemast.cloud.RentRequest
-import linemast.cloud.ReturnReason
+import linemast.cloud.ScaleInReason
+import linemast.cloud.ScaleOutRequest
 import linemast.domain.Job
 import linemast.domain.Machine
 import linemast.domain.MachineShape
@@ -10,23 +10,23 @@
 import linemast.planning.Planner
 import linemast.planning.WaitingStage
 import linemast.scheduling.Cluster
-import linemast.scheduling.JobOrder
+import linemast.scheduling.JobRanking
 import linemast.settings.Policy
 import org.slf4j.LoggerFactory
 
 /** What the planning wants from the cloud now. */
-class CloudActions(val rentals: List<RentRequest>, val returns: Map<String, ReturnReason>)
+class ScalingActions(val rentals: List<ScaleOutRequest>, val returns: Map<String, ScaleInReason>)
 
 /**
  * Runs the plan: whole plans each long interval and for each new job at once, backups each short interval.
  */
-class Provisioner(private val cluster: Cluster, private val fleet: Fleet, private val planner: Planner, private val policy: Policy) {
-    private val log = LoggerFactory.getLogger(Provisioner::class.java)
+class Autoscaler(private val cluster: Cluster, private val fleet: Fleet, private val planner: Planner, private val policy: Policy) {
+    private val log = LoggerFactory.getLogger(Autoscaler::class.java)
     private var plannedMicros = Long.MIN_VALUE
     private var adjustedMicros = Long.MIN_VALUE
     private var freshMicros = Long.MIN_VALUE
     private val known = HashSet<String>()
-    private val demand = Demand()
+    private val demand = DemandMonitor()
 
     /** Jobs that were planned before they may start. */
     private var plannedAhead: List<WaitingStage> = emptyList()
@@ -36,16 +36,16 @@
     var freshPlan = false
 
     /** Plans if that is due, and says what to rent and return now. */
-    fun step(wallMicros: Long, nowMicros: Long): CloudActions {
-        if (fleet.standing == null) return NOTHING
-        if (!cluster.settled) return CloudActions(emptyList(), absentAtTakeOver(nowMicros))
+    fun step(wallMicros: Long, nowMicros: Long): ScalingActions {
+        if (fleet.baselineMachines == null) return NOTHING
+        if (!cluster.isReconciled) return ScalingActions(emptyList(), absentAtTakeOver(nowMicros))
         demand.watch(nowMicros)
         val arrived = cluster.jobs.values.count { it.id !in known && !it.cancelled && !it.finished }
         // New jobs are planned at once, but together: each plan takes stock of the whole fleet.
         val fresh = isDue(freshMicros, FRESH_MICROS, nowMicros) && (arrived > 0 || hasNewOrChangedStages())
         val whole = isDue(plannedMicros, policy.longIntervalMicros, nowMicros)
         if (!fresh && !whole && !isDue(adjustedMicros, policy.shortIntervalMicros, nowMicros)) return NOTHING
-        val jobs = JobOrder.sorted(cluster.jobs.values, cluster.usage, planner, wallMicros).map { it.job }
+        val jobs = JobRanking.sorted(cluster.jobs.values, cluster.quota, planner, wallMicros).map { it.job }
         if (fresh || whole) {
             repeat(arrived) { demand.arrived(nowMicros) }
             freshMicros = nowMicros
@@ -67,14 +67,14 @@
      * over. Owned ones are too hard to get back, and a zone may be cut off as a whole: then only those are asked about
      * that the cloud does not list, or lists as failed.
      */
-    private fun absentAtTakeOver(nowMicros: Long): Map<String, ReturnReason> {
+    private fun absentAtTakeOver(nowMicros: Long): Map<String, ScaleInReason> {
         if (!fleet.isListed || !isDue(returnedAbsentMicros, RETURN_AGAIN_MICROS, nowMicros)) return emptyMap()
-        val heard = cluster.takeover.zonesMostlyHeard()
-        val absent = cluster.takeover.absentMachines(nowMicros).filter { fleet.isGone(it.name) || (!it.owned && it.zone in heard) }
+        val heard = cluster.failover.zonesMostlyReporting()
+        val absent = cluster.failover.missingMachines(nowMicros).filter { fleet.isGone(it.name) || (!it.baseline && it.zone in heard) }
         if (absent.isEmpty()) return emptyMap()
         returnedAbsentMicros = nowMicros
         log.info("returning {}: absent at the take-over", absent.map { it.name })
-        return absent.associate { it.name to ReturnReason.ABSENT }
+        return absent.associate { it.name to ScaleInReason.ABSENT }
     }
 
     private var returnedAbsentMicros = Long.MIN_VALUE
@@ -85,16 +85,16 @@
     }
 
     private fun plan(jobs: List<Job>, whole: Boolean, wallMicros: Long, nowMicros: Long) {
-        val owned = cluster.machines.values.filter { it.owned && !it.draining && nowMicros < it.leaseEndMicros }
+        val baseline = cluster.machines.values.filter { it.baseline && !it.draining && nowMicros < it.leaseEndMicros }
         // What waits comes last: it gets what the others leave, and is planned anew when it is released.
         planner.drop(plannedAheadIds)
         plannedAhead = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
         plannedAheadIds = plannedAhead.mapTo(HashSet()) { it.job.id }
-        planner.plan(jobs, owned, whole, ::bootMicros, wallMicros, nowMicros, cluster::isClosedTo, plannedAhead, ::rentPrice)
+        planner.plan(jobs, baseline, whole, ::bootMicros, wallMicros, nowMicros, cluster::isClosedTo, plannedAhead, ::rentPrice)
         known.clear()
         jobs.forEach { known += it.id }
         planner.forget(known + plannedAheadIds)
-        cluster.bookings = { job -> planner.planOf(job)?.ownedSlots(nowMicros)?.let { Math.ceil(it).toInt() } ?: 0 }
+        cluster.bookings = { job -> planner.planOf(job)?.baselineSlots(nowMicros)?.let { Math.ceil(it).toInt() } ?: 0 }
         cluster.dirty = true
         if (!whole) return
         plannedMicros = nowMicros
@@ -104,7 +104,7 @@
             log.debug(
                 "plan of {}: owned {}, rented {} ({} side by side), backup {}, top-up {}",
                 job.id,
-                plan.owned.sum().toInt(),
+                plan.baseline.sum().toInt(),
                 plan.rented.sum().toInt(),
                 plan.rentedSlots,
                 plan.backup,
@@ -113,24 +113,24 @@
         }
     }
 
-    private fun adjustRentals(jobs: List<Job>, nowMicros: Long): CloudActions {
-        val wishes = planner.wishes(jobs, { it.owned }, nowMicros)
+    private fun adjustRentals(jobs: List<Job>, nowMicros: Long): ScalingActions {
+        val wishes = planner.wishes(jobs, { it.baseline }, nowMicros)
         val rentals = fleet.toRent(wishes, cluster.types.values, cluster.machines, ::allowance, cluster::isClosedTo, nowMicros)
         val wanted = wishes.filter { it.slots >= 1.0 }
         val returns = fleet.toReturn(cluster.machines, planned(wanted.map { it.job }, jobs), demand.hasCeased(), nowMicros)
         for ((reason, names) in returns.entries.groupBy({ it.value }, { it.key })) log.info("returning {}: {}", names, reason)
-        return CloudActions(rentals, returns)
+        return ScalingActions(rentals, returns)
     }
 
     /** Tells machines that waiting jobs could still use: rented ones if a plan rents for such a job, owned ones for any. */
     private fun planned(renting: List<Job>, all: List<Job>): (Machine) -> Boolean {
         val useful = HashMap<MachineShape, Boolean>()
-        val usefulOwned = HashMap<MachineShape, Boolean>()
+        val usefulBaseline = HashMap<MachineShape, Boolean>()
         fun hasUse(shape: MachineShape, users: List<Job>) =
             users.any { it.pendingCount > 0 && shape.allows(it.spec) && !cluster.isClosedTo(shape.type, shape.spot, it) }
         return { machine ->
-            if (machine.owned) {
-                usefulOwned.getOrPut(machine.shape) { hasUse(machine.shape, all) }
+            if (machine.baseline) {
+                usefulBaseline.getOrPut(machine.shape) { hasUse(machine.shape, all) }
             } else {
                 useful.getOrPut(machine.shape) { hasUse(machine.shape, renting) }
             }
@@ -139,7 +139,7 @@
 
     /** No more is rented for a job than its team may use at once. */
     private fun allowance(job: Job): Double {
-        val team = cluster.usage.team(job.spec.team) ?: return 0.0
+        val team = cluster.quota.team(job.spec.team) ?: return 0.0
         return if (job.spec.vcpus > 0) team.cpusMax / job.spec.vcpus else job.spec.taskCount.toDouble()
     }
 
@@ -159,6 +159,6 @@
         const val PERCENT = 100
         const val FRESH_MICROS = 1_000_000L
         const val RETURN_AGAIN_MICROS = 3_000_000L
-        val NOTHING = CloudActions(emptyList(), emptyMap())
+        val NOTHING = ScalingActions(emptyList(), emptyMap())
     }
 }
--- a/src/main/kotlin/linemast/autoscaling/Demand.kt
+++ b/src/main/kotlin/linemast/autoscaling/DemandMonitor.kt
@@ -8,7 +8,7 @@
  * latest arrivals, so that a burst long ago does not make an ordinary pause look like the end. Only time in which
  * something could have come counts: in an outage nobody can submit.
  */
-class Demand {
+class DemandMonitor {
     private val latest = ArrayDeque<Long>()
     private var silentMicros = 0L
     private var watchedMicros = Long.MIN_VALUE
@@ -31,14 +31,14 @@
     fun hasCeased(): Boolean {
         if (latest.size < ENOUGH) return false
         val gap = (latest.last() - latest.first()) / (latest.size - 1)
-        return silentMicros > maxOf(GAPS * gap, LEAST_MICROS)
+        return silentMicros > maxOf(GAPS * gap, MIN_MICROS)
     }
 
     private companion object {
         const val REMEMBERED = 16
         const val ENOUGH = 8
         const val GAPS = 10
-        const val LEAST_MICROS = 40_000_000L
+        const val MIN_MICROS = 40_000_000L
         const val INTERRUPTION_MICROS = 1_000_000L
     }
 }
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -6,7 +6,7 @@
 import linemast.serialization.Fields
 import linemast.serialization.MalformedException
 import linemast.settings.CloudLimits
-import linemast.store.Priority
+import linemast.store.RequestPriority
 import linemast.store.TokenBucket
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
@@ -35,18 +35,18 @@
 )
 
 /** A request for [number] machines of one shape. Repeated under the same [requestId] it rents at most once. */
-data class RentRequest(val requestId: String, val machineType: String, val zone: String, val spot: Boolean, val number: Int)
+data class ScaleOutRequest(val requestId: String, val machineType: String, val zone: String, val spot: Boolean, val number: Int)
 
 /** What became of a rental request. */
-sealed interface RentResult {
+sealed interface ScaleOutResult {
     /** Machines were rented, possibly fewer than requested. */
-    class Rented(val names: List<String>) : RentResult
+    class Rented(val names: List<String>) : ScaleOutResult
 
     /** The cloud has none to give now. */
-    data object NoCapacity : RentResult
+    data object NoCapacity : ScaleOutResult
 
     /** Nothing is known: the same request id has to be sent again. */
-    data object Unknown : RentResult
+    data object Unknown : ScaleOutResult
 }
 
 /** A call to the cloud that gave no usable answer. */
@@ -61,10 +61,10 @@
     suspend fun machines(): List<ListedMachine>
 
     /** Rents machines. */
-    suspend fun rent(request: RentRequest): RentResult
+    suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult
 
     /** Returns once the machines are surely gone. */
-    suspend fun giveBack(names: List<String>)
+    suspend fun scaleIn(names: List<String>)
 }
 
 /** The cloud over HTTP, within its limit of calls per second. */
@@ -72,14 +72,16 @@
     private val http = HttpClient(loop, address, MAX_CALLS)
     private val tokens = TokenBucket(limits.rps * USED_SHARE)
 
-    override suspend fun types(): List<MachineType> = read(call("GET", "/machine_types", null, Priority.VITAL)) { MachineTypeCodec.decode(it) }
+    override suspend fun types(): List<MachineType> = read(call("GET", "/machine_types", null, RequestPriority.CRITICAL)) {
+        MachineTypeCodec.decode(it)
+    }
 
     override suspend fun machines(): List<ListedMachine> {
         val all = ArrayList<ListedMachine>()
         var after = ""
         while (true) {
             val path = "/machines?limit=$MACHINES_A_LIST_CALL" + if (after.isEmpty()) "" else "&after=$after"
-            val truncated = read(call("GET", path, null, Priority.ORDINARY)) { page ->
+            val truncated = read(call("GET", path, null, RequestPriority.NORMAL)) { page ->
                 page.children("rigs").mapTo(all, ::machine)
                 page.flagOrNull("truncated") ?: false
             }
@@ -88,7 +90,7 @@
         }
     }
 
-    override suspend fun rent(request: RentRequest): RentResult {
+    override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
         val body = mapOf(
             "charter" to request.requestId,
             "build" to request.machineType,
@@ -97,24 +99,24 @@
             "number" to request.number,
         )
         val reply = try {
-            call("POST", "/machines", Cbor.encode(body), Priority.VITAL)
+            call("POST", "/machines", Cbor.encode(body), RequestPriority.CRITICAL)
         } catch (e: CloudException) {
-            return RentResult.Unknown
+            return ScaleOutResult.Unknown
         }
         return when (reply.status) {
-            HttpStatus.OK -> read(reply) { RentResult.Rented(it.textsOrNull("rigs") ?: emptyList()) }
+            HttpStatus.OK -> read(reply) { ScaleOutResult.Rented(it.textsOrNull("rigs") ?: emptyList()) }
             HttpStatus.SERVICE_UNAVAILABLE -> {
                 val reason = runCatching { reply.fields().textOrNull("error") }.getOrNull()
-                if (reason == "no capacity") RentResult.NoCapacity else RentResult.Unknown
+                if (reason == "no capacity") ScaleOutResult.NoCapacity else ScaleOutResult.Unknown
             }
-            HttpStatus.TOO_MANY_REQUESTS -> RentResult.Unknown
+            HttpStatus.TOO_MANY_REQUESTS -> ScaleOutResult.Unknown
             else -> throw CloudException("the cloud answered ${reply.status} to a rental")
         }
     }
 
-    override suspend fun giveBack(names: List<String>) {
+    override suspend fun scaleIn(names: List<String>) {
         for (part in names.chunked(MACHINES_A_RETURN_CALL)) {
-            val reply = call("POST", "/machines/return", Cbor.encode(mapOf("rigs" to part)), Priority.VITAL)
+            val reply = call("POST", "/machines/return", Cbor.encode(mapOf("rigs" to part)), RequestPriority.CRITICAL)
             if (reply.status != HttpStatus.OK) throw CloudException("the cloud answered ${reply.status} to a return")
         }
     }
@@ -129,7 +131,7 @@
         ageMicros = fields.microsOrNull("age_s") ?: 0L,
     )
 
-    private suspend fun call(method: String, path: String, body: ByteArray?, priority: Priority): HttpReply {
+    private suspend fun call(method: String, path: String, body: ByteArray?, priority: RequestPriority): HttpReply {
         while (!tokens.tryTake(1, priority, clock.nowMicros())) {
             delay(tokens.waitMicros(1, priority, clock.nowMicros()) / 1_000 + 1)
         }
--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -4,7 +4,7 @@
 import linemast.domain.Machine
 import linemast.domain.MachineShape
 import linemast.domain.MachineType
-import linemast.planning.RentalWish
+import linemast.planning.ScaleOutDemand
 import linemast.settings.Policy
 import linemast.settings.Settings
 import org.slf4j.LoggerFactory
@@ -33,17 +33,17 @@
  */
 class Fleet(private val settings: Settings, private val policy: Policy, private val fencingToken: Long) {
     private val log = LoggerFactory.getLogger(Fleet::class.java)
-    private val returnRules = ReturnRules(settings.workers, policy)
+    private val scaleInPolicy = ScaleInPolicy(settings.workers, policy)
     val machines = LinkedHashMap<String, CloudMachine>()
 
     /** Names of the standing fleet; null until they are known. */
-    var standing: Set<String>? = null
+    var baselineMachines: Set<String>? = null
     private val refusals = HashMap<MachineShape, Refusal>()
-    private val pendingRents = LinkedHashMap<String, RentRequest>()
+    private val pendingRents = LinkedHashMap<String, ScaleOutRequest>()
     private var requestCount = 0L
 
     /** Requests under way at once, so that a call is made by what is known when it leaves, not by what was known a queue ago. */
-    private val mostRequests = Math.ceil(settings.cloudLimits.rps).toInt().coerceAtLeast(LEAST_REQUESTS)
+    private val maxRequests = Math.ceil(settings.cloudLimits.rps).toInt().coerceAtLeast(MIN_REQUESTS)
 
     /** Whether wishes are left that a request under way keeps from being asked for. */
     var hasWaitingWishes = false
@@ -74,7 +74,7 @@
     }
 
     /** An earlier leader has asked for [request], and its answer is not known yet. */
-    fun adopt(request: RentRequest) {
+    fun adopt(request: ScaleOutRequest) {
         pendingRents[request.requestId] = request
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** The cloud has granted [names] for [request]. */
-    fun rented(request: RentRequest, names: List<String>, types: Map<String, MachineType>, nowMicros: Long) {
+    fun rented(request: ScaleOutRequest, names: List<String>, types: Map<String, MachineType>, nowMicros: Long) {
         pendingRents.remove(request.requestId)
         val type = types[request.machineType] ?: return
         for (name in names) {
@@ -97,14 +97,14 @@
     }
 
     /** The cloud has no capacity for [request]; its offer is not asked for again for a while. */
-    fun refused(request: RentRequest, types: Map<String, MachineType>, nowMicros: Long) {
+    fun refused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
         pendingRents.remove(request.requestId)
         log.debug("no {} in {}{}", request.machineType, request.zone, kind(request.spot))
         types[request.machineType]?.let { refuse(MachineShape(it, request.zone, request.spot), nowMicros) }
     }
 
     /** The rental may or may not have happened; what it brought will show in the list. */
-    fun gaveUp(request: RentRequest) {
+    fun gaveUp(request: ScaleOutRequest) {
         pendingRents.remove(request.requestId)
     }
 
@@ -126,25 +126,25 @@
 
     /** Rentals that would meet [wishes], given what is there or on its way. */
     fun toRent(
-        wishes: List<RentalWish>,
+        wishes: List<ScaleOutDemand>,
         types: Collection<MachineType>,
         workers: Map<String, Machine>,
         allowance: (Job) -> Double,
         closed: (MachineType, Boolean, Job) -> Boolean,
         nowMicros: Long,
-    ): List<RentRequest> {
+    ): List<ScaleOutRequest> {
         val supply = supply(types, workers, nowMicros)
         val requests = LinkedHashMap<MachineShape, Int>()
         var rentedVcpus = supply.sumOf { it.machines * it.shape.type.vcpus }
         for (wish in wishes) {
             var left = minOf(wish.slots, allowance(wish.job))
-            if (left < LEAST_WISH) continue
+            if (left < MIN_WISH) continue
             for (room in supply) if (!closed(room.shape.type, room.shape.spot, wish.job)) left -= room.take(wish.job, left)
-            if (left < LEAST_WISH) continue
+            if (left < MIN_WISH) continue
             val offer = offers(wish.job, types, nowMicros).firstOrNull { !closed(it.type, it.spot, wish.job) } ?: continue
             val perMachine = Math.floor(offer.type.vcpus / wish.job.spec.vcpus + EPSILON)
             val wanted =
-                minOf(Math.ceil(left / perMachine - EPSILON).toInt(), ((policy.mostRentedVcpus - rentedVcpus) / offer.type.vcpus).toInt())
+                minOf(Math.ceil(left / perMachine - EPSILON).toInt(), ((policy.maxRentedVcpus - rentedVcpus) / offer.type.vcpus).toInt())
             if (wanted <= 0) continue
             // Only what the cloud grants counts; a refusal brings the next offer into play soon.
             requests.merge(offer, wanted, Int::plus)
@@ -155,7 +155,7 @@
             }
         }
         val calls = requests.flatMap { (offer, number) -> callSizes(number).map { offer to it } }
-        val free = (mostRequests - pendingRents.size).coerceAtLeast(0)
+        val free = (maxRequests - pendingRents.size).coerceAtLeast(0)
         hasWaitingWishes = calls.size > free
         return calls.take(free).map { (offer, number) -> request(offer, number) }.onEach { pendingRents[it.requestId] = it }
     }
@@ -163,8 +163,8 @@
     /** [number] in parts that the cloud takes in one request. */
     private fun callSizes(number: Int): List<Int> = (0 until number step MAX_NUMBER).map { from -> minOf(number - from, MAX_NUMBER) }
 
-    private fun request(offer: MachineShape, number: Int): RentRequest =
-        RentRequest("r-$fencingToken-${++requestCount}", offer.type.name, offer.zone, offer.spot, number)
+    private fun request(offer: MachineShape, number: Int): ScaleOutRequest =
+        ScaleOutRequest("r-$fencingToken-${++requestCount}", offer.type.name, offer.zone, offer.spot, number)
 
     /** Rented machines of one shape, as room that wishes take from. */
     private class Supply(val shape: MachineShape) {
@@ -198,10 +198,10 @@
     private fun supply(types: Collection<MachineType>, workers: Map<String, Machine>, nowMicros: Long): MutableList<Supply> {
         val supply = LinkedHashMap<MachineShape, Supply>()
         for (machine in machines.values) {
-            if (isOwned(machine.name) || machine.returning || machine.status == CloudMachine.FAILED) continue
+            if (isBaseline(machine.name) || machine.returning || machine.status == CloudMachine.FAILED) continue
             val worker = workers[machine.name]
             val overdue = worker == null && nowMicros - machine.rentedMicros > OVERDUE_BOOTS * machine.type.startupMicros
-            if (overdue || worker?.draining == true || (worker != null && worker.deafSinceMicros > 0)) continue
+            if (overdue || worker?.draining == true || (worker != null && worker.unacknowledgedSinceMicros > 0)) continue
             supply.getOrPut(machine.shape) { Supply(machine.shape) }.add(1)
         }
         for (request in pendingRents.values) {
@@ -232,7 +232,7 @@
     fun isGone(name: String): Boolean = machines[name].let { it == null || it.status == CloudMachine.FAILED }
 
     /** Whether the machine belongs to the standing fleet; all do as long as that is unknown. */
-    fun isOwned(name: String): Boolean = standing?.contains(name) ?: true
+    fun isBaseline(name: String): Boolean = baselineMachines?.contains(name) ?: true
 
     /** Machines to be given back now, with the reason. */
     fun toReturn(
@@ -240,13 +240,13 @@
         planned: (Machine) -> Boolean,
         demandCeased: Boolean,
         nowMicros: Long,
-    ): Map<String, ReturnReason> {
-        val heardZones = returnRules.heardZones(workers, nowMicros)
-        val situation = ReturnRules.Situation(planned, demandCeased, heardZones, nowMicros)
-        val reasons = LinkedHashMap<String, ReturnReason>()
+    ): Map<String, ScaleInReason> {
+        val heardZones = scaleInPolicy.heardZones(workers, nowMicros)
+        val situation = ScaleInPolicy.Situation(planned, demandCeased, heardZones, nowMicros)
+        val reasons = LinkedHashMap<String, ScaleInReason>()
         for (machine in machines.values) {
             if (machine.returning) continue
-            val reason = returnRules.reason(machine, workers[machine.name], isOwned(machine.name), situation) ?: continue
+            val reason = scaleInPolicy.reason(machine, workers[machine.name], isBaseline(machine.name), situation) ?: continue
             reasons[machine.name] = reason
         }
         return reasons
@@ -257,10 +257,10 @@
         const val ABSENCE_MICROS = 20_000_000L
         const val REFUSED_MICROS = 8_000_000L
         const val MAX_DOUBLINGS = 3
-        const val LEAST_WISH = 0.5
+        const val MIN_WISH = 0.5
         const val EPSILON = 1e-6
         const val MAX_NUMBER = 50
-        const val LEAST_REQUESTS = 2
+        const val MIN_REQUESTS = 2
         const val OVERDUE_BOOTS = 2
     }
 }
--- a/src/main/kotlin/linemast/cloud/ReturnRules.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
@@ -5,8 +5,8 @@
 import linemast.settings.WorkerSettings
 
 /** Which machines are to be given back to the cloud, by what their workers report and by what they are still needed for. */
-internal class ReturnRules(private val workers: WorkerSettings, private val policy: Policy) {
-    private val quietMicros = workers.reportMicros * QUIET_REPORTS + QUIET_MICROS
+internal class ScaleInPolicy(private val workers: WorkerSettings, private val policy: Policy) {
+    private val quietMicros = workers.heartbeatIntervalMicros * QUIET_REPORTS + QUIET_MICROS
 
     /** What a look at all machines shares. */
     class Situation(
@@ -20,44 +20,47 @@
 
     /** Zones from which a worker has reported lately. */
     fun heardZones(workersByName: Map<String, Machine>, nowMicros: Long): Set<String> {
-        val freshMicros = QUIET_MICROS + workers.reportMicros
-        return workersByName.values.filter { nowMicros - it.reportedMicros < freshMicros }.mapTo(HashSet()) { it.zone }
+        val freshMicros = QUIET_MICROS + workers.heartbeatIntervalMicros
+        return workersByName.values.filter { nowMicros - it.lastHeartbeatMicros < freshMicros }.mapTo(HashSet()) { it.zone }
     }
 
     /** Why [machine] is to be given back; null if it is not. */
-    fun reason(machine: CloudMachine, worker: Machine?, isOwned: Boolean, situation: Situation): ReturnReason? {
-        if (machine.status == CloudMachine.FAILED) return ReturnReason.FAILED
-        if (worker == null || worker.reportedMicros == 0L) return neverReported(machine, situation.nowMicros)
-        return faulty(machine, worker, isOwned, situation) ?: idle(worker, isOwned, situation)
+    fun reason(machine: CloudMachine, worker: Machine?, isBaseline: Boolean, situation: Situation): ScaleInReason? {
+        if (machine.status == CloudMachine.FAILED) return ScaleInReason.FAILED
+        if (worker == null || worker.lastHeartbeatMicros == 0L) return neverReported(machine, situation.nowMicros)
+        return faulty(machine, worker, isBaseline, situation) ?: idle(worker, isBaseline, situation)
     }
 
-    private fun neverReported(machine: CloudMachine, nowMicros: Long): ReturnReason? {
+    private fun neverReported(machine: CloudMachine, nowMicros: Long): ScaleInReason? {
         val age = nowMicros - machine.rentedMicros
         val limit = NEVER_BOOTS * machine.type.startupMicros + NEVER_MICROS
-        return if (machine.status == CloudMachine.STARTING && age > limit) ReturnReason.NEVER_UP else null
+        return if (machine.status == CloudMachine.STARTING && age > limit) ScaleInReason.NEVER_UP else null
     }
 
-    private fun faulty(machine: CloudMachine, worker: Machine, isOwned: Boolean, situation: Situation): ReturnReason? {
-        val silentMicros = situation.nowMicros - worker.reportedMicros
+    private fun faulty(machine: CloudMachine, worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
+        val silentMicros = situation.nowMicros - worker.lastHeartbeatMicros
         val isHeardZone = worker.zone in situation.heardZones
         val noticeMicros = worker.preemptionNoticeMicros
-        val mostSilentMicros = if (isOwned) OWNED_SILENT_MICROS else SILENT_MICROS
+        val maxSilentMicros = if (isBaseline) BASELINE_SILENT_MICROS else SILENT_MICROS
         return when {
-            worker.failedJobs.size >= FAILED_JOBS && worker.draining -> ReturnReason.FAULTY
-            noticeMicros != null && silentMicros >= noticeMicros - PREEMPTION_MARGIN_MICROS -> ReturnReason.PREEMPTED
-            machine.spot && silentMicros > quietMicros && isHeardZone -> ReturnReason.TAKEN
-            silentMicros > mostSilentMicros && isHeardZone -> ReturnReason.SILENT
-            worker.deafSinceMicros > 0 && situation.nowMicros - worker.deafSinceMicros > SILENT_MICROS -> ReturnReason.DEAF
+            worker.failedJobs.size >= FAILED_JOBS && worker.draining -> ScaleInReason.FAULTY
+            noticeMicros != null && silentMicros >= noticeMicros - PREEMPTION_MARGIN_MICROS -> ScaleInReason.PREEMPTED
+            machine.spot && silentMicros > quietMicros && isHeardZone -> ScaleInReason.TAKEN
+            silentMicros > maxSilentMicros && isHeardZone -> ScaleInReason.SILENT
+            isUnreachable(worker, situation.nowMicros) -> ScaleInReason.DEAF
             else -> null
         }
     }
 
-    private fun idle(worker: Machine, isOwned: Boolean, situation: Situation): ReturnReason? {
+    private fun isUnreachable(worker: Machine, nowMicros: Long): Boolean =
+        worker.unacknowledgedSinceMicros > 0 && nowMicros - worker.unacknowledgedSinceMicros > SILENT_MICROS
+
+    private fun idle(worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
         val isBusy = worker.placements.isNotEmpty() || worker.reservedFor != null
-        if (isBusy || situation.nowMicros - worker.reportedMicros > quietMicros || situation.isNeeded(worker)) return null
+        if (isBusy || situation.nowMicros - worker.lastHeartbeatMicros > quietMicros || situation.isNeeded(worker)) return null
         val idleMicros = situation.nowMicros - worker.idleSinceMicros
-        if (!isOwned) return if (idleMicros > patienceMicros(policy.idleReturnMicros, situation)) ReturnReason.IDLE else null
-        return if (idleMicros > patienceMicros(policy.ownedIdleMicros, situation)) ReturnReason.OWNED_IDLE else null
+        if (!isBaseline) return if (idleMicros > patienceMicros(policy.idleReturnMicros, situation)) ScaleInReason.IDLE else null
+        return if (idleMicros > patienceMicros(policy.baselineIdleMicros, situation)) ScaleInReason.BASELINE_IDLE else null
     }
 
     /** Once demand has ceased nothing is kept for it, beyond the time in which a running task may not show in a report yet. */
@@ -71,7 +74,7 @@
         const val QUIET_REPORTS = 2
         const val QUIET_MICROS = 2_500_000L
         const val SILENT_MICROS = 60_000_000L
-        const val OWNED_SILENT_MICROS = 150_000_000L
+        const val BASELINE_SILENT_MICROS = 150_000_000L
 
         /** As many different jobs have to fail on a machine until it is taken to be broken. */
         const val FAILED_JOBS = 2
--- a/src/main/kotlin/linemast/cloud/ReturnReason.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInReason.kt
@@ -1,7 +1,7 @@
 package linemast.cloud
 
 /** Why a machine is given back to the cloud; [text] is what the log says. */
-enum class ReturnReason(val text: String) {
+enum class ScaleInReason(val text: String) {
     FAILED("has stopped by itself"),
     NEVER_UP("does not come up"),
     FAULTY("fails what it starts"),
@@ -11,7 +11,7 @@
     DEAF("does not hear"),
     ABSENT("absent at the take-over"),
     IDLE("idle"),
-    OWNED_IDLE("owned, long idle"),
+    BASELINE_IDLE("owned, long idle"),
     ;
 
     override fun toString() = text
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -3,17 +3,17 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import linemast.autoscaling.CloudActions
-import linemast.autoscaling.Provisioner
+import linemast.autoscaling.Autoscaler
+import linemast.autoscaling.ScalingActions
 import linemast.cloud.Cloud
+import linemast.cloud.CloudActionExecutor
 import linemast.cloud.CloudException
-import linemast.cloud.CloudExecutor
 import linemast.cloud.Fleet
 import linemast.cloud.MACHINES_A_LIST_CALL
-import linemast.cloud.RentRequest
-import linemast.cloud.RentResult
-import linemast.cloud.Returns
-import linemast.leadership.Authority
+import linemast.cloud.ScaleInBatch
+import linemast.cloud.ScaleOutRequest
+import linemast.cloud.ScaleOutResult
+import linemast.leadership.LeaderLease
 import linemast.scheduling.Cluster
 import linemast.store.StoreException
 import linemast.time.Clock
@@ -26,15 +26,15 @@
  */
 internal class CloudOperations(
     private val cloud: Cloud,
-    private val executor: CloudExecutor,
+    private val executor: CloudActionExecutor,
     private val clock: Clock,
     private val scope: CoroutineScope,
-    private val authority: Authority,
+    private val leaderLease: LeaderLease,
     private val cluster: Cluster,
     private val fleet: Fleet,
-    private val provisioner: Provisioner,
-    private val fleetStore: FleetStore,
-    private val standingFleetStore: StandingFleetStore,
+    private val autoscaler: Autoscaler,
+    private val machineRegistryStore: MachineRegistryStore,
+    private val baselineFleetStore: BaselineFleetStore,
     private val callsPerSecond: Double,
     /** Runs an action on the coroutine that owns the cluster state. */
     private val onLeaderLoop: suspend (() -> Unit) -> Unit,
@@ -45,13 +45,13 @@
     suspend fun watchMachines() {
         while (true) {
             try {
-                if (fleet.standing == null) learnStandingFleet()
+                if (fleet.baselineMachines == null) learnBaselineFleet()
                 val list = cloud.machines()
                 onLeaderLoop {
                     val now = clock.nowMicros()
                     fleet.listed(list, cluster.types, now)
                     val absent = cluster.forgetAbsent(fleet.machines.keys, now)
-                    if (absent.isNotEmpty()) fleetStore.remove(absent)
+                    if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
                 }
             } catch (e: CloudException) {
                 log.debug("machine list: {}", e.message)
@@ -68,51 +68,51 @@
         return maxOf(LIST_MILLIS, (calls * SECOND_MILLIS / (callsPerSecond * LIST_SHARE)).toLong())
     }
 
-    private suspend fun learnStandingFleet() {
-        val names = standingFleetStore.learn() ?: return
+    private suspend fun learnBaselineFleet() {
+        val names = baselineFleetStore.learn() ?: return
         onLeaderLoop {
-            fleet.standing = names
-            cluster.markOwned(names)
+            fleet.baselineMachines = names
+            cluster.markBaseline(names)
         }
     }
 
     /** Starts the rentals and returns of [actions]. */
-    fun run(actions: CloudActions) {
-        actions.rentals.forEach { request -> scope.launch { rent(request) } }
-        if (actions.returns.isNotEmpty()) executor.parts(actions.returns).forEach(::giveBack)
+    fun run(actions: ScalingActions) {
+        actions.rentals.forEach { request -> scope.launch { scaleOut(request) } }
+        if (actions.returns.isNotEmpty()) executor.parts(actions.returns).forEach(::scaleIn)
     }
 
     /** A request without an answer is repeated under the same id, which rents at most once. */
-    private suspend fun rent(request: RentRequest) {
+    private suspend fun scaleOut(request: ScaleOutRequest) {
         repeat(RENT_TRIES) {
-            if (!authority.mayCommand(clock.nowMicros())) return@repeat
+            if (!leaderLease.mayIssueCommands(clock.nowMicros())) return@repeat
             val result = tryRent(request)
-            if (result != RentResult.Unknown) return onLeaderLoop { rented(request, result) }
+            if (result != ScaleOutResult.Unknown) return onLeaderLoop { rented(request, result) }
             delay(RETRY_MILLIS)
         }
         onLeaderLoop {
             fleet.gaveUp(request)
-            provisioner.adjustSoon()
+            autoscaler.adjustSoon()
         }
     }
 
-    private suspend fun tryRent(request: RentRequest): RentResult = try {
-        executor.rent(request)
+    private suspend fun tryRent(request: ScaleOutRequest): ScaleOutResult = try {
+        executor.scaleOut(request)
     } catch (e: CloudException) {
         log.error("rental {}: {}", request.requestId, e.message)
-        RentResult.NoCapacity
+        ScaleOutResult.NoCapacity
     }
 
     /** Takes what became of a rental. */
-    fun rented(request: RentRequest, result: RentResult) {
+    fun rented(request: ScaleOutRequest, result: ScaleOutResult) {
         val now = clock.nowMicros()
-        if (result == RentResult.Unknown) return fleet.gaveUp(request)
-        val granted = (result as? RentResult.Rented)?.names
+        if (result == ScaleOutResult.Unknown) return fleet.gaveUp(request)
+        val granted = (result as? ScaleOutResult.Rented)?.names
         if (granted == null) fleet.refused(request, cluster.types, now) else fleet.rented(request, granted, cluster.types, now)
-        if ((granted?.size ?: 0) < request.number || fleet.hasWaitingWishes) provisioner.adjustSoon()
+        if ((granted?.size ?: 0) < request.number || fleet.hasWaitingWishes) autoscaler.adjustSoon()
     }
 
-    private fun giveBack(returns: Returns) {
+    private fun scaleIn(returns: ScaleInBatch) {
         val names = returns.keys.toList()
         for (name in names) {
             fleet.machines[name]?.returning = true
@@ -124,8 +124,8 @@
         }
     }
 
-    private suspend fun tryGiveBack(returns: Returns): Boolean = try {
-        executor.giveBack(returns)
+    private suspend fun tryGiveBack(returns: ScaleInBatch): Boolean = try {
+        executor.scaleIn(returns)
         true
     } catch (e: CloudException) {
         log.info("return of {}: {}", returns.keys, e.message)
@@ -136,7 +136,7 @@
     fun returned(names: List<String>) {
         fleet.gone(names)
         cluster.returned(names)
-        fleetStore.remove(names)
+        machineRegistryStore.remove(names)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/control/PipelineCoordinator.kt
+++ b/src/main/kotlin/linemast/control/DependencyCoordinator.kt
@@ -6,40 +6,40 @@
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
 import linemast.domain.Job
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
+import linemast.domain.JobOutcome
+import linemast.domain.JobRecord
+import linemast.domain.OutcomeRecord
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
-import linemast.leadership.Authority
 import linemast.leadership.LeaderKeys
+import linemast.leadership.LeaderLease
 import linemast.planning.WaitingStage
 import linemast.scheduling.Cluster
 import linemast.serialization.MalformedException
-import linemast.store.Change
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.KeyChange
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.Write
 import linemast.store.attempt
 import org.slf4j.LoggerFactory
 
-/** Brings what [Pipelines] decides into the store, and what the store says of waiting jobs to [Pipelines]. */
-internal class PipelineCoordinator(
-    private val store: Store,
+/** Brings what [DependencyGraph] decides into the store, and what the store says of waiting jobs to [DependencyGraph]. */
+internal class DependencyCoordinator(
+    private val store: KeyValueStore,
     private val scope: CoroutineScope,
-    private val authority: Authority,
+    private val leaderLease: LeaderLease,
     private val cluster: () -> Cluster,
-    private val mostTxnOps: Int,
+    private val maxTxnOps: Int,
     private val wallMicros: () -> Long,
     private val nowMicros: () -> Long,
     /** Runs an action in the turn of the coroutine that owns the cluster state. */
     private val onLeaderLoop: suspend (() -> Unit) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger(PipelineCoordinator::class.java)
-    private val pipelines = Pipelines()
+    private val log = LoggerFactory.getLogger(DependencyCoordinator::class.java)
+    private val graph = DependencyGraph()
 
     /** A cancelled pipeline may have thousands of jobs: their commits take turns, so that none runs out of patience for a token. */
     private val cancellations = Semaphore(MAX_CONCURRENT_CANCELLATIONS)
@@ -48,37 +48,37 @@
     /** Whether anything was asked of jobs that has to be taken back when nothing waits any more. */
     private var hasPropagatedNeeds = false
 
-    fun load(items: List<Item>) = items.forEach { pipelines.put(JobRecordCodec.decodeJob(it.value), it.version) }
+    fun load(entries: List<Entry>) = entries.forEach { graph.put(JobRecordCodec.decodeJob(it.value), it.revision) }
 
     /** All that waits now, after changes were missed. */
-    fun reload(items: List<Item>) {
-        pipelines.retain(items.mapTo(HashSet()) { it.key.removePrefix(JobKeys.WAITING_PREFIX) })
-        load(items)
+    fun reload(entries: List<Entry>) {
+        graph.retain(entries.mapTo(HashSet()) { it.key.removePrefix(JobKeys.WAITING_PREFIX) })
+        load(entries)
     }
 
-    fun changed(change: Change) {
+    fun changed(change: KeyChange) {
         val value = change.value
-        if (value == null) return pipelines.drop(change.key.removePrefix(JobKeys.WAITING_PREFIX))
+        if (value == null) return graph.drop(change.key.removePrefix(JobKeys.WAITING_PREFIX))
         try {
-            pipelines.put(JobRecordCodec.decodeJob(value), change.version)
+            graph.put(JobRecordCodec.decodeJob(value), change.revision)
         } catch (e: MalformedException) {
             log.error("{}: malformed record: {}", change.key, e.message)
         }
     }
 
     /** A verdict that has been committed or read. */
-    fun over(id: String, verdict: Verdict) {
-        pipelines.learned(id, verdict)
+    fun over(id: String, outcome: JobOutcome) {
+        graph.learned(id, outcome)
         step()
     }
 
     fun step() {
-        if (pipelines.isEmpty && !hasPropagatedNeeds) return
+        if (graph.isEmpty && !hasPropagatedNeeds) return
         val jobs = cluster().jobs
-        val step = pipelines.step({ id -> jobs[id]?.let { !it.finished && !it.cancelled } ?: false }, nowMicros())
+        val step = graph.step({ id -> jobs[id]?.let { !it.finished && !it.cancelled } ?: false }, nowMicros())
         step.released.forEach(::release)
-        step.cancelled.chunked(mostTxnOps / WRITES_PER_CANCELLATION).forEach(::cancel)
-        step.toRead.forEach(::readVerdict)
+        step.cancelled.chunked(maxTxnOps / WRITES_PER_CANCELLATION).forEach(::cancel)
+        step.toRead.forEach(::readOutcome)
         propagateNeeds()
     }
 
@@ -86,22 +86,22 @@
     private fun propagateNeeds() {
         if (propagatedMicros != Long.MIN_VALUE && nowMicros() - propagatedMicros < PROPAGATE_MICROS) return
         propagatedMicros = nowMicros()
-        hasPropagatedNeeds = !pipelines.isEmpty
+        hasPropagatedNeeds = !graph.isEmpty
         val times = cluster().times
-        val needs = pipelines.needs(::spanMicros)
+        val needs = graph.needs(::spanMicros)
         cluster().jobs.values.forEach { it.applyNeed(needs[it.id]) }
-        cluster().waitingStages = pipelines.predicted(::remainingMicros, ::spanMicros).map { stage ->
+        cluster().waitingStages = graph.predicted(::remainingMicros, ::spanMicros).map { stage ->
             val record = stage.job.record
-            val job = Job(record.released(wallMicros() + stage.startsInMicros), stage.job.version, inherited = false)
+            val job = Job(record.released(wallMicros() + stage.startsInMicros), stage.job.revision, inherited = false)
             job.applyNeed(needs[job.id])
             WaitingStage(job, record.spec.dependencies.toSet(), stage.startsInMicros)
         }
     }
 
     /** How long a job that has not begun will take, from the end of the last job that it needs. */
-    private fun spanMicros(record: OpenRecord): Long = cluster().times.estimateMicros(record.spec) + HANDOVER_MICROS
+    private fun spanMicros(record: JobRecord): Long = cluster().times.estimateMicros(record.spec) + HANDOVER_MICROS
 
-    private fun Job.applyNeed(need: Needed?) {
+    private fun Job.applyNeed(need: InheritedRequirement?) {
         priority = minOf(spec.priority, need?.priority ?: spec.priority)
         neededByWallMicros = need?.byWallMicros
     }
@@ -120,8 +120,9 @@
         scope.launch {
             val record = job.record.released(wallMicros()).within(cluster().types.values)
             val key = JobKeys.waiting(job.id)
-            val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Drop(key))
-            val result = attempt(log) { store.commit(listOf(authority.fence, Condition(key, job.version)), writes, Priority.INTAKE) }
+            val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Delete(key))
+            val result =
+                attempt(log) { store.commit(listOf(leaderLease.fence, Precondition(key, job.revision)), writes, RequestPriority.HIGH) }
             settle(listOf(job), result) { revision ->
                 log.info("{}: released: all that it depends on is done", job.id)
                 cluster().putJob(record, revision)
@@ -131,13 +132,13 @@
 
     private fun cancel(jobs: List<WaitingJob>) {
         scope.launch {
-            val conditions = jobs.map { Condition(JobKeys.waiting(it.id), it.version) }
+            val preconditions = jobs.map { Precondition(JobKeys.waiting(it.id), it.revision) }
             val writes = jobs.flatMap {
-                val verdict = VerdictRecord(Verdict.CANCELLED, it.record.spec.taskCount)
-                listOf(Write.Put(JobKeys.verdict(it.id), JobRecordCodec.encode(verdict)), Write.Drop(JobKeys.waiting(it.id)))
+                val outcome = OutcomeRecord(JobOutcome.CANCELLED, it.record.spec.taskCount)
+                listOf(Write.Put(JobKeys.outcome(it.id), JobRecordCodec.encode(outcome)), Write.Delete(JobKeys.waiting(it.id)))
             }
             val result = cancellations.withPermit {
-                attempt(log) { store.commit(listOf(authority.fence) + conditions, writes, Priority.INTAKE) }
+                attempt(log) { store.commit(listOf(leaderLease.fence) + preconditions, writes, RequestPriority.HIGH) }
             }
             settle(jobs, result) { log.info("{}: cancelled with a job that they need", jobs.map { it.id }) }
         }
@@ -146,25 +147,25 @@
     private suspend fun settle(jobs: List<WaitingJob>, result: CommitResult?, applied: (Long) -> Unit) {
         if (result is CommitResult.Applied) {
             return onLeaderLoop {
-                jobs.forEach { pipelines.drop(it.id) }
+                jobs.forEach { graph.drop(it.id) }
                 applied(result.revision)
             }
         }
-        if (result is CommitResult.Conflict && LeaderKeys.LEADER in result.failed) return authority.end()
+        if (result is CommitResult.Conflict && LeaderKeys.LEADER in result.failed) return leaderLease.end()
         // One whose record is not what it was taken for is over, or a commit without an answer has been carried out.
         val gone = (result as? CommitResult.Conflict)?.failed.orEmpty().map { it.removePrefix(JobKeys.WAITING_PREFIX) }
         delay(RETRY_MILLIS)
         onLeaderLoop {
-            gone.forEach(pipelines::drop)
-            pipelines.retry(jobs.filter { it.id !in gone })
+            gone.forEach(graph::drop)
+            graph.retry(jobs.filter { it.id !in gone })
         }
     }
 
-    private fun readVerdict(id: String) {
+    private fun readOutcome(id: String) {
         scope.launch {
-            val item = attempt(log) { store.get(JobKeys.verdict(id)) } ?: return@launch
-            val verdict = attempt(log) { JobRecordCodec.decodeOutcome(item.value).verdict } ?: return@launch
-            onLeaderLoop { over(id, verdict) }
+            val entry = attempt(log) { store.get(JobKeys.outcome(id)) } ?: return@launch
+            val outcome = attempt(log) { JobRecordCodec.decodeOutcome(entry.value).outcome } ?: return@launch
+            onLeaderLoop { over(id, outcome) }
         }
     }
 
--- a/src/main/kotlin/linemast/control/Pipelines.kt
+++ b/src/main/kotlin/linemast/control/DependencyGraph.kt
@@ -1,11 +1,11 @@
 package linemast.control
 
+import linemast.domain.JobOutcome
 import linemast.domain.JobPriority
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
+import linemast.domain.JobRecord
 
 /** A job that waits for others, as the store holds it. */
-class WaitingJob(val record: OpenRecord, val version: Long) {
+class WaitingJob(val record: JobRecord, val revision: Long) {
     val id: String get() = record.spec.id
 
     /** Those it waits for of which the store has not said yet that they are done. */
@@ -14,7 +14,7 @@
 }
 
 /** What the jobs that need a job ask of it: to be treated as that urgent, and to end by then if it can. */
-class Needed(val priority: JobPriority, val byWallMicros: Long?)
+class InheritedRequirement(val priority: JobPriority, val byWallMicros: Long?)
 
 /**
  * The jobs that wait for others: which of them may go, and which are cancelled with one that they need.
@@ -23,7 +23,7 @@
  * store or committed to it, so that no job goes before the store says that all it needs are done; a new leader begins from
  * what it reads. Nothing here follows a chain on the stack.
  */
-class Pipelines {
+class DependencyGraph {
     /** Jobs to release, jobs to cancel, and jobs whose verdict has to be read. */
     class Step(val released: List<WaitingJob>, val cancelled: List<WaitingJob>, val toRead: List<String>)
 
@@ -31,26 +31,26 @@
 
     /** The waiting jobs by what they wait for. */
     private val dependents = LinkedHashMap<String, LinkedHashSet<WaitingJob>>()
-    private val verdicts = HashMap<String, Verdict>()
+    private val outcomes = HashMap<String, JobOutcome>()
     private val nextReadMicros = HashMap<String, Long>()
     private val ready = LinkedHashSet<WaitingJob>()
     private val toCancel = LinkedHashSet<WaitingJob>()
 
     val isEmpty: Boolean get() = waiting.isEmpty()
 
-    /** Takes a waiting job as the store holds it at [version]. */
-    fun put(record: OpenRecord, version: Long) {
+    /** Takes a waiting job as the store holds it at [revision]. */
+    fun put(record: JobRecord, revision: Long) {
         val id = record.spec.id
-        if ((waiting[id]?.version ?: 0L) >= version) return
+        if ((waiting[id]?.revision ?: 0L) >= revision) return
         drop(id)
-        val job = WaitingJob(record, version)
+        val job = WaitingJob(record, revision)
         waiting[id] = job
         for (needed in record.spec.dependencies) {
             dependents.getOrPut(needed) { LinkedHashSet() } += job
-            verdicts[needed]?.let { take(job, needed, it) }
+            outcomes[needed]?.let { take(job, needed, it) }
         }
         if (job in toCancel) {
-            learned(id, Verdict.CANCELLED)
+            learned(id, JobOutcome.CANCELLED)
         } else if (job.open.isEmpty()) {
             ready += job
         }
@@ -69,28 +69,28 @@
             others -= job
             if (others.isNotEmpty()) continue
             dependents -= needed
-            verdicts -= needed
+            outcomes -= needed
             nextReadMicros -= needed
         }
     }
 
     /** The store holds this verdict of [id]; one that is not final is asked for again. */
-    fun learned(id: String, verdict: Verdict) {
-        if (!verdict.isFinal || id !in dependents) return
-        verdicts[id] = verdict
+    fun learned(id: String, outcome: JobOutcome) {
+        if (!outcome.isTerminal || id !in dependents) return
+        outcomes[id] = outcome
         val changed = ArrayDeque(listOf(id))
         while (changed.isNotEmpty()) {
             val over = changed.removeFirst()
             for (job in dependents[over].orEmpty()) {
-                take(job, over, verdicts[over] ?: continue)
+                take(job, over, outcomes[over] ?: continue)
                 // A job that is to be cancelled is as good as cancelled to those that need it.
-                if (job in toCancel && job.id in dependents && verdicts.put(job.id, Verdict.CANCELLED) == null) changed += job.id
+                if (job in toCancel && job.id in dependents && outcomes.put(job.id, JobOutcome.CANCELLED) == null) changed += job.id
             }
         }
     }
 
-    private fun take(job: WaitingJob, needed: String, verdict: Verdict) {
-        if (verdict == Verdict.CANCELLED) {
+    private fun take(job: WaitingJob, needed: String, outcome: JobOutcome) {
+        if (outcome == JobOutcome.CANCELLED) {
             ready -= job
             toCancel += job
         } else if (job.open.remove(needed) && job.open.isEmpty() && job !in toCancel) {
@@ -104,8 +104,8 @@
         val cancelled = toCancel.filter { !it.isBeingCommitted }
         (released + cancelled).forEach { it.isBeingCommitted = true }
         val toRead = dependents.keys.filter { id ->
-            id !in verdicts && id !in waiting && !isLive(id) && nowMicros >= (nextReadMicros[id] ?: Long.MIN_VALUE)
-        }.take(MAX_VERDICT_READS)
+            id !in outcomes && id !in waiting && !isLive(id) && nowMicros >= (nextReadMicros[id] ?: Long.MIN_VALUE)
+        }.take(MAX_OUTCOME_READS)
         toRead.forEach { nextReadMicros[it] = nowMicros + READ_AGAIN_MICROS }
         return Step(released, cancelled, toRead)
     }
@@ -117,14 +117,14 @@
      * What is asked of each job that others wait for. A deadline passes back from the last job of a pipeline: what it
      * needs has to end by the time at which it must start, going by how long jobs take ([spanMicros]).
      */
-    fun needs(spanMicros: (OpenRecord) -> Long): Map<String, Needed> {
-        val needs = HashMap<String, Needed>()
+    fun needs(spanMicros: (JobRecord) -> Long): Map<String, InheritedRequirement> {
+        val needs = HashMap<String, InheritedRequirement>()
         val next = ArrayDeque(waiting.values)
         var visits = 0
         while (next.isNotEmpty() && visits++ < MAX_VISITS) {
             val job = next.removeFirst()
             val need = merged(ownNeed(job.record), needs[job.id])
-            val here = Needed(need.priority, need.byWallMicros?.minus(spanMicros(job.record)))
+            val here = InheritedRequirement(need.priority, need.byWallMicros?.minus(spanMicros(job.record)))
             for (id in job.record.spec.dependencies) {
                 val before = needs[id]
                 val after = merged(here, before)
@@ -144,7 +144,7 @@
      *
      * [remainingMicros] tells how long a job that is under way still takes, [spanMicros] how long a waiting one will take.
      */
-    fun predicted(remainingMicros: (String) -> Long?, spanMicros: (OpenRecord) -> Long): List<Predicted> {
+    fun predicted(remainingMicros: (String) -> Long?, spanMicros: (JobRecord) -> Long): List<Predicted> {
         val predicted = LinkedHashMap<String, Predicted>()
         val next = ArrayDeque(waiting.values)
         var visits = 0
@@ -161,17 +161,17 @@
         return predicted.values.toList()
     }
 
-    private fun ownNeed(record: OpenRecord) = Needed(
+    private fun ownNeed(record: JobRecord) = InheritedRequirement(
         record.spec.priority,
         record.spec.deadlineMicros?.let {
             record.acceptedWallMicros + it
         },
     )
 
-    private fun merged(one: Needed, other: Needed?): Needed = if (other == null) {
+    private fun merged(one: InheritedRequirement, other: InheritedRequirement?): InheritedRequirement = if (other == null) {
         one
     } else {
-        Needed(
+        InheritedRequirement(
             minOf(one.priority, other.priority),
             listOfNotNull(one.byWallMicros, other.byWallMicros).minOrNull(),
         )
@@ -179,7 +179,7 @@
 
     private companion object {
         const val READ_AGAIN_MICROS = 1_500_000L
-        const val MAX_VERDICT_READS = 20
+        const val MAX_OUTCOME_READS = 20
         const val MAX_VISITS = 20_000
     }
 }
--- a/src/main/kotlin/linemast/control/InheritedActions.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -4,8 +4,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.cloud.Fleet
-import linemast.cloud.RentRequest
-import linemast.cloud.RentResult
+import linemast.cloud.ScaleOutRequest
+import linemast.cloud.ScaleOutResult
 import linemast.duties.DutyHolder
 import linemast.duties.Inheritance
 import linemast.duties.InheritanceEffects
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory
 
 /** Has a new leader's state know what earlier leaders have committed to do at the cloud, before anything is decided. */
-internal class InheritedActions(
+internal class InheritedIntents(
     private val duties: DutyHolder,
     private val cluster: Cluster,
     private val fleet: Fleet,
@@ -23,7 +23,7 @@
     /** Runs an action on the coroutine that owns the cluster state. */
     private val onLeaderLoop: suspend (() -> Unit) -> Unit,
 ) : InheritanceEffects {
-    private val log = LoggerFactory.getLogger(InheritedActions::class.java)
+    private val log = LoggerFactory.getLogger(InheritedIntents::class.java)
 
     /** Returns once all is read and marked; what is left to be done goes on in the leader's scope. */
     suspend fun takeOver() {
@@ -40,7 +40,7 @@
 
     override fun returned(names: List<String>) = cloudOperations.returned(names)
 
-    override fun rented(request: RentRequest, result: RentResult) = cloudOperations.rented(request, result)
+    override fun rented(request: ScaleOutRequest, result: ScaleOutResult) = cloudOperations.rented(request, result)
 
     private companion object {
         const val RETRY_MILLIS = 250L
--- a/src/main/kotlin/linemast/control/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -4,20 +4,20 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.domain.Job
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
-import linemast.jobs.DoneSet
+import linemast.domain.JobOutcome
+import linemast.domain.OutcomeRecord
+import linemast.jobs.CompletedTasks
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
-import linemast.leadership.Authority
 import linemast.leadership.LeaderKeys
+import linemast.leadership.LeaderLease
 import linemast.scheduling.Cluster
-import linemast.store.Change
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.KeyChange
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.Write
 import linemast.store.attempt
 import linemast.store.listAll
@@ -30,31 +30,31 @@
  * Every write depends on the leadership; what comes back is taken in by the coroutine that owns the cluster state.
  */
 internal class JobStore(
-    private val store: Store,
+    private val store: KeyValueStore,
     private val scope: CoroutineScope,
-    private val authority: Authority,
+    private val leaderLease: LeaderLease,
     private val cluster: () -> Cluster,
-    private val mostTxnOps: Int,
+    private val maxTxnOps: Int,
     /** Runs an action in the turn of the coroutine that owns the cluster state. */
     private val onLeaderLoop: suspend (() -> Unit) -> Unit,
-    private val onChange: (Change) -> Unit,
+    private val onChange: (KeyChange) -> Unit,
     private val onDone: (Job) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger(JobStore::class.java)
-    private val fence get() = authority.fence
+    private val fence get() = leaderLease.fence
 
     fun storeOpened(job: Job) {
         scope.launch {
             while (true) {
-                val version = job.version
+                val revision = job.revision
                 val result = attempt(log) {
-                    val item = store.get(JobKeys.open(job.id), Priority.INTAKE) ?: return@attempt null
-                    val record = JobRecordCodec.decodeJob(item.value)
+                    val entry = store.get(JobKeys.open(job.id), RequestPriority.HIGH) ?: return@attempt null
+                    val record = JobRecordCodec.decodeJob(entry.value)
                     if (record.cancelled) return@attempt null
                     store.commit(
-                        listOf(fence, Condition(item.key, item.version)),
-                        listOf(Write.Put(item.key, JobRecordCodec.encode(record.with(opened = true).within(cluster().types.values)))),
-                        Priority.INTAKE,
+                        listOf(fence, Precondition(entry.key, entry.revision)),
+                        listOf(Write.Put(entry.key, JobRecordCodec.encode(record.with(opened = true).within(cluster().types.values)))),
+                        RequestPriority.HIGH,
                     )
                 }
                 when (result) {
@@ -65,11 +65,11 @@
                         }
                         return@launch
                     }
-                    is CommitResult.Conflict -> if (LeaderKeys.LEADER in result.failed) return@launch authority.end()
+                    is CommitResult.Conflict -> if (LeaderKeys.LEADER in result.failed) return@launch leaderLease.end()
                     else -> Unit
                 }
                 if (job.cancelled || job.finished) return@launch
-                if (version == job.version) delay(RETRY_MILLIS)
+                if (revision == job.revision) delay(RETRY_MILLIS)
             }
         }
     }
@@ -77,9 +77,9 @@
     fun storeDone(job: Job) {
         job.writingDone = true
         scope.launch {
-            val parts = job.dirtyParts.stream().limit(mostTxnOps.toLong()).toArray()
+            val parts = job.dirtyParts.stream().limit(maxTxnOps.toLong()).toArray()
             val isDone = job.isDone
-            val bits = parts.map { DoneSet.encodePart(job.done, it) }
+            val bits = parts.map { CompletedTasks.encodePart(job.done, it) }
             val result = attempt(log) { if (isDone) commitDone(job) else commitParts(job, parts, bits) }
             onLeaderLoop {
                 job.writingDone = false
@@ -87,12 +87,12 @@
                     is CommitResult.Applied -> {
                         parts.forEach {
                             job.dirtyParts.clear(it)
-                            job.partVersions[it] = result.revision
+                            job.partRevisions[it] = result.revision
                         }
                         if (!isDone) {
                             // Tasks completed while the write was under way are in the next one.
                             for ((at, part) in parts.withIndex()) {
-                                if (DoneSet.encodePart(job.done, part) != bits[at]) job.dirtyParts.set(part)
+                                if (CompletedTasks.encodePart(job.done, part) != bits[at]) job.dirtyParts.set(part)
                             }
                         } else {
                             finish(job)
@@ -106,7 +106,7 @@
     }
 
     private fun conflicted(job: Job, result: CommitResult.Conflict) {
-        if (LeaderKeys.LEADER in result.failed) authority.end() else reread(job)
+        if (LeaderKeys.LEADER in result.failed) leaderLease.end() else reread(job)
     }
 
     private fun finish(job: Job) {
@@ -116,25 +116,25 @@
     }
 
     private suspend fun commitParts(job: Job, parts: IntArray, bits: List<String>): CommitResult = store.commit(
-        listOf(fence, Condition(JobKeys.open(job.id), job.version)) +
-            parts.map { Condition(JobKeys.donePart(job.id, it), job.partVersions[it] ?: 0L) },
+        listOf(fence, Precondition(JobKeys.open(job.id), job.revision)) +
+            parts.map { Precondition(JobKeys.donePart(job.id, it), job.partRevisions[it] ?: 0L) },
         parts.mapIndexed { at, part -> Write.Put(JobKeys.donePart(job.id, part), mapOf("bits" to bits[at])) },
-        Priority.BACKGROUND,
+        RequestPriority.BACKGROUND,
     )
 
     private suspend fun commitDone(job: Job): CommitResult {
-        val verdict = store.get(JobKeys.verdict(job.id), Priority.INTAKE) ?: return CommitResult.Conflict(emptyList())
-        if (JobRecordCodec.decodeOutcome(verdict.value).verdict.isFinal) return CommitResult.Conflict(emptyList())
-        val end = Write.Put(verdict.key, JobRecordCodec.encode(VerdictRecord(Verdict.DONE, job.spec.taskCount)))
-        return commitEnd(job, listOf(end), Condition(verdict.key, verdict.version))
+        val outcome = store.get(JobKeys.outcome(job.id), RequestPriority.HIGH) ?: return CommitResult.Conflict(emptyList())
+        if (JobRecordCodec.decodeOutcome(outcome.value).outcome.isTerminal) return CommitResult.Conflict(emptyList())
+        val end = Write.Put(outcome.key, JobRecordCodec.encode(OutcomeRecord(JobOutcome.DONE, job.spec.taskCount)))
+        return commitEnd(job, listOf(end), Precondition(outcome.key, outcome.revision))
     }
 
     /** Commits the end of a job's record. The parts of its done set go with it, as far as a transaction takes them, or after it. */
-    private suspend fun commitEnd(job: Job, writes: List<Write>, condition: Condition): CommitResult {
-        val parts = job.partVersions.keys.map { JobKeys.donePart(job.id, it) }
-        val record = writes + Write.Drop(JobKeys.open(job.id))
-        val room = mostTxnOps - record.size
-        val result = store.commit(listOf(fence, condition), record + parts.take(room).map { Write.Drop(it) }, Priority.INTAKE)
+    private suspend fun commitEnd(job: Job, writes: List<Write>, precondition: Precondition): CommitResult {
+        val parts = job.partRevisions.keys.map { JobKeys.donePart(job.id, it) }
+        val record = writes + Write.Delete(JobKeys.open(job.id))
+        val room = maxTxnOps - record.size
+        val result = store.commit(listOf(fence, precondition), record + parts.take(room).map { Write.Delete(it) }, RequestPriority.HIGH)
         if (result is CommitResult.Applied) dropParts(parts.drop(room))
         return result
     }
@@ -143,7 +143,7 @@
     fun dropParts(keys: List<String>) {
         if (keys.isEmpty()) return
         scope.launch {
-            for (some in keys.chunked(mostTxnOps)) attempt(log) { store.commit(listOf(fence), some.map { Write.Drop(it) }) }
+            for (some in keys.chunked(maxTxnOps)) attempt(log) { store.commit(listOf(fence), some.map { Write.Delete(it) }) }
         }
     }
 
@@ -155,11 +155,11 @@
         scope.launch {
             val key = JobKeys.open(job.id)
             val read = attempt(log) { Result.success(store.get(key)) } ?: return@launch
-            val parts = attempt(log) { store.listAll("${JobKeys.DONE_PREFIX}${job.id}/").items } ?: return@launch
+            val parts = attempt(log) { store.listAll("${JobKeys.DONE_PREFIX}${job.id}/").entries } ?: return@launch
             onLeaderLoop {
-                val item = read.getOrNull()
-                onChange(Change(key, item?.value, item?.version ?: 0L))
-                if (item != null) parts.forEach { takeDone(job, it, it.key.substringAfterLast('/').toInt()) }
+                val entry = read.getOrNull()
+                onChange(KeyChange(key, entry?.value, entry?.revision ?: 0L))
+                if (entry != null) parts.forEach { takeDone(job, it, it.key.substringAfterLast('/').toInt()) }
             }
         }
     }
@@ -167,7 +167,7 @@
     fun dropCancelled(job: Job) {
         job.writingDone = true
         scope.launch {
-            val result = attempt(log) { commitEnd(job, emptyList(), Condition(JobKeys.open(job.id), job.version)) }
+            val result = attempt(log) { commitEnd(job, emptyList(), Precondition(JobKeys.open(job.id), job.revision)) }
             onLeaderLoop {
                 job.writingDone = false
                 when (result) {
@@ -180,10 +180,10 @@
     }
 
     /** Takes a stored part of a done set. */
-    fun takeDone(job: Job, item: Item, part: Int) {
+    fun takeDone(job: Job, entry: Entry, part: Int) {
         val set = BitSet()
-        DoneSet.decodePart(item.value.text("bits"), part, set)
-        job.partVersions[part] = item.version
+        CompletedTasks.decodePart(entry.value.text("bits"), part, set)
+        job.partRevisions[part] = entry.revision
         set.stream().forEach { job.markDone(it) }
     }
 
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -8,32 +8,32 @@
 import linemast.admission.AdmissionLeader
 import linemast.admission.Flow
 import linemast.admission.FlowClassifier
-import linemast.admission.StartTurns
-import linemast.autoscaling.Provisioner
+import linemast.admission.FlowRoundRobin
+import linemast.autoscaling.Autoscaler
 import linemast.cloud.Cloud
-import linemast.cloud.DirectExecutor
+import linemast.cloud.DirectCloudActionExecutor
 import linemast.cloud.Fleet
+import linemast.domain.Heartbeat
 import linemast.domain.Job
+import linemast.domain.JobOutcome
 import linemast.domain.JobProgress
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.Report
-import linemast.domain.Verdict
 import linemast.duties.DutyHolder
-import linemast.leadership.Authority
-import linemast.leadership.CancellationKnowledge
+import linemast.leadership.CancellationFreshness
+import linemast.leadership.LeaderLease
 import linemast.peers.PeerView
 import linemast.planning.Planner
 import linemast.planning.TaskTimes
 import linemast.recovery.Recovery
 import linemast.recovery.RecoveryStore
-import linemast.scheduling.AllowedCommands
 import linemast.scheduling.Cluster
-import linemast.scheduling.Effects
+import linemast.scheduling.ClusterEffects
+import linemast.scheduling.CommandPermission
 import linemast.settings.Features
 import linemast.settings.Policy
 import linemast.settings.Settings
-import linemast.store.Store
+import linemast.store.KeyValueStore
 import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
@@ -45,17 +45,17 @@
 class Leader(
     private val settings: Settings,
     policy: Policy,
-    store: Store,
+    store: KeyValueStore,
     cloud: Cloud,
     private val clock: Clock,
-    private val authority: Authority,
-    graceMicros: Long,
+    private val leaderLease: LeaderLease,
+    degradedModeMicros: Long,
     private val scope: CoroutineScope,
     private val wallMicros: () -> Long,
     private val peers: PeerView,
     types: () -> List<MachineType>?,
     features: Features = Features(),
-) : Effects {
+) : ClusterEffects {
     private val log = LoggerFactory.getLogger(Leader::class.java)
 
     /** A connection has one report under way, so that all of them have room: none is turned away for a burst. */
@@ -63,100 +63,116 @@
     private val limits = settings.stateLimits
     private val times = TaskTimes()
     private val planner = Planner(settings, policy, times)
-    private val knowledge = CancellationKnowledge(settings.workers)
+    private val cancellationFreshness = CancellationFreshness(settings.workers)
     private val flows = FlowClassifier(settings.objectives)
     private val recovery = features.recovery?.let(::Recovery)
-    private val startTurns = features.admission?.let { StartTurns(flows) }
-    private val cluster =
-        Cluster(settings, authority.fencingToken, graceMicros, this, times, planner, wallMicros, clock, knowledge, startTurns, recovery)
+    private val startTurns = features.admission?.let { FlowRoundRobin(flows) }
+    private val cluster = Cluster(
+        settings,
+        leaderLease.fencingToken,
+        degradedModeMicros,
+        this,
+        times,
+        planner,
+        wallMicros,
+        clock,
+        cancellationFreshness,
+        startTurns,
+        recovery,
+    )
     private val recoveryStore = recovery?.let {
-        RecoveryStore(store, authority, clock, wallMicros, it, cluster::settled, events::send)
+        RecoveryStore(store, leaderLease, clock, wallMicros, it, cluster::isReconciled, events::send)
     }
-    private val fleet = Fleet(settings, policy, authority.fencingToken)
-    private val provisioner = Provisioner(cluster, fleet, planner, policy)
+    private val fleet = Fleet(settings, policy, leaderLease.fencingToken)
+    private val autoscaler = Autoscaler(cluster, fleet, planner, policy)
     private val jobStore: JobStore = JobStore(
         store,
         scope,
-        authority,
+        leaderLease,
         { cluster },
-        limits.mostTxnOps,
+        limits.maxTxnOps,
         events::send,
         onChange = { storedJobs.openChanged(it) },
-        onDone = { pipelines.over(it.id, Verdict.DONE) },
+        onDone = { dependencyCoordinator.over(it.id, JobOutcome.DONE) },
     )
-    private val pipelines: PipelineCoordinator = PipelineCoordinator(
+    private val dependencyCoordinator: DependencyCoordinator = DependencyCoordinator(
         store,
         scope,
-        authority,
+        leaderLease,
         { cluster },
-        limits.mostTxnOps,
+        limits.maxTxnOps,
         wallMicros,
         clock::nowMicros,
         events::send,
     )
-    private val fleetStore = FleetStore(store, scope, authority, { cluster.types }, limits.mostValueBytes, events::send)
-    private val standingFleetStore = StandingFleetStore(
+    private val machineRegistryStore =
+        MachineRegistryStore(store, scope, leaderLease, { cluster.types }, limits.maxValueBytes, events::send)
+    private val baselineFleetStore = BaselineFleetStore(
         store,
         cloud,
         clock,
-        authority,
-        limits.mostValueBytes,
-        limits.mostTxnOps,
+        leaderLease,
+        limits.maxValueBytes,
+        limits.maxTxnOps,
         settings.cloudLimits.listLagMicros,
     )
-    private val duties = features.duties?.let { DutyHolder(it, store, cloud, clock, wallMicros, authority, limits) }
+    private val duties = features.duties?.let { DutyHolder(it, store, cloud, clock, wallMicros, leaderLease, limits) }
     private val cloudOperations =
         CloudOperations(
             cloud,
-            duties ?: DirectExecutor(cloud),
+            duties ?: DirectCloudActionExecutor(cloud),
             clock,
             scope,
-            authority,
+            leaderLease,
             cluster,
             fleet,
-            provisioner,
-            fleetStore,
-            standingFleetStore,
+            autoscaler,
+            machineRegistryStore,
+            baselineFleetStore,
             settings.cloudLimits.rps,
             events::send,
         )
-    private val inheritedActions = duties?.let { InheritedActions(it, cluster, fleet, cloudOperations, scope, events::send) }
+    private val inheritedActions = duties?.let { InheritedIntents(it, cluster, fleet, cloudOperations, scope, events::send) }
     private val admission = features.admission?.let {
-        AdmissionLeader(store, clock, authority, it, it.capacity(limits), limits.mostValueBytes, ::openJobs)
+        AdmissionLeader(store, clock, leaderLease, it, it.capacity(limits), limits.maxValueBytes, ::openJobs)
     }
-    private val usageLog = UsageLog(cluster, fleet)
-    private val planStore = PlanStore(store, scope, authority, planner, limits.mostValueBytes, wallMicros)
+    private val utilizationLog = UtilizationLog(cluster, fleet)
+    private val planStore = PlanStore(store, scope, leaderLease, planner, limits.maxValueBytes, wallMicros)
     private val storedJobs: StoredJobs =
-        StoredJobs(store, clock, cluster, { jobStore }, fleetStore, { pipelines }, knowledge, types, events::send)
+        StoredJobs(store, clock, cluster, {
+            jobStore
+        }, machineRegistryStore, { dependencyCoordinator }, cancellationFreshness, types, events::send)
     private var loaded = false
     private val peersKnowing = HashSet<String>()
 
-    /** The answer to [report], which renews the worker's lease; null if there must be none. */
-    suspend fun answer(report: Report): ReportAnswer? {
-        if (report.fencingToken > authority.fencingToken) return null
-        val reply = CompletableDeferred<ReportAnswer?>()
+    /** The answer to [heartbeat], which renews the worker's lease; null if there must be none. */
+    suspend fun answer(heartbeat: Heartbeat): HeartbeatResponse? {
+        if (heartbeat.fencingToken > leaderLease.fencingToken) return null
+        val reply = CompletableDeferred<HeartbeatResponse?>()
         // Reports wait until the store has been read: nothing is renewed by a leader that knows no cancellation.
         val taken = events.trySend {
             val now = clock.nowMicros()
-            val commands = if (!mayRenew(now) || isCutOff(now)) null else cluster.report(report, now, allowedCommands(now))
-            reply.complete(commands?.let { ReportAnswer(authority.fencingToken, it, knowledge, authority) })
+            val commands = if (!mayRenew(now) || isCutOff(now)) null else cluster.heartbeat(heartbeat, now, allowedCommands(now))
+            reply.complete(commands?.let { HeartbeatResponse(leaderLease.fencingToken, it, cancellationFreshness, leaderLease) })
         }
         return if (taken.isSuccess) reply.await() else null
     }
 
-    private fun mayRenew(nowMicros: Long) = authority.mayAnswer(nowMicros) && nowMicros < knowledge.renewsUntilMicros
+    private fun mayRenew(nowMicros: Long) =
+        leaderLease.mayAnswerHeartbeats(nowMicros) && nowMicros < cancellationFreshness.renewalsAllowedUntilMicros
 
-    private fun allowedCommands(nowMicros: Long): AllowedCommands = when {
-        !authority.mayCommand(nowMicros) -> AllowedCommands.NO_COMMANDS
-        nowMicros < knowledge.startsUntilMicros -> AllowedCommands.ALL
-        else -> AllowedCommands.NO_STARTS
+    private fun allowedCommands(nowMicros: Long): CommandPermission = when {
+        !leaderLease.mayIssueCommands(nowMicros) -> CommandPermission.NO_COMMANDS
+        nowMicros < cancellationFreshness.startsAllowedUntilMicros -> CommandPermission.ALL
+        else -> CommandPermission.NO_STARTS
     }
 
     /**
      * Neither the store nor a peer answers: most likely this controller is cut off, and another one leads. In an
      * outage of the store alone the peers are still heard. Workers are better sent away than held in grace.
      */
-    private fun isCutOff(nowMicros: Long): Boolean = !authority.mayCommand(nowMicros) && settings.members.isNotEmpty() && !peers.hearsAny
+    private fun isCutOff(nowMicros: Long): Boolean =
+        !leaderLease.mayIssueCommands(nowMicros) && settings.members.isNotEmpty() && !peers.hasReachablePeer
 
     /**
      * Gives the leadership away when the workers do not get through to this controller but to others: as long as it
@@ -165,25 +181,25 @@
     private fun leaveIfWorkersAreLost(nowMicros: Long) {
         if (!cluster.hasLostWorkers(nowMicros) || !peers.workersAskElsewhere) return
         log.info("workers turn to other controllers and do not get through here: giving the leadership away")
-        authority.abdicate()
+        leaderLease.stepDown()
     }
 
     /** Attempt numbers belong to a fencing token: with the next one there are as many again. */
     private fun leaveIfAttemptsAreUsedUp() {
-        if (!cluster.attemptNumbers.isNearlyExhausted || authority.abdicated) return
+        if (!cluster.attemptNumbers.isNearlyExhausted || leaderLease.hasSteppedDown) return
         log.info("attempt numbers are nearly used up: giving the leadership away")
-        authority.abdicate()
+        leaderLease.stepDown()
     }
 
     /** Another controller knows of [fencingToken]. Once all others know this term's, no earlier one can go on. */
     fun peerKnows(node: String, fencingToken: Long) {
-        if (fencingToken < authority.fencingToken || !peersKnowing.add(node)) return
-        endEarlierGraceIfKnown()
+        if (fencingToken < leaderLease.fencingToken || !peersKnowing.add(node)) return
+        endPreviousLeadersIfKnown()
     }
 
-    private fun endEarlierGraceIfKnown() {
+    private fun endPreviousLeadersIfKnown() {
         if (!loaded || !peersKnowing.containsAll(settings.members.map { it.nodeName })) return
-        events.trySend { cluster.endEarlierGrace(clock.nowMicros()) }
+        events.trySend { cluster.endPreviousLeaders(clock.nowMicros()) }
     }
 
     /** Counts of a job's tasks; null if the job is not known here. */
@@ -197,7 +213,7 @@
         storedJobs.load()
         inheritedActions?.takeOver()
         loaded = true
-        endEarlierGraceIfKnown()
+        endPreviousLeadersIfKnown()
         storedJobs.watch(scope)
         scope.launch { tickRegularly() }
         admission?.let { scope.launch { it.run() } }
@@ -221,15 +237,15 @@
 
     private fun tick() {
         val now = clock.nowMicros()
-        if (!authority.mayCommand(now)) return
+        if (!leaderLease.mayIssueCommands(now)) return
         leaveIfWorkersAreLost(now)
         leaveIfAttemptsAreUsedUp()
-        pipelines.step()
+        dependencyCoordinator.step()
         cluster.tick(now)
-        usageLog.step(now)
-        cloudOperations.run(provisioner.step(wallMicros(), now))
-        if (provisioner.freshPlan) {
-            provisioner.freshPlan = false
+        utilizationLog.step(now)
+        cloudOperations.run(autoscaler.step(wallMicros(), now))
+        if (autoscaler.freshPlan) {
+            autoscaler.freshPlan = false
             planStore.write(cluster.jobs.values)
         }
     }
@@ -240,12 +256,12 @@
 
     override fun dropCancelled(job: Job) = jobStore.dropCancelled(job)
 
-    override fun storeMachines(machines: List<Machine>) = fleetStore.add(machines) {
-        machines.forEach { it.onRecord = true }
+    override fun storeMachines(machines: List<Machine>) = machineRegistryStore.add(machines) {
+        machines.forEach { it.isRegistered = true }
         cluster.dirty = true
     }
 
-    override fun dropMachines(names: List<String>) = fleetStore.remove(names)
+    override fun dropMachines(names: List<String>) = machineRegistryStore.remove(names)
 
     private companion object {
         const val TICK_MILLIS = 250L
--- a/src/main/kotlin/linemast/control/PlanStore.kt
+++ b/src/main/kotlin/linemast/control/PlanStore.kt
@@ -3,20 +3,20 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import linemast.domain.Job
-import linemast.leadership.Authority
+import linemast.leadership.LeaderLease
 import linemast.planning.Planner
 import linemast.serialization.Cbor
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.KeyValueStore
+import linemast.store.RequestPriority
 import linemast.store.Write
 import linemast.store.attempt
 import org.slf4j.LoggerFactory
 
 /** Writes the plans as they stand to the store, for operators to read: as many jobs as fit a value. Nothing reads them back. */
 internal class PlanStore(
-    private val store: Store,
+    private val store: KeyValueStore,
     private val scope: CoroutineScope,
-    private val authority: Authority,
+    private val leaderLease: LeaderLease,
     private val planner: Planner,
     private val maxValueBytes: Int,
     private val wallMicros: () -> Long,
@@ -30,7 +30,7 @@
             while (plans.isNotEmpty() && Cbor.jsonSize(value(plans)) > maxValueBytes) {
                 plans = plans.dropLast((plans.size + DROPPED_PARTS - 1) / DROPPED_PARTS)
             }
-            attempt(log) { store.commit(listOf(authority.fence), listOf(Write.Put(KEY, value(plans))), Priority.BACKGROUND) }
+            attempt(log) { store.commit(listOf(leaderLease.fence), listOf(Write.Put(KEY, value(plans))), RequestPriority.BACKGROUND) }
         }
     }
 
@@ -40,7 +40,7 @@
         val plan = planner.planOf(job) ?: return null
         return mapOf(
             "job" to job.id,
-            "owned" to plan.owned.map { Math.round(it) },
+            "owned" to plan.baseline.map { Math.round(it) },
             "rented" to plan.rented.map { Math.round(it) },
             "backup" to Math.round(plan.backup),
             "top_up" to Math.round(plan.topUp),
--- a/src/main/kotlin/linemast/control/StoredJobs.kt
+++ b/src/main/kotlin/linemast/control/StoredJobs.kt
@@ -3,17 +3,17 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import linemast.domain.JobOutcome
 import linemast.domain.MachineType
-import linemast.domain.Verdict
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
-import linemast.leadership.CancellationKnowledge
+import linemast.leadership.CancellationFreshness
 import linemast.scheduling.Cluster
 import linemast.serialization.MalformedException
-import linemast.store.Change
-import linemast.store.Item
-import linemast.store.Page
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.EntryPage
+import linemast.store.KeyChange
+import linemast.store.KeyValueStore
 import linemast.store.StoreException
 import linemast.store.WatchResult
 import linemast.store.listAll
@@ -24,16 +24,16 @@
 /**
  * Reads what the store holds of jobs and machines when a term begins, and watches the jobs from there on.
  *
- * Each answered watch tells up to when every cancellation is known, see [CancellationKnowledge].
+ * Each answered watch tells up to when every cancellation is known, see [CancellationFreshness].
  */
 internal class StoredJobs(
-    private val store: Store,
+    private val store: KeyValueStore,
     private val clock: Clock,
     private val cluster: Cluster,
     private val jobStore: () -> JobStore,
-    private val fleetStore: FleetStore,
-    private val pipelines: () -> PipelineCoordinator,
-    private val knowledge: CancellationKnowledge,
+    private val machineRegistryStore: MachineRegistryStore,
+    private val dependencyCoordinator: () -> DependencyCoordinator,
+    private val cancellationFreshness: CancellationFreshness,
     private val types: () -> List<MachineType>?,
     /** Runs an action on the coroutine that owns the cluster state. */
     private val onLeaderLoop: suspend (() -> Unit) -> Unit,
@@ -68,31 +68,40 @@
         val open = store.listAll(JobKeys.OPEN_PREFIX)
         val waiting = store.listAll(JobKeys.WAITING_PREFIX)
         val done = store.listAll(JobKeys.DONE_PREFIX)
-        val machines = fleetStore.load()
-        val records = open.items.map { JobRecordCodec.decodeJob(it.value) to it.version }
+        val machines = machineRegistryStore.load()
+        val records = open.entries.map { JobRecordCodec.decodeJob(it.value) to it.revision }
         cluster.load(records, machines, clock.nowMicros())
-        takeDoneParts(done.items)
-        pipelines().load(waiting.items)
+        takeDoneParts(done.entries)
+        dependencyCoordinator().load(waiting.entries)
         openRevision = open.revision
         waitingRevision = waiting.revision
-        knowledge.readAt(sentMicros)
+        cancellationFreshness.refreshedAt(sentMicros)
         log.info("read {} open jobs and {} machines from the store", records.size, machines.size)
     }
 
     /** Parts of jobs that are over were left by a leader that ended before it had dropped them. */
-    private fun takeDoneParts(items: List<Item>) {
+    private fun takeDoneParts(entries: List<Entry>) {
         val left = ArrayList<String>()
-        for (item in items) {
-            val (id, part) = item.key.removePrefix(JobKeys.DONE_PREFIX).split('/')
+        for (entry in entries) {
+            val (id, part) = entry.key.removePrefix(JobKeys.DONE_PREFIX).split('/')
             val job = cluster.jobs[id]
-            if (job == null) left += item.key else jobStore().takeDone(job, item, part.toInt())
+            if (job == null) left += entry.key else jobStore().takeDone(job, entry, part.toInt())
         }
         jobStore().dropParts(left)
     }
 
     /** Starts watching what [load] has read. */
     fun watch(scope: CoroutineScope) {
-        scope.launch { watchPrefix(JobKeys.OPEN_PREFIX, openRevision, OPEN_WATCH_MICROS, ::openChanged, ::openListed, knowledge::readAt) }
+        scope.launch {
+            watchPrefix(
+                JobKeys.OPEN_PREFIX,
+                openRevision,
+                OPEN_WATCH_MICROS,
+                ::openChanged,
+                ::openListed,
+                cancellationFreshness::refreshedAt,
+            )
+        }
         scope.launch { watchPrefix(JobKeys.WAITING_PREFIX, waitingRevision, WAITING_WATCH_MICROS, ::waitingChanged, ::waitingListed) }
     }
 
@@ -100,8 +109,8 @@
         prefix: String,
         firstRevision: Long,
         waitMicros: Long,
-        onChanges: (List<Change>) -> Unit,
-        onListed: (Page) -> Unit,
+        onChanges: (List<KeyChange>) -> Unit,
+        onListed: (EntryPage) -> Unit,
         /** Told when the call was sent whose answer has been taken. */
         onRead: (Long) -> Unit = {},
     ) {
@@ -133,21 +142,21 @@
         }
     }
 
-    private fun openChanged(changes: List<Change>) = changes.forEach(::openChanged)
+    private fun openChanged(changes: List<KeyChange>) = changes.forEach(::openChanged)
 
-    private fun openListed(page: Page) = page.items.forEach { cluster.putJob(JobRecordCodec.decodeJob(it.value), it.version) }
+    private fun openListed(page: EntryPage) = page.entries.forEach { cluster.putJob(JobRecordCodec.decodeJob(it.value), it.revision) }
 
-    private fun waitingChanged(changes: List<Change>) = changes.forEach(pipelines()::changed)
+    private fun waitingChanged(changes: List<KeyChange>) = changes.forEach(dependencyCoordinator()::changed)
 
-    private fun waitingListed(page: Page) = pipelines().reload(page.items)
+    private fun waitingListed(page: EntryPage) = dependencyCoordinator().reload(page.entries)
 
     /** Takes a change of an open job's record. */
-    fun openChanged(change: Change) {
+    fun openChanged(change: KeyChange) {
         val value = change.value ?: return cluster.dropJob(change.key.removePrefix(JobKeys.OPEN_PREFIX))
         try {
             val record = JobRecordCodec.decodeJob(value)
-            cluster.putJob(record, change.version)
-            if (record.cancelled) pipelines().over(record.spec.id, Verdict.CANCELLED)
+            cluster.putJob(record, change.revision)
+            if (record.cancelled) dependencyCoordinator().over(record.spec.id, JobOutcome.CANCELLED)
         } catch (e: MalformedException) {
             log.error("{}: malformed record: {}", change.key, e.message)
         }
--- a/src/main/kotlin/linemast/control/UsageLog.kt
+++ b/src/main/kotlin/linemast/control/UtilizationLog.kt
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory
 
 /** Logs now and then, at `debug`, what the machines are paid for: running tasks, image fetches, saves, boots, idle room. */
-internal class UsageLog(private val cluster: Cluster, private val fleet: Fleet) {
-    private val log = LoggerFactory.getLogger(UsageLog::class.java)
+internal class UtilizationLog(private val cluster: Cluster, private val fleet: Fleet) {
+    private val log = LoggerFactory.getLogger(UtilizationLog::class.java)
     private var loggedMicros = Long.MIN_VALUE / 2
 
     /** Logs a line if the last one is old enough and the level asks for it. */
@@ -21,8 +21,8 @@
             .fold(0.0) { vcpus, placement -> vcpus + (placement.job?.spec?.vcpus ?: 0.0) }
         log.debug(
             "usage: {} owned, {} ordinary, {} spot, {} booting; vcpus {} in all, {} running, {} fetching, {} saving, {} sent, {} idle",
-            machines.count { it.owned },
-            machines.count { !it.owned && !it.spot },
+            machines.count { it.baseline },
+            machines.count { !it.baseline && !it.spot },
             machines.count { it.spot },
             booting,
             machines.sumOf { it.type.vcpus }.toInt(),
@@ -36,7 +36,7 @@
             "usage: {} jobs, {} tasks pending, {} of them within a guarantee",
             cluster.jobs.size,
             cluster.jobs.values.sumOf { it.pendingCount },
-            cluster.jobs.values.sumOf { if (it.guaranteed) it.pendingCount else 0 },
+            cluster.jobs.values.sumOf { if (it.withinQuota) it.pendingCount else 0 },
         )
     }
 
--- a/src/main/kotlin/linemast/domain/Report.kt
+++ b/src/main/kotlin/linemast/domain/Heartbeat.kt
@@ -51,22 +51,22 @@
 data class TaskAttempt(val task: TaskId, val attempt: Long)
 
 /** One task in a worker's report. */
-class TaskReport(val task: TaskId, val attempt: Long, val status: TaskState, val cause: EndCause?, val saved: Boolean) {
+class TaskStatus(val task: TaskId, val attempt: Long, val status: TaskState, val cause: EndCause?, val saved: Boolean) {
     val key = TaskAttempt(task, attempt)
 }
 
 /** What a worker says of itself. */
-class Report(
+class Heartbeat(
     val machineName: String,
     val addr: String,
     val machineType: String,
     val zone: String,
     val spot: Boolean,
-    val session: Long,
-    val sequence: Long,
+    val incarnation: Long,
+    val sequenceNumber: Long,
     val fencingToken: Long,
     val preemptionNoticeMicros: Long?,
-    val tasks: List<TaskReport>,
+    val tasks: List<TaskStatus>,
 )
 
 /** A command to a worker; they travel only in the answer to a report. */
--- a/src/main/kotlin/linemast/domain/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -4,11 +4,11 @@
 import java.util.BitSet
 
 /** An unfinished job as the leader sees it. */
-class Job(record: OpenRecord, version: Long, inherited: Boolean) {
+class Job(record: JobRecord, revision: Long, inherited: Boolean) {
     val spec = record.spec
 
     /** Whether tasks that an earlier leader started may be on machines that this one has not heard from. */
-    var unseen = inherited
+    var unconfirmed = inherited
     val id: String get() = spec.id
     val acceptedWallMicros = record.acceptedWallMicros
 
@@ -22,7 +22,7 @@
     var neededByWallMicros: Long? = null
 
     /** Revision of its record in the store that the leader last saw. */
-    var version = version
+    var revision = revision
 
     /** How far the store knows that tasks may have been started. */
     enum class Opened { NO, STORING, YES }
@@ -44,7 +44,7 @@
     var doneStoredMicros = 0L
 
     /** Revisions of the stored parts: each write builds on them, so that a late one cannot undo a newer one. */
-    val partVersions = HashMap<Int, Long>()
+    val partRevisions = HashMap<Int, Long>()
     var finished = false
 
     /** All that may be on a machine, or is assigned to one. */
@@ -65,13 +65,13 @@
     var gangRan = false
 
     /** Why it was last held back, for the log. */
-    var blockedBy: String? = null
+    var pendingReason: String? = null
 
     /** Within its team's guarantee, together with the team's earlier jobs. */
-    var guaranteed = false
+    var withinQuota = false
 
     /** Accepted long ago and no task of it has been started yet. */
-    var waitsLong = false
+    var isStarving = false
     var failures = 0
     val failedOn = HashSet<String>()
     var backOffUntilMicros = 0L
--- a/src/main/kotlin/linemast/domain/JobRecord.kt
+++ b/src/main/kotlin/linemast/domain/JobRecord.kt
@@ -1,26 +1,26 @@
 package linemast.domain
 
 /** The outcome of a job as the store holds it: every answer to a user is derived from it. */
-enum class Verdict {
+enum class JobOutcome {
     OPEN,
     DONE,
     CANCELLED,
     ;
 
     /** Whether the outcome never changes again. */
-    val isFinal: Boolean get() = this != OPEN
+    val isTerminal: Boolean get() = this != OPEN
 }
 
 /** The stored outcome of a job, which is kept forever. */
-class VerdictRecord(
-    val verdict: Verdict,
+class OutcomeRecord(
+    val outcome: JobOutcome,
     val taskCount: Int,
     /** The jobs that this one depends on; meaningless once the outcome is terminal. */
     val dependencies: List<String> = emptyList(),
 )
 
 /** The stored record of a job that is neither done nor cancelled: released to the scheduler, or blocked by its dependencies. */
-class OpenRecord(
+class JobRecord(
     val spec: JobSpec,
     /** Time of day of the submission; precise enough to order jobs and to count deadlines from. */
     val acceptedWallMicros: Long,
@@ -32,12 +32,12 @@
 ) {
     /** A copy with other flags. */
     fun with(opened: Boolean = this.opened, cancelled: Boolean = this.cancelled) =
-        OpenRecord(spec, acceptedWallMicros, opened, cancelled, releasedWallMicros)
+        JobRecord(spec, acceptedWallMicros, opened, cancelled, releasedWallMicros)
 
     /** A copy that may start from now on; the dependencies are dropped, since they no longer matter. */
     fun released(wallMicros: Long) =
-        OpenRecord(spec.copy(dependencies = emptyList()), acceptedWallMicros, opened = true, cancelled, wallMicros)
+        JobRecord(spec.copy(dependencies = emptyList()), acceptedWallMicros, opened = true, cancelled, wallMicros)
 
     /** A copy that names only known machine types, so that the record fits a stored value. */
-    fun within(types: Collection<MachineType>) = OpenRecord(spec.within(types), acceptedWallMicros, opened, cancelled, releasedWallMicros)
+    fun within(types: Collection<MachineType>) = JobRecord(spec.within(types), acceptedWallMicros, opened, cancelled, releasedWallMicros)
 }
--- a/src/main/kotlin/linemast/domain/Machine.kt
+++ b/src/main/kotlin/linemast/domain/Machine.kt
@@ -33,10 +33,10 @@
     var stopSent = false
 
     /** The first of a job after a long wait: not stopped to make room, or it might never get further. */
-    var spared = false
+    var exemptFromPreemption = false
 
     /** The job it makes room for. */
-    var stoppedFor: Job? = null
+    var preemptedFor: Job? = null
 
     val key = TaskAttempt(task, attempt)
 
@@ -47,14 +47,14 @@
 /** A machine whose worker has reported, or that is on record as one that may run tasks. */
 class Machine(val name: String, val type: MachineType, val zone: String, val spot: Boolean) {
     val shape = MachineShape(type, zone, spot)
-    var session = 0L
-    var sequence = 0L
+    var incarnation = 0L
+    var sequenceNumber = 0L
 
     /** Highest fencing token the worker has shown. */
     var fencingToken = 0L
 
     /** When the last report came that was newer than all before it; 0 if none came to this leader. */
-    var reportedMicros = 0L
+    var lastHeartbeatMicros = 0L
 
     /** From here on its worker has surely ended its session, unless another report is answered. */
     var leaseEndMicros = 0L
@@ -65,101 +65,111 @@
     var inherited = false
 
     /** Whether the answer to its report before the last one reached it; without that no start is sent. */
-    var hears = false
+    var acknowledgesResponses = false
 
     /** Since when its reports come but no answer seems to reach it; 0 while that is not so. */
-    var deafSinceMicros = 0L
+    var unacknowledgedSinceMicros = 0L
 
     /** The latest report that was older than one before it: see [restarted]. */
-    private var olderSession = 0L
-    private var olderSequence = 0L
+    private var olderIncarnation = 0L
+    private var olderSequenceNumber = 0L
     private var olderMicros = 0L
 
     /**
-     * Whether [report] is newer than all before it, and surely of the same worker.
+     * Whether [heartbeat] is newer than all before it, and surely of the same worker.
      *
      * A machine that was back at once counts from the start again, and a late copy from before then counts further.
      * It shows in one of these: a fencing token below one shown before, which a worker never forgets; more reports than a worker
      * sends in the time; a session that the earlier worker had reached, or one that cannot have begun yet.
      */
-    fun isNewer(report: Report, nowMicros: Long): Boolean {
-        if (report.session < session || (report.session == session && report.sequence <= sequence)) return false
-        if (reportedMicros == 0L) return true
-        val most = (nowMicros - reportedMicros) / LEAST_BETWEEN_MICROS + MOST_HELD_BACK
-        val plausible = if (report.session ==
-            session
+    fun isNewer(heartbeat: Heartbeat, nowMicros: Long): Boolean {
+        if (heartbeat.incarnation < incarnation ||
+            (heartbeat.incarnation == incarnation && heartbeat.sequenceNumber <= sequenceNumber)
         ) {
-            report.sequence - sequence <= most
+            return false
+        }
+        if (lastHeartbeatMicros == 0L) return true
+        val most = (nowMicros - lastHeartbeatMicros) / MIN_BETWEEN_MICROS + MAX_HELD_BACK
+        val plausible = if (heartbeat.incarnation ==
+            incarnation
+        ) {
+            heartbeat.sequenceNumber - sequenceNumber <= most
         } else {
-            report.session > earlierSession && nowMicros >= sessionSafeMicros
+            heartbeat.incarnation > previousIncarnation && nowMicros >= incarnationSafeMicros
         }
-        return plausible && report.fencingToken >= fencingToken
+        return plausible && heartbeat.fencingToken >= fencingToken
     }
 
     /** Until then the worker's session cannot end: an answer reached it to a report sent less than a lease before. */
-    private var sessionSafeMicros = 0L
+    private var incarnationSafeMicros = 0L
 
     /** When the report before the last one came, in this session; the last one was sent after it. */
     private var beforeMicros = 0L
 
     /** The furthest session of a worker that has begun from the start since. */
-    private var earlierSession = 0L
+    private var previousIncarnation = 0L
 
     /**
-     * Whether [report], which is not newer than those before it, comes from a worker that has begun from the start.
+     * Whether [heartbeat], which is not newer than those before it, comes from a worker that has begun from the start.
      *
      * A single one may be a late copy. Two that follow each other, after the lease that the leader's records give the
      * earlier worker is over, are not: that worker would have reported, and would count further.
      */
-    fun restarted(report: Report, nowMicros: Long, mostBetweenMicros: Long): Boolean {
-        val watches = report.session == olderSession && report.sequence > olderSequence && nowMicros - olderMicros <= mostBetweenMicros
-        olderSession = report.session
-        olderSequence = report.sequence
+    fun restarted(heartbeat: Heartbeat, nowMicros: Long, maxBetweenMicros: Long): Boolean {
+        val watches =
+            heartbeat.incarnation == olderIncarnation &&
+                heartbeat.sequenceNumber > olderSequenceNumber &&
+                nowMicros - olderMicros <= maxBetweenMicros
+        olderIncarnation = heartbeat.incarnation
+        olderSequenceNumber = heartbeat.sequenceNumber
         olderMicros = nowMicros
         if (!watches || nowMicros < leaseEndMicros) return false
-        earlierSession = maxOf(earlierSession, session)
-        sessionSafeMicros = 0
+        previousIncarnation = maxOf(previousIncarnation, incarnation)
+        incarnationSafeMicros = 0
         beforeMicros = 0
         fencingToken = 0
         return true
     }
 
     /** Whether the worker counts sessions that an earlier one had reached: late copies of that one's reports look like its own. */
-    val isAmbiguous: Boolean get() = session <= earlierSession
+    val isAmbiguous: Boolean get() = incarnation <= previousIncarnation
 
     /**
-     * Whether [report] is of this session and lacks a task that this session has reported and not ended. A worker lists its
+     * Whether [heartbeat] is of this session and lacks a task that this session has reported and not ended. A worker lists its
      * tasks until it is told to acknowledge them: such a report is a late copy from before a restart, whatever it counts.
      */
-    fun contradicts(report: Report): Boolean {
-        if (report.session != session) return false
-        val listed = report.tasks.mapTo(HashSet()) { it.key }
+    fun contradicts(heartbeat: Heartbeat): Boolean {
+        if (heartbeat.incarnation != incarnation) return false
+        val listed = heartbeat.tasks.mapTo(HashSet()) { it.key }
         return placements.values.any { !it.isAssigned && it.phase != Placement.Phase.SENT && it.key !in listed }
     }
 
     /** Takes note of whether answers reach the worker, from how soon its next report came. */
-    fun heardAgain(report: Report, nowMicros: Long, mostBetweenMicros: Long, leaseMicros: Long) {
-        hears = reportedMicros > 0 && report.session == session && nowMicros - reportedMicros <= mostBetweenMicros
-        if (hears || reportedMicros == 0L) {
-            deafSinceMicros = 0
-        } else if (deafSinceMicros == 0L) {
-            deafSinceMicros = nowMicros
+    fun heardAgain(heartbeat: Heartbeat, nowMicros: Long, maxBetweenMicros: Long, leaseMicros: Long) {
+        acknowledgesResponses =
+            lastHeartbeatMicros > 0 &&
+            heartbeat.incarnation == incarnation &&
+            nowMicros - lastHeartbeatMicros <= maxBetweenMicros
+        if (acknowledgesResponses || lastHeartbeatMicros == 0L) {
+            unacknowledgedSinceMicros = 0
+        } else if (unacknowledgedSinceMicros == 0L) {
+            unacknowledgedSinceMicros = nowMicros
         }
-        if (hears && beforeMicros > 0) sessionSafeMicros = beforeMicros + leaseMicros
-        beforeMicros = if (report.session == session) reportedMicros else 0L
+        if (acknowledgesResponses && beforeMicros > 0) incarnationSafeMicros = beforeMicros + leaseMicros
+        beforeMicros = if (heartbeat.incarnation == incarnation) lastHeartbeatMicros else 0L
     }
 
     /** By task and attempt, so that two attempts of one task both count. */
     val placements = LinkedHashMap<TaskAttempt, Placement>()
 
     /** Ended tasks to be acknowledged once their result is stored. */
-    val ended = LinkedHashMap<TaskAttempt, TaskReport>()
+    val ended = LinkedHashMap<TaskAttempt, TaskStatus>()
 
     /** Whether its name is stored among those that may run tasks. */
-    var onRecord = false
+    var isRegistered = false
 
     /** Part of the standing fleet: never returned by the planner. */
-    var owned = false
+    var baseline = false
 
     /** No further starts: being returned, preempted, or found faulty. */
     var draining = false
@@ -188,7 +198,7 @@
     fun allows(spec: JobSpec): Boolean = shape.allows(spec)
 
     /** Tasks of [spec] that could be put here now, by what it has most of: an upper bound that counts vcpus alone. */
-    fun roomFor(spec: JobSpec): Int =
+    fun freeSlots(spec: JobSpec): Int =
         if (spec.vcpus <= 0) Int.MAX_VALUE / 2 else Math.floor(freeVcpus / spec.vcpus + EPSILON).toInt().coerceAtLeast(0)
 
     /** Whether a task of [job] fits what is free. */
@@ -221,9 +231,9 @@
         private const val EPSILON = 1e-6
 
         /** A worker never reports more often. */
-        private const val LEAST_BETWEEN_MICROS = 500_000L
+        private const val MIN_BETWEEN_MICROS = 500_000L
 
         /** Reports that a cut may hold back and deliver together. */
-        private const val MOST_HELD_BACK = 4L
+        private const val MAX_HELD_BACK = 4L
     }
 }
--- a/src/main/kotlin/linemast/duties/DutyHolder.kt
+++ b/src/main/kotlin/linemast/duties/DutyHolder.kt
@@ -1,18 +1,18 @@
 package linemast.duties
 
 import linemast.cloud.Cloud
+import linemast.cloud.CloudActionExecutor
 import linemast.cloud.CloudException
-import linemast.cloud.CloudExecutor
 import linemast.cloud.MACHINES_A_RETURN_CALL
-import linemast.cloud.RentRequest
-import linemast.cloud.RentResult
-import linemast.cloud.Returns
-import linemast.leadership.Authority
+import linemast.cloud.ScaleInBatch
+import linemast.cloud.ScaleOutRequest
+import linemast.cloud.ScaleOutResult
+import linemast.leadership.LeaderLease
 import linemast.serialization.Cbor
 import linemast.settings.Duty
 import linemast.settings.DutySettings
 import linemast.settings.StateLimits
-import linemast.store.Store
+import linemast.store.KeyValueStore
 import linemast.time.Clock
 
 /**
@@ -24,20 +24,20 @@
  */
 internal class DutyHolder(
     private val settings: DutySettings,
-    store: Store,
+    store: KeyValueStore,
     cloud: Cloud,
     clock: Clock,
     wallMicros: () -> Long,
-    private val authority: Authority,
+    private val leaderLease: LeaderLease,
     private val limits: StateLimits,
-) : CloudExecutor {
-    private val writer = IntentWriter(store, authority, settings.slots, limits.mostTxnOps, wallMicros)
+) : CloudActionExecutor {
+    private val writer = IntentWriter(store, leaderLease, settings.slots, limits.maxTxnOps, wallMicros)
 
     /** Carries out what this term, or an earlier one, has committed. */
-    val runner = IntentRunner(cloud, clock, wallMicros, authority, writer, settings.adoptMicros)
+    val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.adoptMicros)
 
     /** Intents of earlier terms that have not ended, as [load] has read them. */
-    val inherited: List<StoredIntent> get() = writer.log.open.filter { it.intent.id.fencingToken < authority.fencingToken }
+    val inherited: List<StoredIntent> get() = writer.log.open.filter { it.intent.id.fencingToken < leaderLease.fencingToken }
 
     /** Reads the intents in the store. To be done before the first decision of the term. */
     suspend fun load() = writer.load()
@@ -45,35 +45,35 @@
     /** Writes intents until the term ends or it is cancelled. */
     suspend fun run() = writer.run()
 
-    override suspend fun rent(request: RentRequest): RentResult {
-        if (Duty.RENT in settings.suspended) return RentResult.NoCapacity
+    override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
+        if (Duty.RENT in settings.suspended) return ScaleOutResult.NoCapacity
         val rental = CloudAction.Rental(request)
         val result = try {
-            runner.rent(writer.begin(rental), rental)
+            runner.scaleOut(writer.begin(rental), rental)
         } catch (e: DutyLostException) {
             // It is for the next holder to carry on with.
-            return RentResult.Unknown
+            return ScaleOutResult.Unknown
         }
-        if (result == RentResult.Unknown) throw CloudException("no answer to rental ${request.requestId}")
+        if (result == ScaleOutResult.Unknown) throw CloudException("no answer to rental ${request.requestId}")
         return result
     }
 
-    override fun parts(returns: Returns): List<Returns> = returns.entries.groupBy { it.value.duty }.flatMap { (duty, group) ->
+    override fun parts(returns: ScaleInBatch): List<ScaleInBatch> = returns.entries.groupBy { it.value.duty }.flatMap { (duty, group) ->
         if (duty in settings.suspended) return@flatMap emptyList()
         group.chunked(namesInValue(group.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
     }
 
-    override suspend fun giveBack(returns: Returns) {
+    override suspend fun scaleIn(returns: ScaleInBatch) {
         val names = returns.keys.toList()
         val open = writer.begin(CloudAction.Return(names, returns.values.first().duty))
-        runner.giveBack(names)
+        runner.scaleIn(names)
         runner.closeReturn(open, names.size)
     }
 
     /** As many names as fit the value of an intent, whatever else it holds. */
     private fun namesInValue(names: List<String>): Int {
         val longest = names.maxOf { Cbor.jsonSize(it) + 1 }
-        return ((limits.mostValueBytes - FRAME_BYTES) / longest).coerceIn(1, MACHINES_A_RETURN_CALL)
+        return ((limits.maxValueBytes - FRAME_BYTES) / longest).coerceIn(1, MACHINES_A_RETURN_CALL)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/duties/DutyInspection.kt
+++ b/src/main/kotlin/linemast/duties/DutyInspection.kt
@@ -2,15 +2,15 @@
 
 import linemast.leadership.LeaderKeys
 import linemast.settings.DutySettings
-import linemast.store.Store
+import linemast.store.KeyValueStore
 import linemast.store.listAll
 
 /** Reads what the store holds of single-holder duties, and reports on it. Changes nothing. */
-class DutyInspection(private val store: Store, private val settings: DutySettings, private val wallMicros: () -> Long) {
+class DutyInspection(private val store: KeyValueStore, private val settings: DutySettings, private val wallMicros: () -> Long) {
     /** The report as of now. */
     suspend fun report(): DutyReport {
         // The counter is read last: no intent that was read before it can be of a token that was not given out.
-        val log = IntentLog.empty(settings.slots).reload(store.listAll(IntentCodec.PREFIX).items)
+        val log = IntentLog.empty(settings.slots).reload(store.listAll(IntentCodec.PREFIX).entries)
         val leader = store.get(LeaderKeys.LEADER)
         val highest = store.get(LeaderKeys.FENCING_TOKEN)
         val leadership = LeadershipRecord(
--- a/src/main/kotlin/linemast/duties/DutyOfReturn.kt
+++ b/src/main/kotlin/linemast/duties/DutyOfReturn.kt
@@ -1,12 +1,12 @@
 package linemast.duties
 
-import linemast.cloud.ReturnReason
+import linemast.cloud.ScaleInReason
 import linemast.settings.Duty
 
 /** The duty that giving a machine back for this reason belongs to. */
-internal val ReturnReason.duty: Duty
+internal val ScaleInReason.duty: Duty
     get() = when (this) {
-        ReturnReason.IDLE, ReturnReason.OWNED_IDLE -> Duty.RETURN
-        ReturnReason.FAILED, ReturnReason.NEVER_UP, ReturnReason.TAKEN -> Duty.CLEAN_UP
-        ReturnReason.FAULTY, ReturnReason.PREEMPTED, ReturnReason.SILENT, ReturnReason.DEAF, ReturnReason.ABSENT -> Duty.RECLAIM
+        ScaleInReason.IDLE, ScaleInReason.BASELINE_IDLE -> Duty.RETURN
+        ScaleInReason.FAILED, ScaleInReason.NEVER_UP, ScaleInReason.TAKEN -> Duty.CLEAN_UP
+        ScaleInReason.FAULTY, ScaleInReason.PREEMPTED, ScaleInReason.SILENT, ScaleInReason.DEAF, ScaleInReason.ABSENT -> Duty.RECLAIM
     }
--- a/src/main/kotlin/linemast/duties/DutyReport.kt
+++ b/src/main/kotlin/linemast/duties/DutyReport.kt
@@ -57,7 +57,7 @@
         appendLine(COLUMNS.joinToString("\t"))
         intents.forEach { appendLine(cells(it).joinToString("\t")) }
         findings.forEach { appendLine(line(it)) }
-        appendLine("${intents.size} actions, ${intents.count { !it.state.isFinal }} open, ${findings.size} findings")
+        appendLine("${intents.size} actions, ${intents.count { !it.state.isTerminal }} open, ${findings.size} findings")
     }
 
     /** The report as an HTML page. */
--- a/src/main/kotlin/linemast/duties/Inheritance.kt
+++ b/src/main/kotlin/linemast/duties/Inheritance.kt
@@ -5,8 +5,8 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.cloud.MACHINES_A_RETURN_CALL
-import linemast.cloud.RentRequest
-import linemast.cloud.RentResult
+import linemast.cloud.ScaleOutRequest
+import linemast.cloud.ScaleOutResult
 import org.slf4j.LoggerFactory
 
 /** What a new leader's state has to know of the intents that it inherits. Called on the coroutine that owns that state. */
@@ -18,7 +18,7 @@
     fun returned(names: List<String>)
 
     /** What became of a rental that an earlier leader asked for. */
-    fun rented(request: RentRequest, result: RentResult)
+    fun rented(request: ScaleOutRequest, result: ScaleOutResult)
 }
 
 /** Carries out what earlier leaders committed and did not end. */
@@ -35,7 +35,7 @@
     val returningNames: Set<String> get() = returns.names
 
     /** Rentals that may be carried out at any moment. */
-    val rentals: List<RentRequest> get() = inherited.mapNotNull { (it.intent.action as? CloudAction.Rental)?.request }
+    val rentals: List<ScaleOutRequest> get() = inherited.mapNotNull { (it.intent.action as? CloudAction.Rental)?.request }
 
     /** Begins the work in [scope]; it ends by itself. */
     fun start(scope: CoroutineScope) {
@@ -50,7 +50,7 @@
 
     /** Asks under the same id: the answer says what was rented, whoever asked first. */
     private suspend fun adopt(stored: StoredIntent, rental: CloudAction.Rental) = untilLost {
-        val result = holder.runner.rent(stored, rental)
+        val result = holder.runner.scaleOut(stored, rental)
         onLeaderLoop { effects.rented(rental.request, result) }
     }
 
@@ -64,7 +64,7 @@
     }
 
     private suspend fun finish(names: List<String>) {
-        holder.runner.giveBack(names)
+        holder.runner.scaleIn(names)
         onLeaderLoop { effects.returned(names) }
         for (over in returns.confirmed(names)) {
             holder.runner.closeReturn(over, (over.intent.action as CloudAction.Return).names.size)
--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -1,6 +1,6 @@
 package linemast.duties
 
-import linemast.cloud.RentRequest
+import linemast.cloud.ScaleOutRequest
 import linemast.settings.Duty
 
 /** Identifies an intent: the fencing token of the term that decided it, and its number within that term. */
@@ -15,7 +15,7 @@
     val duty: Duty
 
     /** Rents machines; the request's id makes a repetition rent nothing more. */
-    data class Rental(val request: RentRequest) : CloudAction {
+    data class Rental(val request: ScaleOutRequest) : CloudAction {
         override val duty get() = Duty.RENT
     }
 
@@ -38,7 +38,7 @@
     ABANDONED("abandoned"),
     ;
 
-    val isFinal: Boolean get() = this != OPEN
+    val isTerminal: Boolean get() = this != OPEN
 
     companion object {
         private val byStored = entries.associateBy { it.stored }
--- a/src/main/kotlin/linemast/duties/IntentAudit.kt
+++ b/src/main/kotlin/linemast/duties/IntentAudit.kt
@@ -38,7 +38,7 @@
             violation(intent, "its fencing token was never given out").takeIf { decided > leadership.highestToken },
             violation(intent, "was closed under a token that was never given out").takeIf { (closed ?: 0L) > leadership.highestToken },
             violation(intent, "was closed by a leader before the one that decided it").takeIf { closed != null && closed < decided },
-            violation(intent, "has ended, and nobody closed it").takeIf { closed == null && intent.state.isFinal },
+            violation(intent, "has ended, and nobody closed it").takeIf { closed == null && intent.state.isTerminal },
         )
     }
 
@@ -51,7 +51,7 @@
 
     /** What earlier leaders left open the present one carries out, once it can. */
     private fun age(intent: Intent, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
-        val isLeft = !intent.state.isFinal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
+        val isLeft = !intent.state.isTerminal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
         val isOld = wallMicros - intent.decidedWallMicros > adoptMicros * OLD_ADOPTIONS
         val message = "was left open by an earlier leader, and the present one has not ended it"
         return if (isLeft && isOld) listOf(AuditFinding(AuditFinding.Severity.WARNING, intent.id, message)) else emptyList()
@@ -70,7 +70,7 @@
         for (intent in intents) {
             (intent.action as? CloudAction.Return)?.names?.forEach { byMachine.getOrPut(it) { ArrayList() } += intent }
         }
-        return byMachine.filter { (_, returns) -> returns.count { !it.state.isFinal } > 1 }.map { (name, returns) ->
+        return byMachine.filter { (_, returns) -> returns.count { !it.state.isTerminal } > 1 }.map { (name, returns) ->
             val message = "$name is being returned by ${returns.map { it.id }}"
             AuditFinding(AuditFinding.Severity.WARNING, returns.last().id, message)
         }
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -1,6 +1,6 @@
 package linemast.duties
 
-import linemast.cloud.RentRequest
+import linemast.cloud.ScaleOutRequest
 import linemast.serialization.Fields
 import linemast.settings.Duty
 
@@ -30,7 +30,7 @@
         }
     }
 
-    private fun encode(request: RentRequest): Map<String, Any?> = mapOf(
+    private fun encode(request: ScaleOutRequest): Map<String, Any?> = mapOf(
         "charter" to request.requestId,
         "build" to request.machineType,
         "yard" to request.zone,
@@ -57,7 +57,7 @@
         return CloudAction.Return(names, duty)
     }
 
-    private fun request(fields: Fields) = RentRequest(
+    private fun request(fields: Fields) = ScaleOutRequest(
         requestId = fields.text("charter"),
         machineType = fields.text("build"),
         zone = fields.text("yard"),
--- a/src/main/kotlin/linemast/duties/IntentLog.kt
+++ b/src/main/kotlin/linemast/duties/IntentLog.kt
@@ -5,10 +5,10 @@
 import kotlinx.collections.immutable.persistentHashSetOf
 import kotlinx.collections.immutable.persistentMapOf
 import linemast.serialization.MalformedException
-import linemast.store.Item
+import linemast.store.Entry
 
 /** An intent as the store holds it in a slot. */
-data class StoredIntent(val slot: Int, val intent: Intent, val version: Long)
+data class StoredIntent(val slot: Int, val intent: Intent, val revision: Long)
 
 /**
  * The intents in the store's slots, as this controller knows them; pure, and immutable: each change gives a new log.
@@ -28,19 +28,19 @@
     val intents: List<StoredIntent> get() = stored.values.sortedBy { it.intent.id }
 
     /** Intents that have not ended, by their id. */
-    val open: List<StoredIntent> get() = intents.filter { !it.intent.state.isFinal }
+    val open: List<StoredIntent> get() = intents.filter { !it.intent.state.isTerminal }
 
     /** What [slot] holds; null if it is empty. */
     operator fun get(slot: Int): StoredIntent? = stored[slot]
 
     /** The version that a write of [slot] has to build on. */
-    fun versionOf(slot: Int): Long = stored[slot]?.version ?: 0L
+    fun revisionOf(slot: Int): Long = stored[slot]?.revision ?: 0L
 
     /** A slot for a new intent; null while none is free. */
     fun freeSlot(): Int? {
         val usable = (0 until slotCount).filter { it !in reserved && it !in unreadable }
         val empty = usable.firstOrNull { it !in stored }
-        return empty ?: usable.filter { stored.getValue(it).intent.state.isFinal }.minByOrNull { stored.getValue(it).intent.id }
+        return empty ?: usable.filter { stored.getValue(it).intent.state.isTerminal }.minByOrNull { stored.getValue(it).intent.id }
     }
 
     /** Keeps [slot] for a write under way. */
@@ -52,14 +52,14 @@
     /** The store holds [entry]. */
     fun put(entry: StoredIntent): IntentLog = copy(stored = stored.put(entry.slot, entry), reserved = reserved.remove(entry.slot))
 
-    /** Takes the store's [items] in place of all it knew; what is reserved stays so. */
-    fun reload(items: List<Item>): IntentLog {
+    /** Takes the store's [entries] in place of all it knew; what is reserved stays so. */
+    fun reload(entries: List<Entry>): IntentLog {
         var read = persistentMapOf<Int, StoredIntent>()
         var unreadable = persistentHashSetOf<Int>()
-        for (item in items) {
-            val slot = IntentCodec.slot(item.key) ?: continue
+        for (entry in entries) {
+            val slot = IntentCodec.slot(entry.key) ?: continue
             try {
-                read = read.put(slot, StoredIntent(slot, IntentCodec.decode(item.value), item.version))
+                read = read.put(slot, StoredIntent(slot, IntentCodec.decode(entry.value), entry.revision))
             } catch (e: MalformedException) {
                 unreadable = unreadable.add(slot)
             }
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.delay
 import linemast.cloud.Cloud
 import linemast.cloud.CloudException
-import linemast.cloud.RentResult
-import linemast.leadership.Authority
+import linemast.cloud.ScaleOutResult
+import linemast.leadership.LeaderLease
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
@@ -19,55 +19,55 @@
     private val cloud: Cloud,
     private val clock: Clock,
     private val wallMicros: () -> Long,
-    private val authority: Authority,
+    private val leaderLease: LeaderLease,
     private val writer: IntentWriter,
     private val adoptMicros: Long,
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
-    /** Repeats the rental until the cloud has answered or it is too old; [RentResult.Unknown] in the latter case. */
-    suspend fun rent(open: StoredIntent, rental: CloudAction.Rental): RentResult {
+    /** Repeats the rental until the cloud has answered or it is too old; [ScaleOutResult.Unknown] in the latter case. */
+    suspend fun scaleOut(open: StoredIntent, rental: CloudAction.Rental): ScaleOutResult {
         while (isYoung(open.intent)) {
             awaitAuthority()
             when (val result = tryRent(rental)) {
-                is RentResult.Rented -> {
+                is ScaleOutResult.Rented -> {
                     writer.close(open, IntentState.CARRIED_OUT, result.names.size)
                     return result
                 }
-                RentResult.NoCapacity -> {
+                ScaleOutResult.NoCapacity -> {
                     writer.close(open, IntentState.REFUSED, 0)
                     return result
                 }
-                RentResult.Unknown -> delay(RETRY_MILLIS)
+                ScaleOutResult.Unknown -> delay(RETRY_MILLIS)
             }
         }
         logger.info("rental {} is abandoned: no answer", rental.request.requestId)
         writer.close(open, IntentState.ABANDONED, 0)
-        return RentResult.Unknown
+        return ScaleOutResult.Unknown
     }
 
     private fun isYoung(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < adoptMicros
 
     /** A request that the cloud takes to be malformed will never be carried out. */
-    private suspend fun tryRent(rental: CloudAction.Rental): RentResult = try {
-        cloud.rent(rental.request)
+    private suspend fun tryRent(rental: CloudAction.Rental): ScaleOutResult = try {
+        cloud.scaleOut(rental.request)
     } catch (e: CloudException) {
         logger.error("rental {}: {}", rental.request.requestId, e.message)
-        RentResult.NoCapacity
+        ScaleOutResult.NoCapacity
     }
 
     /** Repeats the return of [names] until the cloud has confirmed it. */
-    suspend fun giveBack(names: List<String>) {
+    suspend fun scaleIn(names: List<String>) {
         var pauseMillis = RETRY_MILLIS
         while (true) {
             awaitAuthority()
             try {
-                return cloud.giveBack(names)
+                return cloud.scaleIn(names)
             } catch (e: CloudException) {
                 logger.info("return of {}: {}", names, e.message)
             }
             delay(pauseMillis)
-            pauseMillis = minOf(pauseMillis * 2, MOST_PAUSE_MILLIS)
+            pauseMillis = minOf(pauseMillis * 2, MAX_PAUSE_MILLIS)
         }
     }
 
@@ -75,8 +75,8 @@
     suspend fun closeReturn(open: StoredIntent, machineCount: Int) = writer.close(open, IntentState.CARRIED_OUT, machineCount)
 
     private suspend fun awaitAuthority() {
-        while (!authority.mayCommand(clock.nowMicros())) {
-            if (authority.ended) throw DutyLostException(authority.fencingToken)
+        while (!leaderLease.mayIssueCommands(clock.nowMicros())) {
+            if (leaderLease.ended) throw DutyLostException(leaderLease.fencingToken)
             delay(AUTHORITY_MILLIS)
         }
     }
@@ -85,7 +85,7 @@
         const val RETRY_MILLIS = SECOND_MICROS / 1_000
 
         /** Returns that pile up in an outage of the cloud must not use up the calls that it takes afterwards. */
-        const val MOST_PAUSE_MILLIS = 16 * RETRY_MILLIS
+        const val MAX_PAUSE_MILLIS = 16 * RETRY_MILLIS
         const val AUTHORITY_MILLIS = 100L
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -4,13 +4,13 @@
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.delay
 import linemast.cloud.CloudException
-import linemast.leadership.Authority
+import linemast.leadership.LeaderLease
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
+import linemast.store.TransactionBatcher
 import linemast.store.Write
-import linemast.store.WriteBatches
 import linemast.store.attempt
 import linemast.store.listAll
 import org.slf4j.LoggerFactory
@@ -29,8 +29,8 @@
  * however late it arrives, once another controller leads.
  */
 internal class IntentWriter(
-    private val store: Store,
-    private val authority: Authority,
+    private val store: KeyValueStore,
+    private val leaderLease: LeaderLease,
     slotCount: Int,
     maxTransactionWrites: Int,
     private val wallMicros: () -> Long,
@@ -46,7 +46,7 @@
     }
 
     private val logger = LoggerFactory.getLogger(IntentWriter::class.java)
-    private val batches = WriteBatches(maxTransactionWrites)
+    private val batches = TransactionBatcher(maxTransactionWrites)
 
     /** A slot has at most one request waiting, and no request is without a slot: the slots bound the queue. */
     private val requests = Channel<Request>(slotCount)
@@ -58,7 +58,7 @@
 
     /** Reads all slots. Late writes of earlier leaders can change none of them any more, since this term has begun. */
     suspend fun load() {
-        log = log.reload(store.listAll(IntentCodec.PREFIX).items)
+        log = log.reload(store.listAll(IntentCodec.PREFIX).entries)
         if (log.unreadable.isNotEmpty()) logger.error("slots {} hold no intent and are left alone", log.unreadable)
     }
 
@@ -66,7 +66,7 @@
     suspend fun begin(action: CloudAction): StoredIntent {
         val slot = log.freeSlot() ?: throw NoFreeSlotException()
         log = log.reserve(slot)
-        val intent = Intent(IntentId(authority.fencingToken, ++lastNumber), action, wallMicros())
+        val intent = Intent(IntentId(leaderLease.fencingToken, ++lastNumber), action, wallMicros())
         val stored = CompletableDeferred<StoredIntent>()
         requests.send(Request.Begin(intent, slot, stored))
         return stored.await()
@@ -74,7 +74,7 @@
 
     /** Has the end of an intent stored, soon. If this term ends before that, the next leader repeats the action, which does no more. */
     suspend fun close(open: StoredIntent, state: IntentState, machineCount: Int) {
-        requests.send(Request.Close(open.intent.closed(state, machineCount, authority.fencingToken), open.slot))
+        requests.send(Request.Close(open.intent.closed(state, machineCount, leaderLease.fencingToken), open.slot))
     }
 
     /** Writes what is asked for until the term ends or it is cancelled. */
@@ -94,15 +94,15 @@
     private suspend fun write(batch: List<Request>): Boolean {
         var left = batch
         while (left.isNotEmpty()) {
-            if (authority.ended) return false
+            if (leaderLease.ended) return false
             when (val result = commit(left)) {
                 is CommitResult.Applied -> {
                     left.forEach { stored(it, result.revision) }
                     return true
                 }
                 is CommitResult.Conflict -> {
-                    if (authority.fence.key in result.failed) {
-                        authority.end()
+                    if (leaderLease.fence.key in result.failed) {
+                        leaderLease.end()
                         return false
                     }
                     left = notYetStored(left)
@@ -115,8 +115,8 @@
 
     private suspend fun commit(requests: List<Request>): CommitResult? {
         val slots = requests.map { it.slot }
-        val conditions = slots.map { Condition(IntentCodec.key(it), log.versionOf(it)) }
-        return attempt(logger) { store.commit(listOf(authority.fence) + conditions, requests.map(::writeOf), Priority.INTAKE) }
+        val preconditions = slots.map { Precondition(IntentCodec.key(it), log.revisionOf(it)) }
+        return attempt(logger) { store.commit(listOf(leaderLease.fence) + preconditions, requests.map(::writeOf), RequestPriority.HIGH) }
     }
 
     /** A slot is not as it was taken to be: most likely an earlier copy of the same transaction was carried out. */
@@ -128,7 +128,7 @@
         return batch.mapNotNull { request ->
             val found = log[request.slot]
             when {
-                found?.intent == request.intent -> null.also { stored(request, found.version) }
+                found?.intent == request.intent -> null.also { stored(request, found.revision) }
                 request is Request.Begin -> elsewhere(request)
                 // The slot holds another intent, so that this one has long ended.
                 else -> request.takeIf { found?.intent?.id == request.intent.id }
@@ -148,14 +148,14 @@
         return Request.Begin(request.intent, slot, request.stored)
     }
 
-    private fun stored(request: Request, version: Long) {
-        val entry = StoredIntent(request.slot, request.intent, version)
+    private fun stored(request: Request, revision: Long) {
+        val entry = StoredIntent(request.slot, request.intent, revision)
         log = log.put(entry)
         if (request is Request.Begin) request.stored.complete(entry)
     }
 
     private fun abandon(waiting: List<Request>) {
-        val lost = DutyLostException(authority.fencingToken)
+        val lost = DutyLostException(leaderLease.fencingToken)
         requests.close(lost)
         val unanswered = waiting + generateSequence { requests.tryReceive().getOrNull() }
         unanswered.filterIsInstance<Request.Begin>().forEach { it.stored.completeExceptionally(lost) }
--- a/src/main/kotlin/linemast/jobs/DoneSet.kt
+++ b/src/main/kotlin/linemast/jobs/CompletedTasks.kt
@@ -9,7 +9,7 @@
  *
  * A part stays far below the smallest value limit, and a change rewrites only its own part.
  */
-object DoneSet {
+object CompletedTasks {
     const val PART_TASKS = 8_192
 
     /** The part that holds task [index]. */
--- a/src/main/kotlin/linemast/jobs/DependencyCheck.kt
+++ b/src/main/kotlin/linemast/jobs/DependencyCheck.kt
@@ -7,18 +7,18 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeout
 import kotlinx.coroutines.withTimeoutOrNull
-import linemast.domain.Verdict
+import linemast.domain.JobOutcome
 import linemast.store.StoreException
 
 /**
  * Tells whether a job depends on a cancelled one, directly or through others, whatever their number and depth.
  *
  * Such a job cannot have started, so any controller may cancel it too, without the leader. The dependencies of a job never
- * change, and an open verdict counts for [VerdictReader.recent]'s time; so a cancellation is found by every check that begins
+ * change, and an open verdict counts for [OutcomeReader.recent]'s time; so a cancellation is found by every check that begins
  * that long after it was confirmed. After [MAX_SINGLE_READS] reads of single records the check lists all open jobs instead:
  * neither a long chain nor a wide fan takes a call for each job.
  */
-internal class DependencyCheck(private val verdicts: VerdictReader, private val scope: CoroutineScope, private val timeoutMicros: Long) {
+internal class DependencyCheck(private val outcomes: OutcomeReader, private val scope: CoroutineScope, private val timeoutMicros: Long) {
     private val running = HashMap<Set<String>, CompletableDeferred<Result<Boolean>>>()
 
     /**
@@ -31,7 +31,7 @@
         val key = dependencies.toSet()
         val check = running[key] ?: start(key)
         val result = withTimeoutOrNull(CALLER_PATIENCE_MILLIS) { check.await() }
-        return result?.getOrThrow() ?: throw StoreException("the dependencies are still being read", mayHaveRun = false)
+        return result?.getOrThrow() ?: throw StoreException("the dependencies are still being read", mayHaveExecuted = false)
     }
 
     private fun start(dependencies: Set<String>): CompletableDeferred<Result<Boolean>> {
@@ -44,7 +44,7 @@
                 Result.failure(e)
             } catch (e: CancellationException) {
                 // The controller stops; that must not cancel those who only wait for this check.
-                Result.failure(StoreException("stopping", mayHaveRun = false))
+                Result.failure(StoreException("stopping", mayHaveExecuted = false))
             }
             running.remove(dependencies)
             check.complete(result)
@@ -55,7 +55,7 @@
     private suspend fun walk(dependencies: Collection<String>): Boolean = try {
         withTimeout(timeoutMicros / MICROS_PER_MILLI) { findCancelled(dependencies) }
     } catch (e: TimeoutCancellationException) {
-        throw StoreException("the dependencies could not be read in time", mayHaveRun = false)
+        throw StoreException("the dependencies could not be read in time", mayHaveExecuted = false)
     }
 
     private suspend fun findCancelled(dependencies: Collection<String>): Boolean {
@@ -64,14 +64,14 @@
         var singleReads = 0
         var hasListed = false
         while (level.isNotEmpty()) {
-            singleReads += level.count { !verdicts.hasRecent(it) }
+            singleReads += level.count { !outcomes.hasRecent(it) }
             if (singleReads > MAX_SINGLE_READS && !hasListed) {
-                verdicts.listOpen()
+                outcomes.listOpen()
                 hasListed = true
             }
-            val records = verdicts.recent(level).values
-            if (records.any { it.verdict == Verdict.CANCELLED }) return true
-            level = records.filter { it.verdict == Verdict.OPEN }.flatMap { it.dependencies }.filter(seen::add)
+            val records = outcomes.recent(level).values
+            if (records.any { it.outcome == JobOutcome.CANCELLED }) return true
+            level = records.filter { it.outcome == JobOutcome.OPEN }.flatMap { it.dependencies }.filter(seen::add)
         }
         return false
     }
--- a/src/main/kotlin/linemast/jobs/JobKeys.kt
+++ b/src/main/kotlin/linemast/jobs/JobKeys.kt
@@ -14,7 +14,7 @@
     const val WAITING_PREFIX = "w/"
 
     /** Key of the outcome, which is kept forever. */
-    fun verdict(id: String) = "j/$id"
+    fun outcome(id: String) = "j/$id"
 
     /** Key of a job that may start or run. */
     fun open(id: String) = OPEN_PREFIX + id
--- a/src/main/kotlin/linemast/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobRecordCodec.kt
@@ -1,30 +1,30 @@
 package linemast.jobs
 
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
+import linemast.domain.JobOutcome
+import linemast.domain.JobRecord
+import linemast.domain.OutcomeRecord
 import linemast.serialization.Fields
 
 /** The stored form of job records; see docs/glossary.md for the names. */
 object JobRecordCodec {
-    private val outcomes = mapOf("open" to Verdict.OPEN, "done" to Verdict.DONE, "withdrawn" to Verdict.CANCELLED)
+    private val outcomes = mapOf("open" to JobOutcome.OPEN, "done" to JobOutcome.DONE, "withdrawn" to JobOutcome.CANCELLED)
     private val outcomeNames = outcomes.entries.associate { (name, outcome) -> outcome to name }
 
     /** The stored form of an outcome. */
-    fun encode(record: VerdictRecord): Map<String, Any?> = buildMap {
-        put("verdict", outcomeNames.getValue(record.verdict))
+    fun encode(record: OutcomeRecord): Map<String, Any?> = buildMap {
+        put("verdict", outcomeNames.getValue(record.outcome))
         put("pieces", record.taskCount)
         if (record.dependencies.isNotEmpty()) put("awaits", record.dependencies)
     }
 
     /** Reads the stored form of an outcome. */
-    fun decodeOutcome(fields: Fields): VerdictRecord {
+    fun decodeOutcome(fields: Fields): OutcomeRecord {
         val outcome = outcomes[fields.text("verdict")] ?: fields.fail("verdict", "is unknown")
-        return VerdictRecord(outcome, fields.long("pieces").toInt(), fields.textsOrNull("awaits") ?: emptyList())
+        return OutcomeRecord(outcome, fields.long("pieces").toInt(), fields.textsOrNull("awaits") ?: emptyList())
     }
 
     /** The stored form of an open job. */
-    fun encode(record: OpenRecord): Map<String, Any?> = buildMap {
+    fun encode(record: JobRecord): Map<String, Any?> = buildMap {
         put("job", JobCodec.encode(record.spec))
         put("at_us", record.acceptedWallMicros)
         put("opened", record.opened)
@@ -33,7 +33,7 @@
     }
 
     /** Reads the stored form of an open job. */
-    fun decodeJob(fields: Fields) = OpenRecord(
+    fun decodeJob(fields: Fields) = JobRecord(
         spec = JobCodec.decode(fields.child("job")),
         acceptedWallMicros = fields.long("at_us"),
         opened = fields.flag("opened"),
--- a/src/main/kotlin/linemast/jobs/JobAnswers.kt
+++ b/src/main/kotlin/linemast/jobs/JobResponses.kt
@@ -12,7 +12,7 @@
 }
 
 /** The bodies of answers to users. */
-internal object JobAnswers {
+internal object JobResponses {
     /** A submission was accepted. */
     fun accepted(id: String, state: JobState): ByteArray = Cbor.encode(mapOf("name_id" to id, "status" to state.wire))
 
--- a/src/main/kotlin/linemast/jobs/JobService.kt
+++ b/src/main/kotlin/linemast/jobs/JobService.kt
@@ -1,22 +1,22 @@
 package linemast.jobs
 
 import kotlinx.coroutines.CoroutineScope
-import linemast.admission.AdmissionGate
+import linemast.admission.AdmissionController
 import linemast.admission.Decision
+import linemast.domain.JobOutcome
 import linemast.domain.JobProgress
+import linemast.domain.JobRecord
 import linemast.domain.JobSpec
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
+import linemast.domain.OutcomeRecord
 import linemast.serialization.Cbor
 import linemast.serialization.MalformedException
 import linemast.settings.Team
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.StoreException
 import linemast.store.Write
 import linemast.time.Clock
@@ -26,7 +26,7 @@
 import org.slf4j.LoggerFactory
 
 /** Progress of jobs for display, as the leader last told it. */
-fun interface ProgressView {
+fun interface ProgressSource {
     /** Done and running tasks of a job, or null when nothing is known. */
     fun progressOf(id: String): JobProgress?
 }
@@ -39,23 +39,23 @@
  * [DependencyCheck].
  */
 class JobService(
-    private val store: Store,
+    private val store: KeyValueStore,
     private val scope: CoroutineScope,
     private val teams: Map<String, Team>,
     private val types: () -> List<MachineType>?,
-    private val progress: ProgressView,
+    private val progress: ProgressSource,
     private val wallMicros: () -> Long,
     /** What a stored value may take, also under limits that are to come. */
-    private val mostValueBytes: Int,
+    private val maxValueBytes: Int,
     private val clock: Clock,
     /** Time that a cancellation has to reach the jobs that depend on the cancelled one. */
     cancelMicros: Long,
     /** Puts submissions off that are more than their flow's part; null if all are taken. */
-    private val admission: AdmissionGate? = null,
+    private val admission: AdmissionController? = null,
 ) {
     private val log = LoggerFactory.getLogger(JobService::class.java)
-    private val verdicts = VerdictReader(store, scope, clock, cancelMicros / MAX_AGE_PARTS)
-    private val dependencyCheck = DependencyCheck(verdicts, scope, cancelMicros / MAX_CHECK_PARTS)
+    private val outcomes = OutcomeReader(store, scope, clock, cancelMicros / MAX_AGE_PARTS)
+    private val dependencyCheck = DependencyCheck(outcomes, scope, cancelMicros / MAX_CHECK_PARTS)
 
     /** Answers a user's request; null if the path is not one of jobs. */
     suspend fun handle(request: HttpRequest): HttpResponse? {
@@ -79,16 +79,16 @@
 
     private suspend fun submit(request: HttpRequest): HttpResponse {
         val spec = JobCodec.decode(Cbor.decodeMap(request.body))
-        verdicts.final(spec.id)?.let { return known(spec.id, it) }
+        outcomes.final(spec.id)?.let { return known(spec.id, it) }
         val machineTypes = types() ?: return HttpResponse.unavailable()
         if (!canEverRun(spec, machineTypes)) {
             // A job that was accepted once stays accepted, whatever the machine types have become since.
-            val verdict = verdicts.fresh(spec.id)
-            return if (verdict != null) answer(spec.id, verdict) else refused("this job can never run")
+            val outcome = outcomes.fresh(spec.id)
+            return if (outcome != null) answer(spec.id, outcome) else refused("this job can never run")
         }
-        if (spec.dependencies.isEmpty()) return putOff(spec) ?: accept(spec.within(machineTypes), Verdict.OPEN)
+        if (spec.dependencies.isEmpty()) return putOff(spec) ?: accept(spec.within(machineTypes), JobOutcome.OPEN)
         // A job that was accepted once is known whatever it names.
-        verdicts.fresh(spec.id)?.let { return answer(spec.id, it) }
+        outcomes.fresh(spec.id)?.let { return answer(spec.id, it) }
         return submitDependent(spec.within(machineTypes))
     }
 
@@ -112,8 +112,10 @@
      * The verdict of a job whose submission is put off, if it can be read without taking from other calls. Its user may ask
      * once more for a job that was accepted a moment ago; that one is still admitted, and so found without this.
      */
-    private suspend fun knownCheaply(id: String): VerdictRecord? = try {
-        store.get(JobKeys.verdict(id), Priority.BACKGROUND)?.let { item -> verdicts.decoded { JobRecordCodec.decodeOutcome(item.value) } }
+    private suspend fun knownCheaply(id: String): OutcomeRecord? = try {
+        store.get(JobKeys.outcome(id), RequestPriority.BACKGROUND)?.let { entry ->
+            outcomes.decoded { JobRecordCodec.decodeOutcome(entry.value) }
+        }
     } catch (e: StoreException) {
         log.debug("{}: put off without a look: {}", id, e.message)
         null
@@ -121,40 +123,40 @@
 
     /** Accepts a job that names others: all of them have to be known, and a cancelled one among all that it needs cancels it. */
     private suspend fun submitDependent(spec: JobSpec): HttpResponse {
-        if (spec.dependencies.count { !verdicts.hasRecent(it) } > MAX_SINGLE_READS) verdicts.listOpen()
-        val dependencies = verdicts.recent(spec.dependencies)
+        if (spec.dependencies.count { !outcomes.hasRecent(it) } > MAX_SINGLE_READS) outcomes.listOpen()
+        val dependencies = outcomes.recent(spec.dependencies)
         spec.dependencies.firstOrNull { it !in dependencies }?.let { unknown ->
             return refused("it depends on $unknown, which was never accepted")
         }
-        if (dependencies.values.all { it.verdict == Verdict.DONE }) return accept(spec.copy(dependencies = emptyList()), Verdict.OPEN)
+        if (dependencies.values.all { it.outcome == JobOutcome.DONE }) return accept(spec.copy(dependencies = emptyList()), JobOutcome.OPEN)
         val isCancelled = dependencyCheck.dependsOnCancelled(spec.dependencies)
-        return accept(spec, if (isCancelled) Verdict.CANCELLED else Verdict.OPEN)
+        return accept(spec, if (isCancelled) JobOutcome.CANCELLED else JobOutcome.OPEN)
     }
 
-    private fun refused(reason: String) = HttpResponse(HttpStatus.UNPROCESSABLE_CONTENT, JobAnswers.refused(reason))
+    private fun refused(reason: String) = HttpResponse(HttpStatus.UNPROCESSABLE_CONTENT, JobResponses.refused(reason))
 
-    private suspend fun accept(spec: JobSpec, verdict: Verdict): HttpResponse {
-        val record = JobRecordCodec.encode(OpenRecord(spec, wallMicros(), opened = false, cancelled = false))
-        if (Cbor.jsonSize(record) > mostValueBytes) throw MalformedException("the job is too large to be kept")
+    private suspend fun accept(spec: JobSpec, outcome: JobOutcome): HttpResponse {
+        val record = JobRecordCodec.encode(JobRecord(spec, wallMicros(), opened = false, cancelled = false))
+        if (Cbor.jsonSize(record) > maxValueBytes) throw MalformedException("the job is too large to be kept")
         val writes = ArrayList<Write>()
-        val verdictRecord = VerdictRecord(verdict, spec.taskCount, spec.dependencies)
-        writes += Write.Put(JobKeys.verdict(spec.id), JobRecordCodec.encode(verdictRecord))
+        val outcomeRecord = OutcomeRecord(outcome, spec.taskCount, spec.dependencies)
+        writes += Write.Put(JobKeys.outcome(spec.id), JobRecordCodec.encode(outcomeRecord))
         // One that awaits a job that was cancelled is over as soon as it is known.
-        if (!verdict.isFinal) {
+        if (!outcome.isTerminal) {
             writes +=
                 Write.Put(if (spec.dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.waiting(spec.id), record)
         }
         val sentMicros = clock.nowMicros()
-        val result = store.commit(listOf(Condition(JobKeys.verdict(spec.id), 0L)), writes, Priority.INTAKE)
+        val result = store.commit(listOf(Precondition(JobKeys.outcome(spec.id), 0L)), writes, RequestPriority.HIGH)
         return when (result) {
             is CommitResult.Applied -> {
-                verdicts.remember(spec.id, verdictRecord, sentMicros)
+                outcomes.remember(spec.id, outcomeRecord, sentMicros)
                 admission?.accepted(spec.id)
-                val state = if (verdict.isFinal) JobState.CANCELLED else JobState.PENDING
-                HttpResponse(HttpStatus.CREATED, JobAnswers.accepted(spec.id, state))
+                val state = if (outcome.isTerminal) JobState.CANCELLED else JobState.PENDING
+                HttpResponse(HttpStatus.CREATED, JobResponses.accepted(spec.id, state))
             }
             is CommitResult.Conflict ->
-                verdicts.fresh(spec.id)?.let {
+                outcomes.fresh(spec.id)?.let {
                     admission?.accepted(spec.id)
                     answer(spec.id, it)
                 } ?: HttpResponse.unavailable()
@@ -164,61 +166,61 @@
 
     private suspend fun poll(id: String): HttpResponse {
         if (!JobSpec.isId(id)) return HttpResponse(HttpStatus.NOT_FOUND)
-        val verdict = verdicts.fresh(id) ?: return HttpResponse(HttpStatus.NOT_FOUND)
-        return answer(id, verdict)
+        val outcome = outcomes.fresh(id) ?: return HttpResponse(HttpStatus.NOT_FOUND)
+        return answer(id, outcome)
     }
 
     /**
      * The answer to a question about a job: one that needs a cancelled one is cancelled with it, before that is said. Looking
      * takes reads of its own, so the verdict is read once more after them: it may have become final since.
      */
-    private suspend fun answer(id: String, record: VerdictRecord): HttpResponse = when {
-        record.verdict.isFinal || record.dependencies.isEmpty() -> known(id, record)
+    private suspend fun answer(id: String, record: OutcomeRecord): HttpResponse = when {
+        record.outcome.isTerminal || record.dependencies.isEmpty() -> known(id, record)
         dependencyCheck.dependsOnCancelled(record.dependencies) -> cancel(id)
-        else -> known(id, verdicts.fresh(id) ?: record)
+        else -> known(id, outcomes.fresh(id) ?: record)
     }
 
     private suspend fun cancel(id: String): HttpResponse {
         if (!JobSpec.isId(id)) return HttpResponse(HttpStatus.NOT_FOUND)
         repeat(CANCEL_TRIES) {
-            verdicts.final(id)?.let { return known(id, it) }
-            val item = store.get(JobKeys.verdict(id), Priority.INTAKE) ?: return HttpResponse(HttpStatus.NOT_FOUND)
-            val verdict = verdicts.decoded { JobRecordCodec.decodeOutcome(item.value) }
-            if (verdict.verdict.isFinal) return known(id, verdicts.remember(id, verdict))
+            outcomes.final(id)?.let { return known(id, it) }
+            val entry = store.get(JobKeys.outcome(id), RequestPriority.HIGH) ?: return HttpResponse(HttpStatus.NOT_FOUND)
+            val outcome = outcomes.decoded { JobRecordCodec.decodeOutcome(entry.value) }
+            if (outcome.outcome.isTerminal) return known(id, outcomes.remember(id, outcome))
             // The leader releases a waiting job by one transaction from one key to the other.
-            val waits = verdict.dependencies.isNotEmpty()
-            val open = (if (waits) store.get(JobKeys.waiting(id), Priority.INTAKE) else null)
-                ?: store.get(JobKeys.open(id), Priority.INTAKE) ?: return@repeat
-            val cancelled = VerdictRecord(Verdict.CANCELLED, verdict.taskCount)
-            val end = if (open.key == JobKeys.waiting(id)) Write.Drop(open.key) else Write.Put(open.key, cancelledRecord(open))
+            val waits = outcome.dependencies.isNotEmpty()
+            val open = (if (waits) store.get(JobKeys.waiting(id), RequestPriority.HIGH) else null)
+                ?: store.get(JobKeys.open(id), RequestPriority.HIGH) ?: return@repeat
+            val cancelled = OutcomeRecord(JobOutcome.CANCELLED, outcome.taskCount)
+            val end = if (open.key == JobKeys.waiting(id)) Write.Delete(open.key) else Write.Put(open.key, cancelledRecord(open))
             val result = store.commit(
-                listOf(Condition(item.key, item.version), Condition(open.key, open.version)),
-                listOf(Write.Put(item.key, JobRecordCodec.encode(cancelled)), end),
-                Priority.INTAKE,
+                listOf(Precondition(entry.key, entry.revision), Precondition(open.key, open.revision)),
+                listOf(Write.Put(entry.key, JobRecordCodec.encode(cancelled)), end),
+                RequestPriority.HIGH,
             )
-            if (result is CommitResult.Applied) return known(id, verdicts.remember(id, cancelled))
+            if (result is CommitResult.Applied) return known(id, outcomes.remember(id, cancelled))
         }
         return HttpResponse.unavailable()
     }
 
     /** The record of an open job with its cancellation, from which the leader learns of it. */
-    private fun cancelledRecord(open: Item): Map<String, Any?> {
-        val record = verdicts.decoded { JobRecordCodec.decodeJob(open.value) }.with(cancelled = true)
+    private fun cancelledRecord(open: Entry): Map<String, Any?> {
+        val record = outcomes.decoded { JobRecordCodec.decodeJob(open.value) }.with(cancelled = true)
         val machineTypes = types() ?: return JobRecordCodec.encode(record)
         return JobRecordCodec.encode(record.within(machineTypes))
     }
 
-    private fun known(id: String, record: VerdictRecord): HttpResponse {
+    private fun known(id: String, record: OutcomeRecord): HttpResponse {
         val shown = progress.progressOf(id)
         val isRunning = shown != null && shown.running > 0
-        val state = when (record.verdict) {
-            Verdict.DONE -> JobState.DONE
-            Verdict.CANCELLED -> JobState.CANCELLED
-            Verdict.OPEN -> if (isRunning) JobState.RUNNING else JobState.PENDING
+        val state = when (record.outcome) {
+            JobOutcome.DONE -> JobState.DONE
+            JobOutcome.CANCELLED -> JobState.CANCELLED
+            JobOutcome.OPEN -> if (isRunning) JobState.RUNNING else JobState.PENDING
         }
-        val done = if (record.verdict == Verdict.DONE) record.taskCount else shown?.done ?: 0
-        val running = if (record.verdict == Verdict.OPEN) shown?.running ?: 0 else 0
-        return HttpResponse(HttpStatus.OK, JobAnswers.state(id, state, JobProgress(done, running)))
+        val done = if (record.outcome == JobOutcome.DONE) record.taskCount else shown?.done ?: 0
+        val running = if (record.outcome == JobOutcome.OPEN) shown?.running ?: 0 else 0
+        return HttpResponse(HttpStatus.OK, JobResponses.state(id, state, JobProgress(done, running)))
     }
 
     private fun canEverRun(spec: JobSpec, machineTypes: List<MachineType>): Boolean {
--- a/src/main/kotlin/linemast/jobs/VerdictReader.kt
+++ b/src/main/kotlin/linemast/jobs/OutcomeReader.kt
@@ -7,10 +7,10 @@
 import kotlinx.coroutines.awaitAll
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.launch
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
+import linemast.domain.JobOutcome
+import linemast.domain.OutcomeRecord
 import linemast.serialization.MalformedException
-import linemast.store.Store
+import linemast.store.KeyValueStore
 import linemast.store.StoreException
 import linemast.store.listAll
 import linemast.time.Clock
@@ -22,63 +22,63 @@
  * Final verdicts never change and are cached without a time limit. Open verdicts may be up to [maxAgeMicros] old where the
  * caller accepts that ([recent]); [fresh] never uses them. Concurrent reads of one key are shared.
  */
-internal class VerdictReader(
-    private val store: Store,
+internal class OutcomeReader(
+    private val store: KeyValueStore,
     private val scope: CoroutineScope,
     private val clock: Clock,
     private val maxAgeMicros: Long,
 ) {
-    private val log = LoggerFactory.getLogger(VerdictReader::class.java)
+    private val log = LoggerFactory.getLogger(OutcomeReader::class.java)
 
     /** An open verdict as a read found it that was sent at [sentMicros]. */
-    private class OpenVerdict(val record: VerdictRecord, val sentMicros: Long)
+    private class OpenOutcome(val record: OutcomeRecord, val sentMicros: Long)
 
     /** A read in flight, and the result that callers who came after its start wait for. */
     private class PendingRead {
-        var next: CompletableDeferred<Result<VerdictRecord?>>? = null
+        var next: CompletableDeferred<Result<OutcomeRecord?>>? = null
     }
 
-    private val finalVerdicts = boundedMap<VerdictRecord>(MAX_FINALS)
-    private val openVerdicts = boundedMap<OpenVerdict>(MAX_OPENS)
+    private val terminalOutcomes = boundedMap<OutcomeRecord>(MAX_FINALS)
+    private val openOutcomes = boundedMap<OpenOutcome>(MAX_OPENS)
     private val pendingReads = HashMap<String, PendingRead>()
     private var pendingListing: CompletableDeferred<Result<Unit>>? = null
 
     /** The verdict of [id] if it is known to be final. */
-    fun final(id: String): VerdictRecord? = finalVerdicts[id]
+    fun final(id: String): OutcomeRecord? = terminalOutcomes[id]
 
     /** Whether [recent] would answer for [id] without a read. */
     fun hasRecent(id: String): Boolean = cached(id) != null
 
     /** Caches [record], which was read or committed by a call sent at [sentMicros]. */
-    fun remember(id: String, record: VerdictRecord, sentMicros: Long = clock.nowMicros()): VerdictRecord {
-        if (record.verdict.isFinal) {
-            finalVerdicts[id] = record
-            openVerdicts.remove(id)
-        } else if (id !in finalVerdicts && (openVerdicts[id]?.sentMicros ?: Long.MIN_VALUE) < sentMicros) {
-            openVerdicts[id] = OpenVerdict(record, sentMicros)
+    fun remember(id: String, record: OutcomeRecord, sentMicros: Long = clock.nowMicros()): OutcomeRecord {
+        if (record.outcome.isTerminal) {
+            terminalOutcomes[id] = record
+            openOutcomes.remove(id)
+        } else if (id !in terminalOutcomes && (openOutcomes[id]?.sentMicros ?: Long.MIN_VALUE) < sentMicros) {
+            openOutcomes[id] = OpenOutcome(record, sentMicros)
         }
         return record
     }
 
     /** The verdict by a read that began after this call; null if the job was never accepted. */
-    suspend fun fresh(id: String): VerdictRecord? {
-        finalVerdicts[id]?.let { return it }
+    suspend fun fresh(id: String): OutcomeRecord? {
+        terminalOutcomes[id]?.let { return it }
         val running = pendingReads[id]
         val result = if (running == null) {
-            val first = CompletableDeferred<Result<VerdictRecord?>>()
+            val first = CompletableDeferred<Result<OutcomeRecord?>>()
             pendingReads[id] = PendingRead()
             scope.launch { readInTurn(id, first) }
             first
         } else {
-            running.next ?: CompletableDeferred<Result<VerdictRecord?>>().also { running.next = it }
+            running.next ?: CompletableDeferred<Result<OutcomeRecord?>>().also { running.next = it }
         }
         return result.await().getOrThrow()
     }
 
     /** The verdicts of [ids], open ones at most [maxAgeMicros] old; jobs that were never accepted are absent. */
-    suspend fun recent(ids: Collection<String>): Map<String, VerdictRecord> = coroutineScope {
+    suspend fun recent(ids: Collection<String>): Map<String, OutcomeRecord> = coroutineScope {
         val reads = ids.map { id -> async { id to (cached(id) ?: fresh(id)) } }
-        val found = LinkedHashMap<String, VerdictRecord>()
+        val found = LinkedHashMap<String, OutcomeRecord>()
         for ((id, record) in reads.awaitAll()) if (record != null) found[id] = record
         found
     }
@@ -102,10 +102,10 @@
     private suspend fun runListing(): Result<Unit> = try {
         val sentMicros = clock.nowMicros()
         for (prefix in listOf(JobKeys.WAITING_PREFIX, JobKeys.OPEN_PREFIX)) {
-            for (item in store.listAll(prefix).items) {
-                val record = decoded { JobRecordCodec.decodeJob(item.value) }
-                val verdict = if (record.cancelled) Verdict.CANCELLED else Verdict.OPEN
-                remember(record.spec.id, VerdictRecord(verdict, record.spec.taskCount, record.spec.dependencies), sentMicros)
+            for (entry in store.listAll(prefix).entries) {
+                val record = decoded { JobRecordCodec.decodeJob(entry.value) }
+                val outcome = if (record.cancelled) JobOutcome.CANCELLED else JobOutcome.OPEN
+                remember(record.spec.id, OutcomeRecord(outcome, record.spec.taskCount, record.spec.dependencies), sentMicros)
             }
         }
         Result.success(Unit)
@@ -113,17 +113,17 @@
         Result.failure(e)
     } catch (e: CancellationException) {
         // The controller stops; that must not cancel those who only wait for this listing.
-        Result.failure(StoreException("stopping", mayHaveRun = false))
+        Result.failure(StoreException("stopping", mayHaveExecuted = false))
     }
 
-    private fun cached(id: String): VerdictRecord? {
-        finalVerdicts[id]?.let { return it }
-        val open = openVerdicts[id] ?: return null
+    private fun cached(id: String): OutcomeRecord? {
+        terminalOutcomes[id]?.let { return it }
+        val open = openOutcomes[id] ?: return null
         return open.record.takeIf { clock.nowMicros() - open.sentMicros <= maxAgeMicros }
     }
 
     /** Reads until nobody waits for a later read. The result is cached here, since those who asked may have left. */
-    private suspend fun readInTurn(id: String, first: CompletableDeferred<Result<VerdictRecord?>>) {
+    private suspend fun readInTurn(id: String, first: CompletableDeferred<Result<OutcomeRecord?>>) {
         var waiting = first
         while (true) {
             waiting.complete(read(id))
@@ -137,15 +137,15 @@
         }
     }
 
-    private suspend fun read(id: String): Result<VerdictRecord?> = try {
+    private suspend fun read(id: String): Result<OutcomeRecord?> = try {
         val sentMicros = clock.nowMicros()
-        val item = store.get(JobKeys.verdict(id))
-        Result.success(item?.let { remember(id, decoded { JobRecordCodec.decodeOutcome(it.value) }, sentMicros) })
+        val entry = store.get(JobKeys.outcome(id))
+        Result.success(entry?.let { remember(id, decoded { JobRecordCodec.decodeOutcome(it.value) }, sentMicros) })
     } catch (e: StoreException) {
         Result.failure(e)
     } catch (e: CancellationException) {
         // The controller stops; that must not cancel those who only wait for this read.
-        Result.failure(StoreException("stopping", mayHaveRun = false))
+        Result.failure(StoreException("stopping", mayHaveExecuted = false))
     }
 
     /** A stored record that cannot be read is the store's fault: the user who asks must not be told 400 for it. */
@@ -153,7 +153,7 @@
         read()
     } catch (e: MalformedException) {
         logMalformed(e)
-        throw StoreException("malformed record", mayHaveRun = false)
+        throw StoreException("malformed record", mayHaveExecuted = false)
     }
 
     fun logMalformed(cause: MalformedException) = log.error("malformed record in the store: {}", cause.message)
--- a/src/main/kotlin/linemast/leadership/CancellationKnowledge.kt
+++ b/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
@@ -6,27 +6,27 @@
  * Up to when this term provably knows every cancellation that any controller has confirmed, and what follows for leases.
  *
  * A cancellation may be confirmed by any controller at any time. Whoever answers a report without stopping the job's
- * tasks does not know of it, so it was confirmed after [knownUpToMicros]; an answer given before [renewsUntilMicros]
+ * tasks does not know of it, so it was confirmed after [freshAsOfMicros]; an answer given before [renewalsAllowedUntilMicros]
  * renews a lease that is over within the time a cancellation has. That holds for each answer by itself: it does not
  * matter how many terms follow each other, nor whether the leadership is still being renewed.
  */
-class CancellationKnowledge(private val renewalMicros: Long) {
+class CancellationFreshness(private val renewalMicros: Long) {
     constructor(workers: WorkerSettings) : this(renewalMicros(workers.leaseMicros, workers.cancelMicros))
 
     /** When the last read of the store that is complete was sent; null before the first. */
-    var knownUpToMicros: Long? = null
+    var freshAsOfMicros: Long? = null
         private set
 
     /** Everything that the store held when a read was sent at [sentMicros] is known, and has been taken in. */
-    fun readAt(sentMicros: Long) {
-        knownUpToMicros = maxOf(knownUpToMicros ?: sentMicros, sentMicros)
+    fun refreshedAt(sentMicros: Long) {
+        freshAsOfMicros = maxOf(freshAsOfMicros ?: sentMicros, sentMicros)
     }
 
     /** Until when what is known now allows answers that renew a lease. */
-    val renewsUntilMicros: Long get() = knownUpToMicros?.let { it + renewalMicros } ?: Long.MIN_VALUE
+    val renewalsAllowedUntilMicros: Long get() = freshAsOfMicros?.let { it + renewalMicros } ?: Long.MIN_VALUE
 
     /** Until when what is known now allows starts: a job whose cancellation is confirmed must not be started any more. */
-    val startsUntilMicros: Long get() = knownUpToMicros?.let { it + minOf(FRESH_MICROS, renewalMicros) } ?: Long.MIN_VALUE
+    val startsAllowedUntilMicros: Long get() = freshAsOfMicros?.let { it + minOf(FRESH_MICROS, renewalMicros) } ?: Long.MIN_VALUE
 
     /** Whether what was known at [sinceMicros] is too old for a lease to be renewed at [nowMicros]. */
     fun isOver(sinceMicros: Long, nowMicros: Long): Boolean = nowMicros >= sinceMicros + renewalMicros
@@ -34,7 +34,7 @@
     companion object {
         private const val FRESH_MICROS = 4_000_000L
         private const val MARGIN_MICROS = 3_000_000L
-        private const val MOST_MARGIN_PARTS = 4
+        private const val MAX_MARGIN_PARTS = 4
 
         /**
          * For how long a lease may be renewed on what is known: with the lease that the last such answer gives it stays
@@ -43,7 +43,7 @@
          */
         fun renewalMicros(leaseMicros: Long, cancelMicros: Long): Long {
             val left = cancelMicros - leaseMicros
-            return left - minOf(MARGIN_MICROS, left / MOST_MARGIN_PARTS) - Authority.drift(cancelMicros)
+            return left - minOf(MARGIN_MICROS, left / MAX_MARGIN_PARTS) - LeaderLease.drift(cancelMicros)
         }
     }
 }
