--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -3,10 +3,10 @@
 import kotlinx.coroutines.delay
 import linemast.serialization.MalformedException
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.StoreException
 import linemast.store.WatchResult
 import linemast.store.Write
@@ -23,10 +23,10 @@
     var highestFencingToken = 0L
 
     /** Set while this controller leads or is in its grace. */
-    var own: Authority? = null
+    var own: LeaderLease? = null
 
     /** Takes news of a fencing token; an own one that is lower ends at once. */
-    fun heardOf(fencingToken: Long) {
+    fun observeFencingToken(fencingToken: Long) {
         if (fencingToken > highestFencingToken) highestFencingToken = fencingToken
         own?.let { if (fencingToken > it.fencingToken) it.end() }
     }
@@ -38,13 +38,13 @@
  * [lead] runs as long as this controller may count as leader; it is cancelled when the leadership is lost.
  */
 class Election(
-    private val store: Store,
+    private val store: KeyValueStore,
     private val clock: Clock,
     private val nodeName: String,
     private val leaderLeaseMicros: Long,
-    private val graceMicros: Long,
+    private val degradedModeMicros: Long,
     private val view: LeaderView,
-    private val onElected: (Authority) -> Unit,
+    private val onElected: (LeaderLease) -> Unit,
     private val onLost: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger(Election::class.java)
@@ -53,10 +53,10 @@
     suspend fun run() {
         while (true) {
             try {
-                val authority = contend()
-                if (authority != null) {
-                    keep(authority)
-                    if (authority.abdicated) stepAside()
+                val leaderLease = contend()
+                if (leaderLease != null) {
+                    keep(leaderLease)
+                    if (leaderLease.hasSteppedDown) stepAside()
                 }
             } catch (e: StoreException) {
                 log.debug("election: {}", e.message)
@@ -69,14 +69,14 @@
     }
 
     /** Waits until the leadership is free, then tries to take it. Null when another was faster. */
-    private suspend fun contend(): Authority? {
+    private suspend fun contend(): LeaderLease? {
         val current = store.get(LeaderKeys.LEADER)
         val own = current != null && current.value.textOrNull("node") == nodeName
         // A record of this very controller is left by an earlier process, which has ended, or by an election
         // whose answer never came; this process does not lead now, so it need not wait for the lease to run out.
         if (current != null && !own) {
             seen(current)
-            awaitChange(current.version)
+            awaitChange(current.revision)
             return null
         }
         val sent = clock.nowMicros()
@@ -86,26 +86,26 @@
         val record = mapOf("node" to nodeName, "helm" to fencingToken)
         val result = store.commit(
             listOf(
-                Condition(LeaderKeys.LEADER, current?.version ?: 0L),
-                Condition(LeaderKeys.FENCING_TOKEN, last?.version ?: 0L),
+                Precondition(LeaderKeys.LEADER, current?.revision ?: 0L),
+                Precondition(LeaderKeys.FENCING_TOKEN, last?.revision ?: 0L),
             ),
             listOf(Write.Put(LeaderKeys.LEADER, record, lease), Write.Put(LeaderKeys.FENCING_TOKEN, mapOf("n" to fencingToken))),
-            Priority.VITAL,
+            RequestPriority.CRITICAL,
         )
         if (result !is CommitResult.Applied) return null
         this.lease = lease
-        return Authority(fencingToken, result.revision, leaderLeaseMicros, graceMicros, sent)
+        return LeaderLease(fencingToken, result.revision, leaderLeaseMicros, degradedModeMicros, sent)
     }
 
     private var lease = 0L
 
-    private fun seen(leader: Item) {
+    private fun seen(leader: Entry) {
         view.leaderName = leader.value.textOrNull("node")
-        view.heardOf(leader.value.longOrNull("helm") ?: 0L)
+        view.observeFencingToken(leader.value.longOrNull("helm") ?: 0L)
     }
 
-    private suspend fun awaitChange(version: Long) {
-        when (val result = store.watch(LeaderKeys.LEADER, version, WATCH_MICROS)) {
+    private suspend fun awaitChange(revision: Long) {
+        when (val result = store.watch(LeaderKeys.LEADER, revision, WATCH_MICROS)) {
             is WatchResult.TooOld -> delay(RETRY_MILLIS)
             is WatchResult.Changes -> result.changes.lastOrNull { it.key == LeaderKeys.LEADER }?.let { change ->
                 if (change.value == null) view.leaderName = null
@@ -123,31 +123,31 @@
         delay(ASIDE_MILLIS)
     }
 
-    private suspend fun keep(authority: Authority) {
-        log.info("leading with fencing token {}", authority.fencingToken)
-        view.own = authority
+    private suspend fun keep(leaderLease: LeaderLease) {
+        log.info("leading with fencing token {}", leaderLease.fencingToken)
+        view.own = leaderLease
         view.leaderName = nodeName
-        view.heardOf(authority.fencingToken)
-        onElected(authority)
+        view.observeFencingToken(leaderLease.fencingToken)
+        onElected(leaderLease)
         try {
-            while (authority.mayAnswer(clock.nowMicros())) {
+            while (leaderLease.mayAnswerHeartbeats(clock.nowMicros())) {
                 delay(leaderLeaseMicros / RENEWALS_PER_LEASE / 1_000)
                 val sent = clock.nowMicros()
                 try {
                     if (!store.renewLease(lease)) {
-                        log.info("the leadership with fencing token {} ended: its lease has run out", authority.fencingToken)
+                        log.info("the leadership with fencing token {} ended: its lease has run out", leaderLease.fencingToken)
                         break
                     }
-                    authority.renewed(sent)
+                    leaderLease.renewed(sent)
                 } catch (e: StoreException) {
                     log.debug("renewal: {}", e.message)
                 }
             }
         } finally {
-            authority.end()
+            leaderLease.end()
             view.own = null
             if (view.leaderName == nodeName) view.leaderName = null
-            log.info("no longer leading with fencing token {}", authority.fencingToken)
+            log.info("no longer leading with fencing token {}", leaderLease.fencingToken)
             onLost()
         }
     }
--- a/src/main/kotlin/linemast/leadership/Authority.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderLease.kt
@@ -1,6 +1,6 @@
 package linemast.leadership
 
-import linemast.store.Condition
+import linemast.store.Precondition
 
 /** The two keys leadership lives in. */
 object LeaderKeys {
@@ -18,33 +18,33 @@
  * renewal, which was not before the renewal was sent; so counting from the sending, less what clocks may
  * drift and a margin, ends before the store lets anyone else in.
  */
-class Authority(
+class LeaderLease(
     val fencingToken: Long,
-    version: Long,
+    revision: Long,
     private val leaderLeaseMicros: Long,
-    private val graceMicros: Long,
+    private val degradedModeMicros: Long,
     sentMicros: Long,
 ) {
     /** Every write of this term depends on it, so that none is carried out once another one leads. */
-    val fence = Condition(LeaderKeys.LEADER, version)
+    val fence = Precondition(LeaderKeys.LEADER, revision)
     private var untilMicros = sentMicros + usable(leaderLeaseMicros)
-    private var graceUntilMicros = untilMicros + graceMicros
+    private var degradedUntilMicros = untilMicros + degradedModeMicros
     var ended = false
         private set
 
     /** A renewal sent at [sentMicros] was confirmed. */
     fun renewed(sentMicros: Long) {
         untilMicros = maxOf(untilMicros, sentMicros + usable(leaderLeaseMicros))
-        graceUntilMicros = untilMicros + graceMicros
+        degradedUntilMicros = untilMicros + degradedModeMicros
     }
 
     /** Whether the leadership was given up while it could have been kept. */
-    var abdicated = false
+    var hasSteppedDown = false
         private set
 
     /** Gives the leadership up, for another controller to take at once. */
-    fun abdicate() {
-        abdicated = true
+    fun stepDown() {
+        hasSteppedDown = true
         ended = true
     }
 
@@ -54,10 +54,10 @@
     }
 
     /** Whether commands may be sent now. */
-    fun mayCommand(nowMicros: Long): Boolean = !ended && nowMicros < untilMicros
+    fun mayIssueCommands(nowMicros: Long): Boolean = !ended && nowMicros < untilMicros
 
     /** Whether reports may be answered, with or without commands, so that workers keep their tasks. */
-    fun mayAnswer(nowMicros: Long): Boolean = !ended && nowMicros < graceUntilMicros
+    fun mayAnswerHeartbeats(nowMicros: Long): Boolean = !ended && nowMicros < degradedUntilMicros
 
     companion object {
         private const val DRIFT_PER_MILLION = 1_000L
@@ -74,7 +74,7 @@
          * A task of a job cancelled elsewhere can live on for the grace plus a lease, and that has to end
          * before a cancellation's time is over; the margin covers reports on their way and clocks.
          */
-        fun graceMicros(leaseMicros: Long, cancelMicros: Long): Long {
+        fun degradedModeMicros(leaseMicros: Long, cancelMicros: Long): Long {
             val margin = GRACE_MARGIN_MICROS + drift(cancelMicros)
             return (cancelMicros - leaseMicros - margin).coerceAtLeast(0)
         }
--- a/src/main/kotlin/linemast/peers/PeerFrame.kt
+++ b/src/main/kotlin/linemast/peers/PeerFrame.kt
@@ -16,7 +16,7 @@
     /** Highest fencing token the sender has heard of. */
     val fencingToken: Long,
     /** Whether the sender leads with that fencing token. */
-    val leads: Boolean,
+    val isLeader: Boolean,
     /** Whether the state service answers the sender. */
     val storeWorks: Boolean,
     /** Whether workers have reported to the sender lately. */
@@ -29,7 +29,7 @@
         out.writeByte(VERSION)
         writeText(out, node)
         out.writeLong(fencingToken)
-        out.writeByte((if (leads) LEADS else 0) or (if (storeWorks) STORE_WORKS else 0) or (if (workersAsk) WORKERS_ASK else 0))
+        out.writeByte((if (isLeader) LEADS else 0) or (if (storeWorks) STORE_WORKS else 0) or (if (workersAsk) WORKERS_ASK else 0))
         val shown = progress.entries.take(MAX_JOBS)
         out.writeShort(shown.size)
         for ((id, counts) in shown) {
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -23,7 +23,7 @@
     val workersAskElsewhere: Boolean get() = fresh().any { it.workersAsk }
 
     /** Whether any other controller was heard lately. */
-    val hearsAny: Boolean get() = fresh().isNotEmpty()
+    val hasReachablePeer: Boolean get() = fresh().isNotEmpty()
 
     private fun fresh(): List<PeerFrame> =
         clock.nowMicros().let { now -> latest.values.filter { now - it.atMicros < LATEST_MICROS }.map { it.frame } }
@@ -32,7 +32,7 @@
     fun heard(next: PeerFrame) {
         latest[next.node] = Heard(next, clock.nowMicros())
         val last = frame
-        if (!next.leads || (last != null && next.fencingToken < last.fencingToken)) return
+        if (!next.isLeader || (last != null && next.fencingToken < last.fencingToken)) return
         frame = next
         heardMicros = clock.nowMicros()
     }
--- a/src/main/kotlin/linemast/planning/Forecast.kt
+++ b/src/main/kotlin/linemast/planning/Forecast.kt
@@ -82,7 +82,7 @@
     }
 
     /** Tasks of [job] that may run side by side in interval [i], going by what is left on each machine. */
-    fun roomFor(job: Job, i: Int): Double = rows.sumOf { if (isOpen(it, job)) it.places(it.byInterval[i], job.spec.vcpus) else 0.0 }
+    fun freeSlots(job: Job, i: Int): Double = rows.sumOf { if (isOpen(it, job)) it.places(it.byInterval[i], job.spec.vcpus) else 0.0 }
 
     /** Tasks of [job] that could start at once. */
     fun freeNow(job: Job): Double = rows.sumOf { if (isOpen(it, job)) it.places(it.now, job.spec.vcpus) else 0.0 }
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -12,7 +12,7 @@
     val intervalMicros: Long,
     val taskMicros: Long,
     /** Tasks to be run on owned machines, by interval. */
-    val owned: DoubleArray,
+    val baseline: DoubleArray,
     /** Tasks to be run on rented machines, by interval. */
     val rented: DoubleArray,
     /** Tasks side by side that rented machines must be able to run. */
@@ -31,14 +31,14 @@
     /** How many tasks should have been completed by [nowMicros]. */
     fun dueBy(nowMicros: Long): Double {
         val passed = (nowMicros - plannedMicros).toDouble() / intervalMicros
-        return (owned.indices).sumOf { i -> (owned[i] + rented[i]) * (passed - i).coerceIn(0.0, 1.0) }
+        return (baseline.indices).sumOf { i -> (baseline[i] + rented[i]) * (passed - i).coerceIn(0.0, 1.0) }
     }
 
     /** Tasks side by side booked on owned machines in the interval of [nowMicros]. */
-    fun ownedSlots(nowMicros: Long): Double {
+    fun baselineSlots(nowMicros: Long): Double {
         val i = ((nowMicros - plannedMicros) / intervalMicros).toInt()
-        if (i !in owned.indices) return 0.0
-        return owned[i] / slots(intervalMicros, taskMicros)
+        if (i !in baseline.indices) return 0.0
+        return baseline[i] / slots(intervalMicros, taskMicros)
     }
 
     companion object {
@@ -54,14 +54,14 @@
 }
 
 /** A job's wish for rented machines. */
-class RentalWish(val job: Job, val slots: Double)
+class ScaleOutDemand(val job: Job, val slots: Double)
 
 /**
  * Plans each job over long intervals as the paper does: owned targets in proportion to forecast room, the rest
  * rented, backups for owned room that is not there yet, and a top-up for what fell short.
  */
 class Planner(private val settings: Settings, private val policy: Policy, private val times: TaskTimes) {
-    val aims = Aims(settings.objectives, settings.teams, times)
+    val objectives = ServiceLevelObjectives(settings.objectives, settings.teams, times)
     private val plans = HashMap<String, JobPlan>()
 
     /** By job class: the shortest time to the end and to the start that users aim at. */
@@ -69,7 +69,7 @@
     private val startedWithin = shortest("wait")
 
     private fun shortest(kind: String): Map<String?, Long> = settings.objectives.filter { it.kind == kind && it.withinMicros != null }
-        .groupBy { it.jobClass }.mapValues { (_, aims) -> aims.mapNotNull { it.withinMicros }.min() }
+        .groupBy { it.jobClass }.mapValues { (_, objectives) -> objectives.mapNotNull { it.withinMicros }.min() }
 
     /** The plan of [job]; null if it has none yet. */
     fun planOf(job: Job): JobPlan? = plans[job.id]
@@ -92,7 +92,7 @@
      */
     fun plan(
         jobs: List<Job>,
-        owned: Collection<Machine>,
+        baseline: Collection<Machine>,
         whole: Boolean,
         bootMicros: (Job) -> Long,
         wallMicros: Long,
@@ -101,12 +101,12 @@
         stages: List<WaitingStage> = emptyList(),
         rentPrice: (Job) -> Double = { 1.0 },
     ) {
-        val forecast = Forecast(owned, nowMicros, policy.longIntervalMicros, INTERVALS, times, closed)
+        val forecast = Forecast(baseline, nowMicros, policy.longIntervalMicros, INTERVALS, times, closed)
         for (job in jobs) {
-            val standing = plans[job.id]
-            if (!whole && standing != null && !isOutdated(job)) {
-                standing.owned.forEachIndexed { i, tasks ->
-                    forecast.book(job, i, tasks / JobPlan.slots(standing.intervalMicros, standing.taskMicros))
+            val baselineMachines = plans[job.id]
+            if (!whole && baselineMachines != null && !isOutdated(job)) {
+                baselineMachines.baseline.forEachIndexed { i, tasks ->
+                    forecast.book(job, i, tasks / JobPlan.slots(baselineMachines.intervalMicros, baselineMachines.taskMicros))
                 }
                 continue
             }
@@ -158,13 +158,13 @@
         val interval = policy.longIntervalMicros
         // Tasks that already run are not planned again.
         val toStart = (job.spec.taskCount - job.doneCount - job.placements.count { !it.isAssigned }).coerceAtLeast(0)
-        val owned = DoubleArray(INTERVALS)
+        val baseline = DoubleArray(INTERVALS)
         val rented = DoubleArray(INTERVALS)
         // Slots that end after the deadline are of no use; one is left to a job that is late already.
         val usable = (0 until INTERVALS).takeWhile { it == 0 || it * interval + task <= deadlineMicros }
         val span = { i: Int -> minOf(interval, maxOf(deadlineMicros - i * interval, task)) }
         val throughput = DoubleArray(INTERVALS) { i ->
-            if (i in usable) forecast.roomFor(job, i) * JobPlan.slots(span(i), task) else 0.0
+            if (i in usable) forecast.freeSlots(job, i) * JobPlan.slots(span(i), task) else 0.0
         }
         val total = throughput.sum()
         val tasks = toStart.toDouble()
@@ -172,17 +172,17 @@
             return planGang(job, forecast, tasks, task, nowMicros)
         }
         for (i in usable) {
-            owned[i] = if (total > 0) minOf(tasks * throughput[i] / total, throughput[i]) else 0.0
-            forecast.book(job, i, owned[i] / JobPlan.slots(span(i), task))
+            baseline[i] = if (total > 0) minOf(tasks * throughput[i] / total, throughput[i]) else 0.0
+            forecast.book(job, i, baseline[i] / JobPlan.slots(span(i), task))
         }
         val topUp = shortfall(job, nowMicros)
-        val toRent = (tasks - owned.sum() + topUp).coerceIn(0.0, tasks)
-        fillShortIntervals(usable, owned, rented, toRent)
+        val toRent = (tasks - baseline.sum() + topUp).coerceIn(0.0, tasks)
+        fillShortIntervals(usable, baseline, rented, toRent)
         val rentedSpan = rentedSpanMicros(deadlineMicros - bootMicros, task)
         val rentedSlots = toRent / Math.floor(rentedSpan.toDouble() / task).coerceAtLeast(1.0)
-        val firstSlots = owned[0] / JobPlan.slots(span(0), task)
+        val firstSlots = baseline[0] / JobPlan.slots(span(0), task)
         val backup = (firstSlots - forecast.freeNow(job)).coerceAtLeast(0.0)
-        return JobPlan(nowMicros, interval, task, owned, rented, rentedSlots, backup, job.doneCount, topUp, deadlineWallMicros(job))
+        return JobPlan(nowMicros, interval, task, baseline, rented, rentedSlots, backup, job.doneCount, topUp, deadlineWallMicros(job))
     }
 
     /**
@@ -199,29 +199,29 @@
 
     /** A gang is planned whole, in the first interval, on the side that has room for it. */
     private fun planGang(job: Job, forecast: Forecast, tasks: Double, task: Long, nowMicros: Long): JobPlan {
-        val owned = DoubleArray(INTERVALS)
+        val baseline = DoubleArray(INTERVALS)
         val rented = DoubleArray(INTERVALS)
-        val fits = forecast.roomFor(job, 0) >= tasks
+        val fits = forecast.freeSlots(job, 0) >= tasks
         if (fits) {
-            owned[0] = tasks
+            baseline[0] = tasks
             forecast.book(job, 0, tasks)
         } else {
             rented[0] = tasks
         }
         val backup = if (fits && forecast.freeNow(job) < tasks) tasks else 0.0
         val interval = policy.longIntervalMicros
-        return JobPlan(nowMicros, interval, task, owned, rented, rented[0], backup, job.doneCount, 0.0, deadlineWallMicros(job))
+        return JobPlan(nowMicros, interval, task, baseline, rented, rented[0], backup, job.doneCount, 0.0, deadlineWallMicros(job))
     }
 
     /** Rented throughput goes first where owned throughput is least, so that the sum is even. */
-    private fun fillShortIntervals(usable: List<Int>, owned: DoubleArray, rented: DoubleArray, toRent: Double) {
+    private fun fillShortIntervals(usable: List<Int>, baseline: DoubleArray, rented: DoubleArray, toRent: Double) {
         if (usable.isEmpty() || toRent <= 0) return
         var left = toRent
-        val byOwned = usable.sortedBy { owned[it] }
+        val byOwned = usable.sortedBy { baseline[it] }
         for ((count, i) in byOwned.withIndex()) {
-            val level = if (count + 1 < byOwned.size) owned[byOwned[count + 1]] else Double.MAX_VALUE
+            val level = if (count + 1 < byOwned.size) baseline[byOwned[count + 1]] else Double.MAX_VALUE
             val raised = byOwned.subList(0, count + 1)
-            val each = minOf(level - owned[i] - rented[i], left / raised.size)
+            val each = minOf(level - baseline[i] - rented[i], left / raised.size)
             raised.forEach { rented[it] += each }
             left -= each * raised.size
             if (left <= 0) return
@@ -234,15 +234,15 @@
     }
 
     /** What is to be rented now: planned rented room, and backups as far as owned room was not granted yet. */
-    fun wishes(jobs: List<Job>, isOwned: (Machine) -> Boolean, nowMicros: Long): List<RentalWish> = jobs.mapNotNull { job ->
+    fun wishes(jobs: List<Job>, isBaseline: (Machine) -> Boolean, nowMicros: Long): List<ScaleOutDemand> = jobs.mapNotNull { job ->
         val plan = plans[job.id] ?: return@mapNotNull null
-        val granted = job.placements.count { !it.isAssigned && isOwned(it.machine) }
-        val backup = minOf(plan.backup, (plan.ownedSlots(nowMicros) - granted).coerceAtLeast(0.0))
-        val running = job.placements.count { !it.isAssigned && !isOwned(it.machine) }
+        val granted = job.placements.count { !it.isAssigned && isBaseline(it.machine) }
+        val backup = minOf(plan.backup, (plan.baselineSlots(nowMicros) - granted).coerceAtLeast(0.0))
+        val running = job.placements.count { !it.isAssigned && !isBaseline(it.machine) }
         // What the plan rents for runs out as tasks are done; a task running on a rented machine keeps its place.
         val slots = maxOf(plan.rentedSlots + backup, running.toDouble())
         val remaining = (job.spec.taskCount - job.doneCount - granted).toDouble()
-        RentalWish(job, minOf(slots, remaining).coerceAtLeast(0.0))
+        ScaleOutDemand(job, minOf(slots, remaining).coerceAtLeast(0.0))
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/planning/Aims.kt
+++ b/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
@@ -10,18 +10,18 @@
  * When there is more work than room, the order in which it is done decides how many jobs reach their aims:
  * one that has missed all of them already should not make the next one miss as well.
  */
-class Aims(objectives: List<Objective>, teams: List<Team>, private val times: TaskTimes) {
+class ServiceLevelObjectives(objectives: List<Objective>, teams: List<Team>, private val times: TaskTimes) {
     private val limits = teams.associate { it.name to it.cpusMax }
     private val byJobClass = objectives.filter { it.jobClass != null }.groupBy { it.jobClass }
 
     /** 0: all aims can still be reached; one more for each that cannot; back to 0 when it has waited too long. */
     fun missed(job: Job, wallMicros: Long): Int {
-        val aims = byJobClass[job.spec.jobClass] ?: return 0
+        val objectives = byJobClass[job.spec.jobClass] ?: return 0
         if (job.placements.any { !it.isAssigned }) return 0
         val age = wallMicros - job.readyWallMicros
         val run = times.estimateMicros(job)
-        val missed = aims.count { aim -> latestStart(aim, job, run)?.let { age > it } ?: false }
-        val patience = aims.mapNotNull { latestStart(it, job, run) }.maxOrNull() ?: return missed
+        val missed = objectives.count { aim -> latestStart(aim, job, run)?.let { age > it } ?: false }
+        val patience = objectives.mapNotNull { latestStart(it, job, run) }.maxOrNull() ?: return missed
         return if (age > maxOf(patience, run) * PATIENCE) 0 else missed
     }
 
--- a/src/main/kotlin/linemast/planning/StagePlanner.kt
+++ b/src/main/kotlin/linemast/planning/StagePlanner.kt
@@ -33,13 +33,13 @@
         val end = maxOf(deadlineMicros, stage.startsInMicros + task)
         val throughput = throughput(stage, end, task)
         val total = throughput.sum()
-        val owned = DoubleArray(intervals) { i -> ownedTarget(stage, tasks, throughput[i], total) }
+        val baseline = DoubleArray(intervals) { i -> ownedTarget(stage, tasks, throughput[i], total) }
         if (isBooked) {
             for (i in 0 until intervals) {
-                if (owned[i] > 0) forecast.book(job, i, owned[i] / JobPlan.slots(overlapMicros(stage, end, i), task))
+                if (baseline[i] > 0) forecast.book(job, i, baseline[i] / JobPlan.slots(overlapMicros(stage, end, i), task))
             }
         }
-        val toRent = (tasks - owned.sum()).coerceAtLeast(0.0)
+        val toRent = (tasks - baseline.sum()).coerceAtLeast(0.0)
         val window = end - maxOf(stage.startsInMicros, bootMicros)
         val span = if (window < task) JobPlan.longestRentedSpanMicros(intervalMicros, task) else window
         val neighbourSpan = neighbour?.spanMicros?.takeIf { it > 0 } ?: span
@@ -48,7 +48,7 @@
         val rented = DoubleArray(intervals)
         rented[(stage.startsInMicros / intervalMicros).toInt().coerceIn(0, intervals - 1)] = toRent
         return JobPlan(
-            nowMicros, intervalMicros, task, owned, rented, rentedSlots = toRent / rounds, backup = 0.0, doneThen = 0, topUp = 0.0,
+            nowMicros, intervalMicros, task, baseline, rented, rentedSlots = toRent / rounds, backup = 0.0, doneThen = 0, topUp = 0.0,
             deadlineWallMicros, spanMicros = (rounds * task).toLong(),
         )
     }
@@ -62,7 +62,7 @@
 
     private fun throughput(stage: WaitingStage, end: Long, task: Long) = DoubleArray(intervals) { i ->
         val overlap = overlapMicros(stage, end, i)
-        if (overlap <= 0) 0.0 else forecast.roomFor(stage.job, i) * JobPlan.slots(overlap, task)
+        if (overlap <= 0) 0.0 else forecast.freeSlots(stage.job, i) * JobPlan.slots(overlap, task)
     }
 
     /** The part of interval [i] that lies in the window of [stage]. */
--- a/src/main/kotlin/linemast/planning/TaskTimes.kt
+++ b/src/main/kotlin/linemast/planning/TaskTimes.kt
@@ -15,7 +15,7 @@
     /** A task of [spec] ran for [measuredMicros]. */
     fun finished(spec: JobSpec, measuredMicros: Long) {
         if (spec.estimatedRunMicros <= 0) return
-        val ratio = (measuredMicros.toDouble() / spec.estimatedRunMicros).coerceIn(LEAST_RATIO, MOST_RATIO)
+        val ratio = (measuredMicros.toDouble() / spec.estimatedRunMicros).coerceIn(MIN_RATIO, MAX_RATIO)
         val weight = SMOOTHING / minOf(spec.taskCount, MANY_TASKS)
         ratios.merge(spec.jobClass, ratio) { old, new -> old + (new - old) * weight }
     }
@@ -33,7 +33,7 @@
         const val SMOOTHING = 0.3
         const val MANY_TASKS = 20
         const val ENOUGH_TASKS = 4
-        const val LEAST_RATIO = 0.2
-        const val MOST_RATIO = 5.0
+        const val MIN_RATIO = 0.2
+        const val MAX_RATIO = 5.0
     }
 }
--- a/src/main/kotlin/linemast/recovery/Recovery.kt
+++ b/src/main/kotlin/linemast/recovery/Recovery.kt
@@ -2,7 +2,7 @@
 
 import linemast.domain.TaskAttempt
 import linemast.settings.RecoverySettings
-import linemast.store.Priority
+import linemast.store.RequestPriority
 import linemast.store.TokenBucket
 import org.slf4j.LoggerFactory
 
@@ -20,10 +20,10 @@
     val unknownJobs = UnknownJobs(settings.confirmMicros, PATIENCE_MICROS)
 
     /** What was found and ordered. */
-    val ledger = RecoveryLedger()
+    val ledger = RecoveryStatistics()
 
     private var refusedMicros = 0L
-    private var settledMicros: Long? = null
+    private var reconciledMicros: Long? = null
 
     /**
      * Whether all that earlier leaders started is accounted for, and what has to be started anew has been. From then on
@@ -34,13 +34,13 @@
 
     /** Whether the tasks of [job], which the leader does not know, may be stopped, and their results forgotten. */
     fun mayDiscard(job: String, nowMicros: Long): Boolean = when (unknownJobs.reported(job, nowMicros)) {
-        JobStanding.UNDECIDED, JobStanding.INCONSISTENT -> false
-        JobStanding.OVER, JobStanding.UNRECORDED, JobStanding.UNKNOWN -> true
+        UnknownJobState.UNDECIDED, UnknownJobState.INCONSISTENT -> false
+        UnknownJobState.OVER, UnknownJobState.UNRECORDED, UnknownJobState.UNKNOWN -> true
     }
 
     /** Whether one more start, or a stop that is not urgent, may leave now. */
     fun mayOrder(nowMicros: Long): Boolean {
-        if (isOver || orderTokens.tryTake(1, Priority.VITAL, nowMicros)) return true
+        if (isOver || orderTokens.tryTake(1, RequestPriority.CRITICAL, nowMicros)) return true
         refusedMicros = nowMicros
         return false
     }
@@ -56,23 +56,23 @@
     }
 
     /** Counts [difference] while it goes on. */
-    fun found(difference: RecoveryLedger.Difference) {
+    fun found(difference: RecoveryStatistics.Difference) {
         if (!isOver) ledger.found(difference)
     }
 
     /** Counts [count] orders while it goes on. */
-    fun ordered(order: RecoveryLedger.Order, count: Int = 1) {
+    fun ordered(order: RecoveryStatistics.Order, count: Int = 1) {
         if (!isOver) ledger.ordered(order, count)
     }
 
     /** Takes note of whether the tasks of earlier leaders are accounted for. True when it is over by that. */
-    fun step(isSettled: Boolean, nowMicros: Long): Boolean {
+    fun step(isReconciled: Boolean, nowMicros: Long): Boolean {
         if (isOver) return false
-        if (!isSettled || unknownJobs.hasUndecided) {
-            settledMicros = null
+        if (!isReconciled || unknownJobs.hasUndecided) {
+            reconciledMicros = null
             return false
         }
-        val since = settledMicros ?: nowMicros.also { settledMicros = it }
+        val since = reconciledMicros ?: nowMicros.also { reconciledMicros = it }
         if (nowMicros < maxOf(since, refusedMicros) + CALM_MICROS) return false
         isOver = true
         logger.info("recovered: {}", ledger.summary())
--- a/src/main/kotlin/linemast/recovery/RecoveryLedger.kt
+++ b/src/main/kotlin/linemast/recovery/RecoveryStatistics.kt
@@ -4,7 +4,7 @@
 import java.util.EnumMap
 
 /** Counts what a new leader has found and ordered until all that earlier ones started is accounted for; pure. */
-class RecoveryLedger {
+class RecoveryStatistics {
     /** Kinds of differences between what workers report and what the store holds. */
     enum class Difference {
         /** A task that goes on as it is. */
--- a/src/main/kotlin/linemast/recovery/RecoveryStore.kt
+++ b/src/main/kotlin/linemast/recovery/RecoveryStore.kt
@@ -5,10 +5,10 @@
 import kotlinx.coroutines.launch
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
-import linemast.leadership.Authority
+import linemast.leadership.LeaderLease
 import linemast.serialization.MalformedException
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.KeyValueStore
+import linemast.store.RequestPriority
 import linemast.store.StoreException
 import linemast.store.Write
 import linemast.store.attempt
@@ -17,13 +17,13 @@
 
 /** Reads the verdicts of jobs that the leader does not know, and stores what a recovery has found, for operators to read. */
 internal class RecoveryStore(
-    private val store: Store,
-    private val authority: Authority,
+    private val store: KeyValueStore,
+    private val leaderLease: LeaderLease,
     private val clock: Clock,
     private val wallMicros: () -> Long,
     private val recovery: Recovery,
     /** Whether the tasks of earlier leaders are accounted for. */
-    private val isSettled: () -> Boolean,
+    private val isReconciled: () -> Boolean,
     /** Runs an action on the coroutine that owns the cluster state. */
     private val onLeaderLoop: suspend (() -> Unit) -> Unit,
 ) {
@@ -34,7 +34,7 @@
         while (true) {
             onLeaderLoop {
                 recovery.unknownJobs.toAsk(clock.nowMicros()).chunked(JOBS_AT_ONCE).forEach { jobs -> scope.launch { ask(jobs) } }
-                if (recovery.step(isSettled(), clock.nowMicros())) scope.launch { write() }
+                if (recovery.step(isReconciled(), clock.nowMicros())) scope.launch { write() }
             }
             delay(LOOK_MILLIS)
         }
@@ -47,31 +47,31 @@
         }
     }
 
-    private suspend fun read(job: String): VerdictAnswer = try {
-        val item = store.get(JobKeys.verdict(job), Priority.INTAKE)
-        if (item == null) VerdictAnswer.Absent else VerdictAnswer.Found(JobRecordCodec.decodeOutcome(item.value).verdict)
+    private suspend fun read(job: String): OutcomeLookup = try {
+        val entry = store.get(JobKeys.outcome(job), RequestPriority.HIGH)
+        if (entry == null) OutcomeLookup.Absent else OutcomeLookup.Found(JobRecordCodec.decodeOutcome(entry.value).outcome)
     } catch (e: StoreException) {
         logger.debug("verdict of {}: {}", job, e.message)
-        VerdictAnswer.NoAnswer
+        OutcomeLookup.NoAnswer
     } catch (e: MalformedException) {
         logger.error("verdict of {}: {}", job, e.message)
-        VerdictAnswer.NoAnswer
+        OutcomeLookup.NoAnswer
     }
 
     private suspend fun write() {
         val value = mapOf(
             "at_us" to wallMicros(),
-            "helm" to authority.fencingToken,
+            "helm" to leaderLease.fencingToken,
             "summary" to recovery.ledger.summary(),
             "jobs" to
-                recovery.unknownJobs.suspect.entries.take(MOST_LISTED).map { (id, standing) ->
+                recovery.unknownJobs.suspect.entries.take(MAX_LISTED).map { (id, state) ->
                     mapOf(
                         "job" to id,
-                        "standing" to standing.name.lowercase(),
+                        "standing" to state.name.lowercase(),
                     )
                 },
         )
-        attempt(logger) { store.commit(listOf(authority.fence), listOf(Write.Put(KEY, value)), Priority.BACKGROUND) }
+        attempt(logger) { store.commit(listOf(leaderLease.fence), listOf(Write.Put(KEY, value)), RequestPriority.BACKGROUND) }
     }
 
     private companion object {
@@ -80,6 +80,6 @@
         const val JOBS_AT_ONCE = 20
 
         /** So that the record fits a value. */
-        const val MOST_LISTED = 15
+        const val MAX_LISTED = 15
     }
 }
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -1,9 +1,9 @@
 package linemast.recovery
 
-import linemast.domain.Verdict
+import linemast.domain.JobOutcome
 
 /** What the store says of a job that a worker reports and the leader does not know. */
-enum class JobStanding {
+enum class UnknownJobState {
     /** Nothing has been read yet. */
     UNDECIDED,
 
@@ -21,15 +21,15 @@
 }
 
 /** What a read of a job's verdict brought. */
-sealed interface VerdictAnswer {
+sealed interface OutcomeLookup {
     /** The store has this verdict. */
-    data class Found(val verdict: Verdict) : VerdictAnswer
+    data class Found(val outcome: JobOutcome) : OutcomeLookup
 
     /** The store has no record. */
-    data object Absent : VerdictAnswer
+    data object Absent : OutcomeLookup
 
     /** The store did not answer. */
-    data object NoAnswer : VerdictAnswer
+    data object NoAnswer : OutcomeLookup
 }
 
 /**
@@ -40,7 +40,7 @@
  */
 class UnknownJobs(private val confirmMicros: Long, private val patienceMicros: Long) {
     private class Entry(val sinceMicros: Long) {
-        var standing = JobStanding.UNDECIDED
+        var state = UnknownJobState.UNDECIDED
         var isAsked = false
         var absentMicros: Long? = null
         var askAgainMicros = 0L
@@ -49,42 +49,46 @@
     private val entries = LinkedHashMap<String, Entry>()
 
     /** Jobs that are not simply over, for operators to look at. */
-    val suspect: Map<String, JobStanding> get() = entries.mapValues { it.value.standing }.filterValues { it != JobStanding.OVER }
+    val suspect: Map<String, UnknownJobState> get() = entries.mapValues { it.value.state }.filterValues { it != UnknownJobState.OVER }
 
     /** Whether some job is undecided. */
-    val hasUndecided: Boolean get() = entries.values.any { it.standing == JobStanding.UNDECIDED }
+    val hasUndecided: Boolean get() = entries.values.any { it.state == UnknownJobState.UNDECIDED }
 
     /** A worker reports [job], which the leader does not know. */
-    fun reported(job: String, nowMicros: Long): JobStanding {
+    fun reported(job: String, nowMicros: Long): UnknownJobState {
         val entry = entries.getOrPut(job) { Entry(nowMicros) }
-        if (entry.standing == JobStanding.UNDECIDED && nowMicros - entry.sinceMicros > patienceMicros) entry.standing = JobStanding.UNKNOWN
-        while (entries.size > MOST_JOBS) entries.remove(entries.keys.first())
-        return entry.standing
+        if (entry.state == UnknownJobState.UNDECIDED &&
+            nowMicros - entry.sinceMicros > patienceMicros
+        ) {
+            entry.state = UnknownJobState.UNKNOWN
+        }
+        while (entries.size > MAX_JOBS) entries.remove(entries.keys.first())
+        return entry.state
     }
 
     /** Jobs whose verdict is to be read now; each is asked for once until its answer has come. */
     fun toAsk(nowMicros: Long): List<String> {
-        val due = entries.filterValues { it.standing == JobStanding.UNDECIDED && !it.isAsked && nowMicros >= it.askAgainMicros }
+        val due = entries.filterValues { it.state == UnknownJobState.UNDECIDED && !it.isAsked && nowMicros >= it.askAgainMicros }
         due.values.forEach { it.isAsked = true }
         return due.keys.toList()
     }
 
     /** What a read of the verdict of [job] brought. */
-    fun answered(job: String, answer: VerdictAnswer, nowMicros: Long) {
+    fun answered(job: String, answer: OutcomeLookup, nowMicros: Long) {
         val entry = entries[job] ?: return
         entry.isAsked = false
-        if (entry.standing != JobStanding.UNDECIDED) return
+        if (entry.state != UnknownJobState.UNDECIDED) return
         when (answer) {
-            is VerdictAnswer.Found -> entry.standing = if (answer.verdict.isFinal) JobStanding.OVER else JobStanding.INCONSISTENT
-            VerdictAnswer.Absent -> absent(entry, nowMicros)
-            VerdictAnswer.NoAnswer -> entry.askAgainMicros = nowMicros + RETRY_MICROS
+            is OutcomeLookup.Found -> entry.state = if (answer.outcome.isTerminal) UnknownJobState.OVER else UnknownJobState.INCONSISTENT
+            OutcomeLookup.Absent -> absent(entry, nowMicros)
+            OutcomeLookup.NoAnswer -> entry.askAgainMicros = nowMicros + RETRY_MICROS
         }
     }
 
     private fun absent(entry: Entry, nowMicros: Long) {
         val first = entry.absentMicros
         if (first != null && nowMicros - first >= confirmMicros) {
-            entry.standing = JobStanding.UNRECORDED
+            entry.state = UnknownJobState.UNRECORDED
         } else {
             entry.absentMicros = first ?: nowMicros
             entry.askAgainMicros = (first ?: nowMicros) + confirmMicros
@@ -93,6 +97,6 @@
 
     private companion object {
         const val RETRY_MICROS = 500_000L
-        const val MOST_JOBS = 5_000
+        const val MAX_JOBS = 5_000
     }
 }
--- a/src/main/kotlin/linemast/scheduling/UsableMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
@@ -13,14 +13,14 @@
  * A pass asks for machines once for each waiting job. Looking through the whole fleet each time grew with the product
  * of both; here a job is led to the few machines that have room for it, in the order that looking through all gives.
  */
-internal class UsableMachines(
+internal class CandidateMachines(
     machines: Collection<Machine>,
     private val scarce: ScarceTypes,
     /** How soon a machine's next report, and with it a start, can be expected: the smaller the sooner. */
     private val turn: (Machine) -> Int = { 0 },
 ) {
     /** Machines of the same type, kind and owner: all that their place in the order shares. */
-    private class Pool(val type: MachineType, val spot: Boolean, val owned: Boolean) {
+    private class Pool(val type: MachineType, val spot: Boolean, val baseline: Boolean) {
         val machines = ArrayList<Entry>()
         val zones = LinkedHashSet<String>()
 
@@ -66,8 +66,8 @@
     init {
         val byKind = LinkedHashMap<Triple<MachineType, Boolean, Boolean>, Pool>()
         for ((rank, machine) in machines.withIndex()) {
-            val pool = byKind.getOrPut(Triple(machine.type, machine.spot, machine.owned)) {
-                Pool(machine.type, machine.spot, machine.owned)
+            val pool = byKind.getOrPut(Triple(machine.type, machine.spot, machine.baseline)) {
+                Pool(machine.type, machine.spot, machine.baseline)
             }
             pool.machines += Entry(machine, rank)
             pool.zones += machine.zone
@@ -77,7 +77,7 @@
         }
         // Cheap ones fill first, so that dear ones fall idle and can be returned.
         pools = byKind.values.sortedWith(
-            compareBy({ !it.owned }, { if (it.owned) 0.0 else it.machines.first().machine.pricePerVcpu }, {
+            compareBy({ !it.baseline }, { if (it.baseline) 0.0 else it.machines.first().machine.pricePerVcpu }, {
                 it.type.vcpus +
                     it.type.gpus * GPU_WEIGHT
             }),
@@ -109,7 +109,7 @@
         for (scarce in listOf(false, true)) {
             val open = pools[scarce].orEmpty().map { pool -> pool.withRoom(job.spec.vcpus).filter { isOpen(it.machine, job) } }
             val (having, lacking) = open.map { entries -> entries.partition { job.spec.image in it.machine.images } }.unzip()
-            if (job.guaranteed) {
+            if (job.withinQuota) {
                 yieldAll(soonestFirst(having))
                 yieldAll(soonestFirst(lacking))
             } else {
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -1,15 +1,15 @@
 package linemast.scheduling
 
-import linemast.admission.StartTurns
+import linemast.admission.FlowRoundRobin
 import linemast.domain.Command
+import linemast.domain.Heartbeat
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
 import linemast.domain.Placement
-import linemast.domain.Report
 import linemast.domain.TaskId
-import linemast.leadership.CancellationKnowledge
+import linemast.leadership.CancellationFreshness
 import linemast.planning.Planner
 import linemast.planning.TaskTimes
 import linemast.planning.WaitingStage
@@ -21,7 +21,7 @@
 /**
  * The leader's whole state: jobs, machines, and which task may be on which machine.
  *
- * Pure: events and the time go in, commands and [Effects] come out. It is owned by one coroutine.
+ * Pure: events and the time go in, commands and [ClusterEffects] come out. It is owned by one coroutine.
  *
  * That no task runs twice rests on one thing: a placement is only removed when its task is surely not on the
  * machine, and a task with a placement is never started. Placements end here in [Cluster.remove] alone.
@@ -29,15 +29,15 @@
 class Cluster(
     private val settings: Settings,
     val fencingToken: Long,
-    private val graceMicros: Long,
-    private val effects: Effects,
+    private val degradedModeMicros: Long,
+    private val effects: ClusterEffects,
     val times: TaskTimes,
     val planner: Planner,
     val wallMicros: () -> Long,
     private val clock: Clock,
-    private val knowledge: CancellationKnowledge = CancellationKnowledge(settings.workers),
+    private val cancellationFreshness: CancellationFreshness = CancellationFreshness(settings.workers),
     /** Whose turn it is among jobs that have waited for long; without it all of them go first. */
-    startTurns: StartTurns? = null,
+    startTurns: FlowRoundRobin? = null,
     /** The reconciliation after an outage; null if it is not enabled. */
     internal val recovery: Recovery? = null,
 ) {
@@ -51,7 +51,7 @@
 
     /** Tasks that are being stopped to make room or before a preemption. */
     val stopping = LinkedHashSet<Placement>()
-    private var owned: Set<String> = emptySet()
+    private var baseline: Set<String> = emptySet()
 
     /** Machines of which the cloud has confirmed that they are gone; names are never used again. */
     private val returned = LinkedHashSet<String>()
@@ -60,8 +60,8 @@
     private val beingReturned = HashSet<String>()
 
     internal val attemptNumbers = AttemptNumbers(fencingToken)
-    val usage = TeamUsage(settings.teams)
-    private val placer = Placer(this, settings, startTurns)
+    val quota = QuotaUsage(settings.teams)
+    private val scheduler = Scheduler(this, settings, startTurns)
 
     /** Tasks of a job that the plan books on owned machines side by side. */
     var bookings: (Job) -> Int = { 0 }
@@ -71,45 +71,45 @@
 
     /** Set by whatever may change what can be placed. */
     var dirty = true
-    private var nextPassMicros = 0L
+    private var nextCycleMicros = 0L
 
     private val timing = WorkerTiming(settings.workers)
-    internal val takeover = Takeover(this, graceMicros, timing)
-    private val reportHandler = ReportHandler(this, settings.workers, timing, knowledge, TaskCommands(this))
+    internal val failover = FailoverReconciliation(this, degradedModeMicros, timing)
+    private val heartbeatHandler = HeartbeatHandler(this, settings.workers, timing, cancellationFreshness, TaskCommands(this))
 
     /** Whether every task that an earlier leader started has been seen or is surely gone. */
-    val settled: Boolean get() = takeover.isSettled
+    val isReconciled: Boolean get() = failover.isReconciled
 
     /** Takes what the store held; reports count from [nowMicros] on. */
-    fun load(records: List<Pair<OpenRecord, Long>>, recorded: List<Machine>, nowMicros: Long) {
-        for ((record, version) in records) add(record, version, inherited = record.opened)
+    fun load(records: List<Pair<JobRecord, Long>>, recorded: List<Machine>, nowMicros: Long) {
+        for ((record, revision) in records) add(record, revision, inherited = record.opened)
         for (machine in recorded) machines[machine.name] = machine
-        takeover.begin(recorded, nowMicros)
-        takeover.settle(nowMicros)
+        failover.begin(recorded, nowMicros)
+        failover.reconcile(nowMicros)
     }
 
-    /** See [Takeover.endEarlierGrace]. */
-    fun endEarlierGrace(nowMicros: Long) = takeover.endEarlierGrace(nowMicros)
+    /** See [FailoverReconciliation.endPreviousLeaders]. */
+    fun endPreviousLeaders(nowMicros: Long) = failover.endPreviousLeaders(nowMicros)
 
-    /** See [ReportHandler.handle]. */
-    fun report(report: Report, nowMicros: Long, allowedCommands: AllowedCommands = AllowedCommands.ALL): List<Command>? =
-        reportHandler.handle(report, nowMicros, allowedCommands)
+    /** See [HeartbeatHandler.handle]. */
+    fun heartbeat(heartbeat: Heartbeat, nowMicros: Long, allowedCommands: CommandPermission = CommandPermission.ALL): List<Command>? =
+        heartbeatHandler.handle(heartbeat, nowMicros, allowedCommands)
 
-    /** Takes a job's record as the store holds it at [version]. */
-    fun putJob(record: OpenRecord, version: Long) {
+    /** Takes a job's record as the store holds it at [revision]. */
+    fun putJob(record: JobRecord, revision: Long) {
         val job = jobs[record.spec.id]
         if (job == null) {
             // Whatever an earlier leader opened was there to be loaded.
-            add(record, version, inherited = false)
+            add(record, revision, inherited = false)
         } else {
-            job.version = maxOf(job.version, version)
+            job.revision = maxOf(job.revision, revision)
             if (record.cancelled) cancel(job)
         }
         dirty = true
     }
 
-    private fun add(record: OpenRecord, version: Long, inherited: Boolean) {
-        val job = Job(record, version, inherited)
+    private fun add(record: JobRecord, revision: Long, inherited: Boolean) {
+        val job = Job(record, revision, inherited)
         if (job.cancelled) job.cancelledSinceMicros = clock.nowMicros()
         jobs[job.id] = job
     }
@@ -127,7 +127,7 @@
     fun finish(job: Job) {
         job.finished = true
         jobs.remove(job.id)
-        if (job.spec.isGang) takeover.gangFinished(job)
+        if (job.spec.isGang) failover.gangFinished(job)
         dirty = true
     }
 
@@ -136,7 +136,7 @@
         if (job.cancelled) return
         job.cancelled = true
         // Confirmed after the last complete read, or that would have shown it.
-        job.cancelledSinceMicros = knowledge.knownUpToMicros ?: clock.nowMicros()
+        job.cancelledSinceMicros = cancellationFreshness.freshAsOfMicros ?: clock.nowMicros()
         log.info("{}: cancelled by its user, {} tasks to stop", job.id, job.placements.count { !it.isAssigned })
         unassign(job)
         dirty = true
@@ -155,7 +155,7 @@
         if (placement.isAssigned) chosen += placement
         placement.machine.put(placement)
         placement.job?.add(placement)
-        placement.job?.let { usage.add(it.spec, 1) }
+        placement.job?.let { quota.add(it.spec, 1) }
     }
 
     /** The start of [placement] has left in an answer. */
@@ -184,7 +184,7 @@
         placement.machine.remove(placement)
         placement.job?.let {
             it.remove(placement)
-            usage.add(it.spec, -1)
+            quota.add(it.spec, -1)
         }
         dirty = true
     }
@@ -194,26 +194,26 @@
         endLeases(nowMicros)
         releaseReservations(nowMicros)
         // What was chosen for a machine that has fallen silent since is chosen anew.
-        if (!dirty) dirty = chosen.any { !placer.isFresh(it.machine, nowMicros) }
-        takeover.settle(nowMicros)
-        val unrecorded = machines.values.filter { !it.onRecord && it.reportedMicros > 0 && nowMicros < it.leaseEndMicros }
-        if (unrecorded.isNotEmpty()) effects.storeMachines(unrecorded)
+        if (!dirty) dirty = chosen.any { !scheduler.isFresh(it.machine, nowMicros) }
+        failover.reconcile(nowMicros)
+        val unregistered = machines.values.filter { !it.isRegistered && it.lastHeartbeatMicros > 0 && nowMicros < it.leaseEndMicros }
+        if (unregistered.isNotEmpty()) effects.storeMachines(unregistered)
         for (job in jobs.values.toList()) followUp(job, nowMicros)
-        passIfDue(nowMicros)
+        runCycleIfDue(nowMicros)
     }
 
     /** What runs nothing any more is taken off the record, so that the next leader need not wait for it. */
     private fun endLeases(nowMicros: Long) {
         val over = ArrayList<String>()
         for (machine in machines.values) {
-            if (nowMicros < machine.leaseEndMicros || (!machine.onRecord && machine.placements.isEmpty())) continue
+            if (nowMicros < machine.leaseEndMicros || (!machine.isRegistered && machine.placements.isEmpty())) continue
             if (machine.placements.isNotEmpty()) {
                 log.info("{}: silent for longer than a lease, {} tasks lost", machine.name, machine.placements.size)
                 machine.placements.values.toList().forEach(::remove)
                 machine.ended.clear()
             }
-            if (machine.onRecord) over += machine.name
-            machine.onRecord = false
+            if (machine.isRegistered) over += machine.name
+            machine.isRegistered = false
         }
         if (over.isNotEmpty()) effects.dropMachines(over)
     }
@@ -232,7 +232,7 @@
         if (job.finished) {
             if (job.placements.isEmpty()) jobs.remove(job.id)
         } else if (job.cancelled) {
-            if (takeover.isSettledFor(job) && job.placements.isEmpty() && !job.writingDone) effects.dropCancelled(job)
+            if (failover.isReconciledFor(job) && job.placements.isEmpty() && !job.writingDone) effects.dropCancelled(job)
         } else if (!job.writingDone && !job.dirtyParts.isEmpty) {
             // Progress is stored now and then: each write takes from what submissions and ends of jobs need.
             if (!job.isDone && nowMicros < job.doneStoredMicros + PROGRESS_MICROS) return
@@ -242,11 +242,11 @@
     }
 
     /** Passes take a bounded part of the time, however large the fleet: what a long one costs, reports get before the next. */
-    internal fun passIfDue(nowMicros: Long) {
-        if (!dirty || nowMicros < nextPassMicros) return
+    internal fun runCycleIfDue(nowMicros: Long) {
+        if (!dirty || nowMicros < nextCycleMicros) return
         val start = clock.nowMicros()
-        placer.pass(nowMicros)
-        nextPassMicros = nowMicros + maxOf(PASS_MICROS, (clock.nowMicros() - start) * SPANS_A_PASS)
+        scheduler.cycle(nowMicros)
+        nextCycleMicros = nowMicros + maxOf(CYCLE_MICROS, (clock.nowMicros() - start) * IDLE_SPANS_PER_CYCLE)
     }
 
     /** Has it stored that tasks of [job] may have been started, before the first start leaves. */
@@ -261,19 +261,19 @@
         var known = 0
         var heard = 0
         for (machine in machines.values) {
-            if (machine.reportedMicros == 0L || machine.draining) continue
+            if (machine.lastHeartbeatMicros == 0L || machine.draining) continue
             known++
-            if (nowMicros - machine.reportedMicros < timing.lostAfterMicros) heard++
+            if (nowMicros - machine.lastHeartbeatMicros < timing.lostAfterMicros) heard++
         }
         return known >= FEW_WORKERS && heard * MOSTLY < known
     }
 
     /** Machines that fit a job and are yet kept from it do not count as room for it, neither there nor to be rented. */
-    fun isClosedTo(type: MachineType, spot: Boolean, job: Job): Boolean = placer.isClosedTo(type, spot, job.spec)
+    fun isClosedTo(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isClosedTo(type, spot, job.spec)
 
-    internal fun isStartable(job: Job, nowMicros: Long): Boolean = placer.startable(job, nowMicros)
+    internal fun isStartable(job: Job, nowMicros: Long): Boolean = scheduler.startable(job, nowMicros)
 
-    internal fun isOwned(machineName: String): Boolean = machineName in owned
+    internal fun isBaseline(machineName: String): Boolean = machineName in baseline
 
     /** Whether the cloud has confirmed that the machine is gone. */
     internal fun isReturned(machineName: String): Boolean = machineName in returned
@@ -288,12 +288,12 @@
     }
 
     /** Whether no task can be on the machine, as far as that can be known. */
-    fun isFree(machineName: String): Boolean = settled && machines[machineName]?.placements.isNullOrEmpty()
+    fun isFree(machineName: String): Boolean = isReconciled && machines[machineName]?.placements.isNullOrEmpty()
 
     /** Which machines are owned is known by the fleet. */
-    fun markOwned(names: Set<String>) {
-        owned = names
-        machines.values.forEach { it.owned = it.name in names }
+    fun markBaseline(names: Set<String>) {
+        baseline = names
+        machines.values.forEach { it.baseline = it.name in names }
     }
 
     /** Machines that are neither listed nor heard of any more; the names of those that were on record. */
@@ -302,7 +302,7 @@
             it.name !in listed && it.placements.isEmpty() && nowMicros > it.leaseEndMicros + FORGET_MICROS
         }
         absent.forEach { machines.remove(it.name) }
-        return absent.filter { it.onRecord }.map { it.name }
+        return absent.filter { it.isRegistered }.map { it.name }
     }
 
     /** The cloud has confirmed that these are gone. */
@@ -313,22 +313,22 @@
             val machine = machines.remove(name) ?: continue
             machine.placements.values.toList().forEach(::remove)
         }
-        while (returned.size > MOST_RETURNED) returned.remove(returned.first())
+        while (returned.size > MAX_RETURNED) returned.remove(returned.first())
         dirty = true
     }
 
     private companion object {
-        const val PASS_MICROS = 100_000L
+        const val CYCLE_MICROS = 100_000L
 
         /** A pass is followed by at least this many times its own span without one. */
-        const val SPANS_A_PASS = 8
+        const val IDLE_SPANS_PER_CYCLE = 8
         const val FEW_WORKERS = 3
 
         /** Most are lost if less than one in this many is heard. */
         const val MOSTLY = 4
 
         /** Late reports come minutes late at most; so many are four times the machines of the largest fleet. */
-        const val MOST_RETURNED = 24_000
+        const val MAX_RETURNED = 24_000
         const val PROGRESS_MICROS = 5_000_000L
         const val FORGET_MICROS = 30_000_000L
     }
--- a/src/main/kotlin/linemast/scheduling/Effects.kt
+++ b/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
@@ -4,7 +4,7 @@
 import linemast.domain.Machine
 
 /** What the leader's state wants done in the outside world. */
-interface Effects {
+interface ClusterEffects {
     /** Store that tasks of this job may be started from now on. */
     fun storeOpened(job: Job)
 
--- a/src/main/kotlin/linemast/scheduling/AllowedCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/CommandPermission.kt
@@ -1,7 +1,7 @@
 package linemast.scheduling
 
 /** Which commands the answer to a report may carry. */
-enum class AllowedCommands {
+enum class CommandPermission {
     ALL,
 
     /** A cancellation may be unknown to this leader: nothing may be started. */
--- a/src/main/kotlin/linemast/scheduling/ReportHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -2,28 +2,28 @@
 
 import linemast.domain.Command
 import linemast.domain.EndCause
+import linemast.domain.Heartbeat
 import linemast.domain.Job
 import linemast.domain.Machine
 import linemast.domain.Placement
-import linemast.domain.Report
 import linemast.domain.TaskAttempt
-import linemast.domain.TaskReport
 import linemast.domain.TaskState
-import linemast.jobs.DoneSet
-import linemast.leadership.CancellationKnowledge
-import linemast.recovery.RecoveryLedger
+import linemast.domain.TaskStatus
+import linemast.jobs.CompletedTasks
+import linemast.leadership.CancellationFreshness
+import linemast.recovery.RecoveryStatistics
 import linemast.settings.WorkerSettings
 import org.slf4j.LoggerFactory
 
 /** Brings the leader's records into line with the reports of workers, and answers them. */
-internal class ReportHandler(
+internal class HeartbeatHandler(
     private val cluster: Cluster,
     private val workers: WorkerSettings,
     private val timing: WorkerTiming,
-    private val knowledge: CancellationKnowledge,
+    private val cancellationFreshness: CancellationFreshness,
     private val taskCommands: TaskCommands,
 ) {
-    private val log = LoggerFactory.getLogger(ReportHandler::class.java)
+    private val log = LoggerFactory.getLogger(HeartbeatHandler::class.java)
 
     /**
      * Takes a report and returns the commands for its answer; null for no answer that would renew the worker's lease.
@@ -31,48 +31,49 @@
      * Only a report that counts in the leader's records may be answered: else a worker could keep tasks, answer by answer, that
      * the leader's records give up at the end of its lease.
      */
-    fun handle(report: Report, nowMicros: Long, allowedCommands: AllowedCommands): List<Command>? {
-        val machine = accept(report, nowMicros) ?: return null
-        noticePreemption(machine, report)
-        reconcile(machine, report, nowMicros)
+    fun handle(heartbeat: Heartbeat, nowMicros: Long, allowedCommands: CommandPermission): List<Command>? {
+        val machine = accept(heartbeat, nowMicros) ?: return null
+        noticePreemption(machine, heartbeat)
+        reconcile(machine, heartbeat, nowMicros)
         if (machine.preemptionNoticeMicros != null) saveBeforePreemption(machine)
         if (machine.placements.values.any { outlivesCancellation(it, nowMicros) }) return null
-        if (allowedCommands == AllowedCommands.NO_COMMANDS) return taskCommands.stopsOfCancelled(machine)
-        cluster.takeover.heardFrom(machine, nowMicros)
+        if (allowedCommands == CommandPermission.NO_COMMANDS) return taskCommands.stopsOfCancelled(machine)
+        cluster.failover.heardFrom(machine, nowMicros)
         cluster.recovery?.heard(machine.name)
-        cluster.passIfDue(nowMicros)
+        cluster.runCycleIfDue(nowMicros)
         // A worker that does not show this fencing token has not heard this leader yet, and may never.
-        val mayStart = allowedCommands == AllowedCommands.ALL && machine.hears && report.fencingToken >= cluster.fencingToken
+        val mayStart =
+            allowedCommands == CommandPermission.ALL && machine.acknowledgesResponses && heartbeat.fencingToken >= cluster.fencingToken
         return taskCommands.commandsFor(machine, mayStart, nowMicros)
     }
 
     /** Takes note of a report's sender and order; null if the report does not count. */
-    private fun accept(report: Report, nowMicros: Long): Machine? {
+    private fun accept(heartbeat: Heartbeat, nowMicros: Long): Machine? {
         // The cloud has confirmed its end: this is a late copy, and must not bring the machine back.
-        if (cluster.isReturned(report.machineName)) return null
-        val machine = machineOf(report) ?: return null
-        val newer = machine.isNewer(report, nowMicros)
+        if (cluster.isReturned(heartbeat.machineName)) return null
+        val machine = machineOf(heartbeat) ?: return null
+        val newer = machine.isNewer(heartbeat, nowMicros)
         // A late copy or a report overtaken by a newer one: its worker does not wait for this answer any more.
-        if (!newer && !machine.restarted(report, nowMicros, timing.answeredWithinMicros)) return null
-        if (newer && machine.contradicts(report)) return null
-        val wasUsable = machine.hears && machine.fencingToken >= cluster.fencingToken
-        machine.heardAgain(report, nowMicros, timing.answeredWithinMicros, timing.shortestLeaseMicros)
-        if (!wasUsable && machine.hears && report.fencingToken >= cluster.fencingToken) cluster.dirty = true
-        if (!newer || report.session > machine.session) endSession(machine)
-        machine.session = report.session
-        machine.sequence = report.sequence
-        machine.fencingToken = maxOf(machine.fencingToken, report.fencingToken)
-        machine.reportedMicros = nowMicros
-        machine.leaseEndMicros = cluster.takeover.answeredUntilMicros(report.fencingToken, nowMicros) + timing.longestLeaseMicros
+        if (!newer && !machine.restarted(heartbeat, nowMicros, timing.answeredWithinMicros)) return null
+        if (newer && machine.contradicts(heartbeat)) return null
+        val wasUsable = machine.acknowledgesResponses && machine.fencingToken >= cluster.fencingToken
+        machine.heardAgain(heartbeat, nowMicros, timing.answeredWithinMicros, timing.shortestLeaseMicros)
+        if (!wasUsable && machine.acknowledgesResponses && heartbeat.fencingToken >= cluster.fencingToken) cluster.dirty = true
+        if (!newer || heartbeat.incarnation > machine.incarnation) endIncarnation(machine)
+        machine.incarnation = heartbeat.incarnation
+        machine.sequenceNumber = heartbeat.sequenceNumber
+        machine.fencingToken = maxOf(machine.fencingToken, heartbeat.fencingToken)
+        machine.lastHeartbeatMicros = nowMicros
+        machine.leaseEndMicros = cluster.failover.answeredUntilMicros(heartbeat.fencingToken, nowMicros) + timing.longestLeaseMicros
         return machine
     }
 
-    private fun noticePreemption(machine: Machine, report: Report) {
-        if (report.preemptionNoticeMicros != null && machine.preemptionNoticeMicros == null) {
-            log.info("{}: preempted by the cloud in {} s", machine.name, report.preemptionNoticeMicros / 1e6)
+    private fun noticePreemption(machine: Machine, heartbeat: Heartbeat) {
+        if (heartbeat.preemptionNoticeMicros != null && machine.preemptionNoticeMicros == null) {
+            log.info("{}: preempted by the cloud in {} s", machine.name, heartbeat.preemptionNoticeMicros / 1e6)
             machine.draining = true
         }
-        machine.preemptionNoticeMicros = report.preemptionNoticeMicros
+        machine.preemptionNoticeMicros = heartbeat.preemptionNoticeMicros
     }
 
     /**
@@ -81,22 +82,22 @@
      */
     private fun outlivesCancellation(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job ?: return false
-        return job.cancelled && placement.stopSent && knowledge.isOver(job.cancelledSinceMicros, nowMicros)
+        return job.cancelled && placement.stopSent && cancellationFreshness.isOver(job.cancelledSinceMicros, nowMicros)
     }
 
-    private fun machineOf(report: Report): Machine? {
-        cluster.machines[report.machineName]?.let { return it }
-        val type = cluster.types[report.machineType] ?: return null
-        val machine = Machine(report.machineName, type, report.zone, report.spot)
-        machine.owned = cluster.isOwned(machine.name)
+    private fun machineOf(heartbeat: Heartbeat): Machine? {
+        cluster.machines[heartbeat.machineName]?.let { return it }
+        val type = cluster.types[heartbeat.machineType] ?: return null
+        val machine = Machine(heartbeat.machineName, type, heartbeat.zone, heartbeat.spot)
+        machine.baseline = cluster.isBaseline(machine.name)
         machine.draining = cluster.isBeingReturned(machine.name)
-        cluster.machines[report.machineName] = machine
+        cluster.machines[heartbeat.machineName] = machine
         cluster.dirty = true
         return machine
     }
 
     /** The worker has begun a new session: it killed and forgot all it had. */
-    private fun endSession(machine: Machine) {
+    private fun endIncarnation(machine: Machine) {
         if (machine.placements.isNotEmpty()) log.info("{}: new session, {} tasks lost", machine.name, machine.placements.size)
         machine.placements.values.toList().forEach { if (!it.isAssigned) cluster.remove(it) }
         machine.ended.clear()
@@ -104,10 +105,10 @@
         cluster.dirty = true
     }
 
-    private fun reconcile(machine: Machine, report: Report, nowMicros: Long) {
+    private fun reconcile(machine: Machine, heartbeat: Heartbeat, nowMicros: Long) {
         val seen = HashSet<TaskAttempt>()
         machine.ended.clear()
-        for (task in report.tasks) {
+        for (task in heartbeat.tasks) {
             val key = task.key
             seen += key
             var placement = machine.placements[key]
@@ -150,12 +151,12 @@
         }
     }
 
-    private fun adoptGang(job: Job, task: TaskReport) {
+    private fun adoptGang(job: Job, task: TaskStatus) {
         job.gangAttempt = maxOf(job.gangAttempt, task.attempt)
         job.gangAttemptUsed = true
     }
 
-    private fun advance(placement: Placement, task: TaskReport, nowMicros: Long) {
+    private fun advance(placement: Placement, task: TaskStatus, nowMicros: Long) {
         placement.phase = when (task.status) {
             TaskState.FETCHING -> Placement.Phase.FETCHING
             TaskState.WAITING_FOR_GANG -> Placement.Phase.WAITING_FOR_GANG
@@ -169,7 +170,7 @@
         if (placement.phase != Placement.Phase.FETCHING) placement.job?.let { placement.machine.images += it.spec.image }
     }
 
-    private fun ended(machine: Machine, task: TaskReport, placement: Placement?, nowMicros: Long) {
+    private fun ended(machine: Machine, task: TaskStatus, placement: Placement?, nowMicros: Long) {
         if (placement != null) cluster.remove(placement)
         val job = cluster.jobs[task.task.job]
         if (job == null) cluster.recovery?.foundUnknown(task.key)
@@ -181,7 +182,7 @@
         }
     }
 
-    private fun completed(machine: Machine, job: Job, task: TaskReport, placement: Placement?, nowMicros: Long) {
+    private fun completed(machine: Machine, job: Job, task: TaskStatus, placement: Placement?, nowMicros: Long) {
         machine.failedJobs.clear()
         job.failures = 0
         if (placement != null && placement.runningSinceMicros > 0 && !job.spec.isGang) {
@@ -194,8 +195,8 @@
         val indices = if (job.spec.isGang) 0 until job.spec.taskCount else task.task.index..task.task.index
         for (index in indices) {
             if (!job.markDone(index)) continue
-            job.dirtyParts.set(DoneSet.partOf(index))
-            cluster.recovery?.found(RecoveryLedger.Difference.RESULT)
+            job.dirtyParts.set(CompletedTasks.partOf(index))
+            cluster.recovery?.found(RecoveryStatistics.Difference.RESULT)
         }
         cluster.dirty = true
     }
@@ -217,11 +218,11 @@
 
     private fun countFound(job: Job?, key: TaskAttempt) {
         val recovery = cluster.recovery ?: return
-        if (job == null) recovery.foundUnknown(key) else recovery.found(RecoveryLedger.Difference.ADOPTED)
+        if (job == null) recovery.foundUnknown(key) else recovery.found(RecoveryStatistics.Difference.ADOPTED)
     }
 
     private fun lost(placement: Placement, why: String) {
-        cluster.recovery?.found(RecoveryLedger.Difference.LOST)
+        cluster.recovery?.found(RecoveryStatistics.Difference.LOST)
         if (placement.phase != Placement.Phase.SENT) log.info("{} on {}: {}", placement.task, placement.machine.name, why)
         cluster.remove(placement)
     }
--- a/src/main/kotlin/linemast/scheduling/RoomMaker.kt
+++ b/src/main/kotlin/linemast/scheduling/Preemptor.kt
@@ -11,23 +11,23 @@
  *
  * Whom a task is stopped for is bounded by the protocol's page: more urgent work, or a guarantee.
  */
-internal class RoomMaker(private val cluster: Cluster, private val settings: Settings) {
-    private val log = LoggerFactory.getLogger(RoomMaker::class.java)
+internal class Preemptor(private val cluster: Cluster, private val settings: Settings) {
+    private val log = LoggerFactory.getLogger(Preemptor::class.java)
     private val guaranteeMicros =
         settings.objectives.filter { it.kind == "guarantee" }.mapNotNull { it.withinMicros }.minOrNull() ?: DEFAULT_GUARANTEE_MICROS
     private val waitAims = settings.objectives.filter { it.kind == "wait" && it.withinMicros != null }
-        .groupBy { it.jobClass }.mapValues { (_, aims) -> aims.mapNotNull { it.withinMicros }.min() }
+        .groupBy { it.jobClass }.mapValues { (_, objectives) -> objectives.mapNotNull { it.withinMicros }.min() }
     private val gracePeriodMicros = settings.workers.gangPeerMicros
 
     /** From the decision to stop a task until another runs in its place: two reports and an image. */
-    private val reactionMicros = settings.workers.reportMicros * 2 + IMAGE_MICROS
+    private val reactionMicros = settings.workers.heartbeatIntervalMicros * 2 + IMAGE_MICROS
 
     /** The gang that machines were reserved for last. */
     var reservingFor: Job? = null
         private set
 
     /** Keeps the machines that will be free first for all tasks of a gang; false if there are not enough. */
-    fun reserveMachines(job: Job, pass: Pass): Boolean {
+    fun reserveMachines(job: Job, cycle: SchedulingCycle): Boolean {
         if (reservingFor !== job) {
             for (machine in cluster.machines.values) {
                 if (machine.reservedFor != null &&
@@ -38,15 +38,15 @@
             }
             reservingFor = job
         }
-        val free = pass.machines.of(job).filter { it.reservedFor == null || it.reservedFor === job }
-            .map { it to freeAfterMicros(it, pass.nowMicros) }.sortedBy { it.second }.toList()
+        val free = cycle.machines.of(job).filter { it.reservedFor == null || it.reservedFor === job }
+            .map { it to freeAfterMicros(it, cycle.nowMicros) }.sortedBy { it.second }.toList()
         val groups = if (job.spec.sameZone) free.groupBy { it.first.zone }.values else listOf(free)
         val chosen = groups.map { it.take(job.pendingCount) }.filter { it.size == job.pendingCount }
             .minByOrNull { group -> group.maxOf { it.second } }?.mapTo(HashSet()) { it.first } ?: return false
         for ((machine, _) in free) if (machine !in chosen) machine.reservedFor = null
         for (machine in chosen) {
             machine.reservedFor = job
-            machine.reservedUntilMicros = pass.nowMicros + RESERVATION_MICROS
+            machine.reservedUntilMicros = cycle.nowMicros + RESERVATION_MICROS
         }
         return true
     }
@@ -62,42 +62,42 @@
      *
      * Nobody is pushed below a guarantee, and work that is itself within one is left alone.
      */
-    fun giveGuarantee(job: Job, missing: Int, ending: MutableSet<Placement>, pass: Pass) {
+    fun preemptForQuota(job: Job, missing: Int, ending: MutableSet<Placement>, cycle: SchedulingCycle) {
         val spec = job.spec
-        var left = missing - pass.onTheWayFor(job)
-        left -= freeInTime(job, left, ending, pass)
+        var left = missing - cycle.onTheWayFor(job)
+        left -= freeInTime(job, left, ending, cycle)
         if (left <= 0) return
-        val victims = pass.borrowers.filter { mayGiveWay(it, job, pass) }
+        val victims = cycle.borrowers.filter { mayGiveWay(it, job, cycle) }
             .flatMap { it.placements }
-            .filter { isStoppable(it) && it.machine.reservedFor == null && pass.machines.serves(it.machine, job) }
+            .filter { isStoppable(it) && it.machine.reservedFor == null && cycle.machines.serves(it.machine, job) }
             .sortedByDescending { it.sentMicros }
         for (victim in victims) {
             if (left <= 0) return
             val other = victim.job ?: continue
-            if (!mayGiveWay(other, job, pass)) continue
-            pass.pushedBack(other.spec.team, other.spec.vcpus)
+            if (!mayGiveWay(other, job, cycle)) continue
+            cycle.pushedBack(other.spec.team, other.spec.vcpus)
             stop(victim, "guarantee of ${spec.team}")
-            victim.stoppedFor = job
+            victim.preemptedFor = job
             left--
         }
     }
 
-    private fun mayGiveWay(other: Job, job: Job, pass: Pass): Boolean = other.spec.team != job.spec.team &&
+    private fun mayGiveWay(other: Job, job: Job, cycle: SchedulingCycle): Boolean = other.spec.team != job.spec.team &&
         other.spec.vcpus >= job.spec.vcpus &&
-        (other.priority > job.priority || pass.excessOf(other.spec.team) >= other.spec.vcpus)
+        (other.priority > job.priority || cycle.excessOf(other.spec.team) >= other.spec.vcpus)
 
     /**
      * Up to [most] tasks that end by themselves soon enough, for a job within its guarantee is the first to get
      * their room. Each counts for one job only, and one that runs longer than estimated for none.
      */
-    private fun freeInTime(job: Job, most: Int, ending: MutableSet<Placement>, pass: Pass): Int {
+    private fun freeInTime(job: Job, most: Int, ending: MutableSet<Placement>, cycle: SchedulingCycle): Int {
         // Late enough that most of the room comes by itself, early enough that a stop still helps.
         val window = guaranteeMicros - (cluster.wallMicros() - job.readyWallMicros) - reactionMicros
         if (window <= 0 || most <= 0) return 0
-        val inTime = pass.machines.of(job)
-            .filter { !pass.machines.keepFree(job.spec, it) }
+        val inTime = cycle.machines.of(job)
+            .filter { !cycle.machines.keepFree(job.spec, it) }
             .flatMap { it.placements.values }
-            .filter { it !in ending && endsWithin(it, pass.nowMicros, window) && (it.job?.spec?.vcpus ?: 0.0) >= job.spec.vcpus }
+            .filter { it !in ending && endsWithin(it, cycle.nowMicros, window) && (it.job?.spec?.vcpus ?: 0.0) >= job.spec.vcpus }
             .take(most)
             .toList()
         ending += inTime
@@ -110,12 +110,12 @@
     }
 
     /** Stops less urgent work of the same team, the youngest first, when only the team's limit is in a gang's way. */
-    fun makeRoomInTeam(job: Job, missing: Int, withinLimit: Int, pass: Pass) {
+    fun preemptWithinTeam(job: Job, missing: Int, withinLimit: Int, cycle: SchedulingCycle) {
         val team = job.spec.team
         var needed = (missing - withinLimit) * job.spec.vcpus
         needed -= cluster.stopping.sumOf { placement -> placement.job?.spec?.takeIf { it.team == team }?.vcpus ?: 0.0 }
         if (needed <= EPSILON) return
-        val stoppable = pass.jobs.map { it.job }
+        val stoppable = cycle.jobs.map { it.job }
             .filter { it.spec.team == team && !it.spec.isGang && it.priority > job.priority }
             .flatMap { it.placements }.filter(::isStoppable)
         if (stoppable.sumOf { it.job?.spec?.vcpus ?: 0.0 } < needed) return
@@ -127,26 +127,26 @@
     }
 
     /** Stops less urgent work so that the missing tasks of a gang fit soon; their machines are kept for it. */
-    fun makeRoom(job: Job, zone: String?, missing: Int, pass: Pass): Boolean {
+    fun preemptFor(job: Job, zone: String?, missing: Int, cycle: SchedulingCycle): Boolean {
         // What is reserved for it comes free by itself; more would only be kept from others.
         if (job === reservingFor) return true
-        val machines = pass.machines.of(job).filter { zone == null || it.zone == zone }
+        val machines = cycle.machines.of(job).filter { zone == null || it.zone == zone }
         val kept = machines.count { it.reservedFor === job }
         if (kept >= missing) return true
         val window = patienceMicros(job)
         val offers = machines.filter { it.reservedFor == null && couldTake(job, it) }
-            .mapNotNull { machine -> victims(job, machine, window, pass.nowMicros)?.let { machine to it } }
-            .sortedBy { (_, stopped) -> stopped.sumOf { lostWork(it, pass.nowMicros) } }
+            .mapNotNull { machine -> victims(job, machine, window, cycle.nowMicros)?.let { machine to it } }
+            .sortedBy { (_, stopped) -> stopped.sumOf { lostWork(it, cycle.nowMicros) } }
             .take(missing - kept)
             .toList()
         if (offers.size + kept < missing) return false
         for ((machine, stopped) in offers) {
             machine.reservedFor = job
-            machine.reservedUntilMicros = pass.nowMicros + window + RESERVATION_MICROS
+            machine.reservedUntilMicros = cycle.nowMicros + window + RESERVATION_MICROS
             for (placement in stopped) {
                 // What has only been chosen need not be started and stopped again.
                 if (placement.isAssigned) {
-                    pass.unplace(placement)
+                    cycle.unplace(placement)
                 } else if (placement.stopReason ==
                     null
                 ) {
@@ -158,11 +158,11 @@
     }
 
     private fun isStoppable(placement: Placement): Boolean =
-        placement.stopReason == null && !placement.isAssigned && !placement.spared && placement.job?.spec?.isGang == false
+        placement.stopReason == null && !placement.isAssigned && !placement.exemptFromPreemption && placement.job?.spec?.isGang == false
 
     private fun givesWay(placement: Placement, job: Job): Boolean {
         val other = placement.job ?: return false
-        return other.priority > job.priority && !other.spec.isGang && !placement.spared
+        return other.priority > job.priority && !other.spec.isGang && !placement.exemptFromPreemption
     }
 
     /** Whether stopping all that may be stopped on [machine] would do: asked first, since most often it would not. */
@@ -181,7 +181,7 @@
     private fun patienceMicros(job: Job): Long {
         val age = cluster.wallMicros() - job.readyWallMicros
         val aim = waitAims[job.spec.jobClass] ?: 0
-        return (minOf(aim, MOST_PATIENCE_MICROS) - age - settings.workers.reportMicros * 2 - IMAGE_MICROS).coerceAtLeast(0)
+        return (minOf(aim, MAX_PATIENCE_MICROS) - age - settings.workers.heartbeatIntervalMicros * 2 - IMAGE_MICROS).coerceAtLeast(0)
     }
 
     /**
@@ -214,7 +214,7 @@
 
     private companion object {
         const val RESERVATION_MICROS = 15_000_000L
-        const val MOST_PATIENCE_MICROS = 30_000_000L
+        const val MAX_PATIENCE_MICROS = 30_000_000L
         const val DEFAULT_GUARANTEE_MICROS = 10_000_000L
         const val IMAGE_MICROS = 2_000_000L
         const val EPSILON = 1e-6
--- a/src/main/kotlin/linemast/scheduling/TeamUsage.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
@@ -4,7 +4,7 @@
 import linemast.settings.Team
 
 /** What each team's tasks may be using at this moment, and how that stands to its limits. */
-class TeamUsage(teams: List<Team>) {
+class QuotaUsage(teams: List<Team>) {
     private class Amounts(val team: Team) {
         var cpus = 0.0
         var gpus = 0.0
@@ -31,7 +31,7 @@
     }
 
     /** How much of its cpus a team uses beyond its guarantee. */
-    fun beyondGuarantee(name: String): Double = amounts[name]?.let { it.cpus - it.team.cpus } ?: 0.0
+    fun beyondQuota(name: String): Double = amounts[name]?.let { it.cpus - it.team.cpus } ?: 0.0
 
     private fun fitting(left: Double, each: Double): Int = if (each <= 0.0) Int.MAX_VALUE else Math.floor(left / each + EPSILON).toInt()
 
--- a/src/main/kotlin/linemast/scheduling/Placer.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -1,6 +1,6 @@
 package linemast.scheduling
 
-import linemast.admission.StartTurns
+import linemast.admission.FlowRoundRobin
 import linemast.domain.Job
 import linemast.domain.JobSpec
 import linemast.domain.Machine
@@ -15,76 +15,77 @@
  * Each pass forgets all choices whose command has not left yet and chooses anew: guarantees first, then
  * priority, then deadline, then age. What a pass chooses leaves with the machine's next report.
  */
-internal class Placer(private val cluster: Cluster, settings: Settings, private val startTurns: StartTurns? = null) {
-    private val log = LoggerFactory.getLogger(Placer::class.java)
+internal class Scheduler(private val cluster: Cluster, settings: Settings, private val startTurns: FlowRoundRobin? = null) {
+    private val log = LoggerFactory.getLogger(Scheduler::class.java)
     private val scarce = ScarceTypes()
-    private val roomMaker = RoomMaker(cluster, settings)
+    private val preemptor = Preemptor(cluster, settings)
 
     /** The gang each team submitted last. */
     private val latestGangs = HashMap<String, JobSpec>()
-    private val reportMicros = settings.workers.reportMicros
-    private val staleMicros = settings.workers.reportMicros * 5 / 2 + REPORT_SLACK_MICROS
+    private val heartbeatIntervalMicros = settings.workers.heartbeatIntervalMicros
+    private val staleMicros = settings.workers.heartbeatIntervalMicros * 5 / 2 + REPORT_SLACK_MICROS
 
     /** Whether no task of [spec] is ever put on such a machine, although it would fit. */
     fun isClosedTo(type: MachineType, spot: Boolean, spec: JobSpec): Boolean = scarce.isClosedTo(type, spot, spec)
 
     /** Whether its next report can be expected soon. */
-    fun isFresh(machine: Machine, nowMicros: Long): Boolean = machine.reportedMicros > 0 && nowMicros - machine.reportedMicros < staleMicros
+    fun isFresh(machine: Machine, nowMicros: Long): Boolean =
+        machine.lastHeartbeatMicros > 0 && nowMicros - machine.lastHeartbeatMicros < staleMicros
 
     fun startable(job: Job, nowMicros: Long): Boolean = job.opened == Job.Opened.YES &&
         !job.cancelled &&
         !job.finished &&
         nowMicros >= job.backOffUntilMicros &&
-        cluster.takeover.isSettledFor(job)
+        cluster.failover.isReconciledFor(job)
 
-    fun pass(nowMicros: Long) {
+    fun cycle(nowMicros: Long) {
         cluster.forgetChoices()
         cluster.dirty = false
-        val jobs = JobOrder.sorted(cluster.jobs.values, cluster.usage, cluster.planner, cluster.wallMicros())
+        val jobs = JobRanking.sorted(cluster.jobs.values, cluster.quota, cluster.planner, cluster.wallMicros())
         scarce.learn(jobs.map { it.job.spec }, cluster.types.values, nowMicros)
         for (ranked in jobs) {
-            ranked.job.guaranteed = ranked.guaranteed
+            ranked.job.withinQuota = ranked.withinQuota
             if (ranked.job.spec.isGang) latestGangs[ranked.job.spec.team] = ranked.job.spec
         }
         val ready = jobs.filter { it.job.pendingCount > 0 && isReady(it.job, nowMicros) }.map { it.job }
         if (ready.isEmpty()) return
-        val machines = UsableMachines(cluster.machines.values.filter { isUsable(it, nowMicros) }, scarce) { turn(it, nowMicros) }
-        val pass = Pass(nowMicros, jobs, machines, cluster)
-        begin(ready, pass)
+        val machines = CandidateMachines(cluster.machines.values.filter { isUsable(it, nowMicros) }, scarce) { turn(it, nowMicros) }
+        val cycle = SchedulingCycle(nowMicros, jobs, machines, cluster)
+        begin(ready, cycle)
         // First what is booked on owned machines, then whatever is left over. Within a guarantee there is no such bound:
         // others' bookings would take the room again that tasks were stopped to make.
         for (job in ready) {
             if (job.spec.isGang) {
-                placeGang(job, pass)
+                placeGang(job, cycle)
             } else {
-                placeArray(job, if (job.guaranteed) Int.MAX_VALUE else cluster.bookings(job), pass)
+                placeArray(job, if (job.withinQuota) Int.MAX_VALUE else cluster.bookings(job), cycle)
             }
         }
-        placeLeftOver(ready, pass)
+        placeLeftOver(ready, cycle)
         val ending = HashSet<Placement>()
         for (job in ready) {
-            if (job.guaranteed && !job.spec.isGang && job.pendingCount > 0) {
-                roomMaker.giveGuarantee(job, minOf(job.pendingCount, roomInTeam(job, pass)), ending, pass)
+            if (job.withinQuota && !job.spec.isGang && job.pendingCount > 0) {
+                preemptor.preemptForQuota(job, minOf(job.pendingCount, quotaHeadroom(job, cycle)), ending, cycle)
             }
         }
     }
 
     /** Arrays take what is free whatever was booked: first machines that no other job has the image for, then any. */
-    private fun placeLeftOver(ready: List<Job>, pass: Pass) {
+    private fun placeLeftOver(ready: List<Job>, cycle: SchedulingCycle) {
         val arrays = ready.filter { !it.spec.isGang }
-        for (job in arrays) if (job.pendingCount > 0) placeArray(job, Int.MAX_VALUE, pass)
-        pass.heedsImages = false
-        for (job in arrays) if (job.pendingCount > 0) placeArray(job, Int.MAX_VALUE, pass)
+        for (job in arrays) if (job.pendingCount > 0) placeArray(job, Int.MAX_VALUE, cycle)
+        cycle.heedsImages = false
+        for (job in arrays) if (job.pendingCount > 0) placeArray(job, Int.MAX_VALUE, cycle)
     }
 
     /** By quarters of the time between reports, so that within one the usual order holds. */
     private fun turn(machine: Machine, nowMicros: Long): Int =
-        -((nowMicros - machine.reportedMicros) * TURNS_PER_REPORT / reportMicros).toInt()
+        -((nowMicros - machine.lastHeartbeatMicros) * TURNS_PER_REPORT / heartbeatIntervalMicros).toInt()
 
     private fun isUsable(machine: Machine, nowMicros: Long): Boolean = !machine.draining &&
-        machine.onRecord &&
+        machine.isRegistered &&
         isFresh(machine, nowMicros) &&
-        machine.hears &&
+        machine.acknowledgesResponses &&
         machine.fencingToken >= cluster.fencingToken
 
     /**
@@ -92,27 +93,27 @@
      * begin with a few tasks, gangs have machines reserved for them. Among each other they keep their order, so that
      * those that have missed their aims do not make the next ones miss as well.
      */
-    private fun begin(ready: List<Job>, pass: Pass) {
+    private fun begin(ready: List<Job>, cycle: SchedulingCycle) {
         val wall = cluster.wallMicros()
         for (job in ready) {
             val begun = job.doneCount > 0 || job.placements.any { !it.isAssigned }
             val age = wall - job.readyWallMicros
-            job.waitsLong = !begun && if (job.spec.isGang) isTurnOfGang(job, age) else age > BEGIN_MICROS
+            job.isStarving = !begun && if (job.spec.isGang) isTurnOfGang(job, age) else age > BEGIN_MICROS
         }
         var mayReserve = true
         // The gang that machines are being reserved for stays the one until it has them.
-        for (job in inTurn(ready.filter { it.waitsLong }).sortedBy { it !== roomMaker.reservingFor }) {
+        for (job in inTurn(ready.filter { it.isStarving }).sortedBy { it !== preemptor.reservingFor }) {
             if (!job.spec.isGang) {
-                placeArray(job, Int.MAX_VALUE, pass, FIRST_TASKS)
+                placeArray(job, Int.MAX_VALUE, cycle, FIRST_TASKS)
                 if (job.placements.isNotEmpty()) startTurns?.served(job)
                 continue
             }
-            placeGang(job, pass)
+            placeGang(job, cycle)
             // One at a time: two that each hold half of what both need would wait for ever.
             if (mayReserve &&
                 job.placements.isEmpty() &&
-                job.blockedBy != TEAM_LIMIT &&
-                roomMaker.reserveMachines(job, pass)
+                job.pendingReason != TEAM_LIMIT &&
+                preemptor.reserveMachines(job, cycle)
             ) {
                 mayReserve = false
             }
@@ -127,7 +128,7 @@
         val next = arrays.iterator()
         return waiting.mapNotNull { job ->
             if (job.spec.isGang) return@mapNotNull job
-            job.waitsLong = job in chosen
+            job.isStarving = job in chosen
             if (next.hasNext()) next.next() else null
         }
     }
@@ -150,48 +151,61 @@
             job,
             when {
                 nowMicros < job.backOffUntilMicros -> "has failed ${job.failures} times"
-                !cluster.takeover.isSettledFor(job) -> "may run unseen"
+                !cluster.failover.isReconciledFor(job) -> "may run unseen"
                 else -> "not opened yet"
             },
         )
         return false
     }
 
-    private fun roomInTeam(job: Job, pass: Pass): Int = pass.roomInTeam(job, if (job.waitsLong) null else keptForNextGang(job.spec))
+    private fun quotaHeadroom(job: Job, cycle: SchedulingCycle): Int =
+        cycle.quotaHeadroom(job, if (job.isStarving) null else keptForNextGang(job.spec))
 
     /** What a team's limit leaves to its next gang: stopping tasks for it would lose more than the room left free. */
-    private fun keptForNextGang(spec: JobSpec): Pass.KeptRoom? {
+    private fun keptForNextGang(spec: JobSpec): SchedulingCycle.ReservedCapacity? {
         val next = latestGangs[spec.team]?.takeIf { it.priority < spec.priority } ?: return null
-        val most = (cluster.usage.team(next.team)?.cpusMax ?: 0.0) * MOST_KEPT
-        return if (next.taskCount * next.vcpus > most) null else Pass.KeptRoom(next.taskCount * next.vcpus, next.taskCount * next.gpus)
+        val most = (cluster.quota.team(next.team)?.cpusMax ?: 0.0) * MAX_KEPT
+        return if (next.taskCount * next.vcpus >
+            most
+        ) {
+            null
+        } else {
+            SchedulingCycle.ReservedCapacity(next.taskCount * next.vcpus, next.taskCount * next.gpus)
+        }
     }
 
-    /** Starts tasks of an array, at most [ownedSlots] side by side on owned machines. */
-    private fun placeArray(job: Job, ownedSlots: Int, pass: Pass, most: Int = Int.MAX_VALUE) {
-        var left = minOf(roomInTeam(job, pass), job.pendingCount, most)
+    /** Starts tasks of an array, at most [baselineSlots] side by side on owned machines. */
+    private fun placeArray(job: Job, baselineSlots: Int, cycle: SchedulingCycle, most: Int = Int.MAX_VALUE) {
+        var left = minOf(quotaHeadroom(job, cycle), job.pendingCount, most)
         if (left == 0) return blocked(job, TEAM_LIMIT)
-        val places = PlaceRules(job)
-        var ownedLeft = if (ownedSlots == Int.MAX_VALUE) ownedSlots else ownedSlots - job.placements.count { it.machine.owned }
-        for (machine in pass.machines.candidates(job)) {
-            if (machine.owned && ownedLeft <= 0) continue
-            if (pass.machines.keepFree(job.spec, machine) || pass.isLeftToAnother(job, machine)) continue
-            val placed = fill(machine, job, left, places, pass)
+        val places = SpreadConstraint(job)
+        var baselineLeft = if (baselineSlots ==
+            Int.MAX_VALUE
+        ) {
+            baselineSlots
+        } else {
+            baselineSlots - job.placements.count { it.machine.baseline }
+        }
+        for (machine in cycle.machines.candidates(job)) {
+            if (machine.baseline && baselineLeft <= 0) continue
+            if (cycle.machines.keepFree(job.spec, machine) || cycle.isLeftToAnother(job, machine)) continue
+            val placed = fill(machine, job, left, places, cycle)
             left -= placed
-            if (machine.owned) ownedLeft -= placed
+            if (machine.baseline) baselineLeft -= placed
             if (left == 0 || job.nextPending(0) < 0) {
-                job.blockedBy = null
+                job.pendingReason = null
                 return
             }
         }
-        if (ownedSlots == Int.MAX_VALUE) blocked(job, if (pass.machines.of(job).none()) "no machine to use" else NO_ROOM)
+        if (baselineSlots == Int.MAX_VALUE) blocked(job, if (cycle.machines.of(job).none()) "no machine to use" else NO_ROOM)
     }
 
     /** Places up to [most] tasks of an array on [machine]; how many. */
-    private fun fill(machine: Machine, job: Job, most: Int, places: PlaceRules, pass: Pass): Int {
+    private fun fill(machine: Machine, job: Job, most: Int, places: SpreadConstraint, cycle: SchedulingCycle): Int {
         var placed = 0
         var index = job.nextPending(0)
         while (placed < most && index >= 0 && machine.fits(job) && places.allows(machine.zone)) {
-            pass.place(cluster.addAssigned(machine, job, index, cluster.attemptNumbers.next())).spared = job.waitsLong
+            cycle.place(cluster.addAssigned(machine, job, index, cluster.attemptNumbers.next())).exemptFromPreemption = job.isStarving
             places.add(machine.zone)
             placed++
             index = job.nextPending(index + 1)
@@ -211,52 +225,52 @@
         return true
     }
 
-    private fun placeGang(job: Job, pass: Pass) {
+    private fun placeGang(job: Job, cycle: SchedulingCycle) {
         if (!beginAttempt(job)) return
         val missing = job.pendingCount
-        val limit = roomInTeam(job, pass)
+        val limit = quotaHeadroom(job, cycle)
         val withinLimit = limit >= missing
         // Zones of all machines that could be made free, not only of those that are: stopping others is what helps there.
-        val zones = if (job.spec.sameZone && job.spec.taskCount > 1) pass.machines.zonesOf(job) else listOf(null)
+        val zones = if (job.spec.sameZone && job.spec.taskCount > 1) cycle.machines.zonesOf(job) else listOf(null)
         for (zone in zones) {
-            val here = pass.machines.candidates(job).filter { (zone == null || it.zone == zone) && !job.isAcknowledgedOn(it) }
-            if (withinLimit && placeWhole(job, here, missing, pass)) return
+            val here = cycle.machines.candidates(job).filter { (zone == null || it.zone == zone) && !job.isAcknowledgedOn(it) }
+            if (withinLimit && placeWhole(job, here, missing, cycle)) return
             // Nothing is stopped for the team's limit before there is a place to use it.
-            if (!withinLimit && here.sumOf { it.roomFor(job.spec) } >= missing) {
-                roomMaker.makeRoomInTeam(job, missing, limit, pass)
+            if (!withinLimit && here.sumOf { it.freeSlots(job.spec) } >= missing) {
+                preemptor.preemptWithinTeam(job, missing, limit, cycle)
                 return blocked(job, TEAM_LIMIT)
             }
         }
-        val isRoomBeingMade = zones.any { roomMaker.makeRoom(job, it, missing, pass) }
+        val isRoomBeingMade = zones.any { preemptor.preemptFor(job, it, missing, cycle) }
         val reason = if (isRoomBeingMade) "room being made" else NO_ROOM
         blocked(job, if (withinLimit) reason else TEAM_LIMIT)
     }
 
     /** Logs once why a job has to wait, each time the reason changes. */
     private fun blocked(job: Job, reason: String) {
-        if (job.blockedBy == reason) return
-        job.blockedBy = reason
+        if (job.pendingReason == reason) return
+        job.pendingReason = reason
         log.debug("{}: held back, {}", job.id, reason)
     }
 
     /** All missing tasks at once, or none. */
-    private fun placeWhole(job: Job, machines: Sequence<Machine>, missing: Int, pass: Pass): Boolean {
-        val places = PlaceRules(job)
+    private fun placeWhole(job: Job, machines: Sequence<Machine>, missing: Int, cycle: SchedulingCycle): Boolean {
+        val places = SpreadConstraint(job)
         val chosen = ArrayList<Placement>()
         var index = job.nextPending(0)
         for (machine in machines) {
             while (index >= 0 && machine.fits(job) && places.allows(machine.zone)) {
-                chosen += pass.place(cluster.addAssigned(machine, job, index, job.gangAttempt))
+                chosen += cycle.place(cluster.addAssigned(machine, job, index, job.gangAttempt))
                 places.add(machine.zone)
                 index = job.nextPending(index + 1)
             }
             if (index < 0) break
         }
         if (chosen.size == missing) {
-            job.blockedBy = null
+            job.pendingReason = null
             return true
         }
-        chosen.forEach(pass::unplace)
+        chosen.forEach(cycle::unplace)
         return false
     }
 
@@ -276,6 +290,6 @@
         private const val GANG_STARVED_MICROS = 600_000_000L
 
         /** No more of a team's limit than this share is kept for a gang that has not come yet. */
-        private const val MOST_KEPT = 0.25
+        private const val MAX_KEPT = 0.25
     }
 }
--- a/src/main/kotlin/linemast/scheduling/Pass.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -5,10 +5,15 @@
 import linemast.domain.Placement
 
 /** What one pass of placement works with: jobs in their order, machines by their room, and what teams may still use. */
-internal class Pass(val nowMicros: Long, val jobs: List<JobOrder.Ranked>, val machines: UsableMachines, private val cluster: Cluster) {
+internal class SchedulingCycle(
+    val nowMicros: Long,
+    val jobs: List<JobRanking.Ranked>,
+    val machines: CandidateMachines,
+    private val cluster: Cluster,
+) {
     private class Amounts(val cpus: Double, val gpus: Double)
 
-    private val unseen = HashMap<String, Amounts>()
+    private val unconfirmed = HashMap<String, Amounts>()
 
     /** Gangs that wait for tasks to be placed, by team. */
     private val gangs: Map<String, List<Job>> =
@@ -19,11 +24,11 @@
 
     /** Arrays that run beyond their teams' guarantees. */
     val borrowers: List<Job> by lazy {
-        jobs.filter { !it.guaranteed && !it.job.spec.isGang && it.job.placements.isNotEmpty() }.map { it.job }
+        jobs.filter { !it.withinQuota && !it.job.spec.isGang && it.job.placements.isNotEmpty() }.map { it.job }
     }
 
     /** Tasks on their way out, by the job they make room for. */
-    private val onTheWay: Map<Job?, Int> by lazy { cluster.stopping.groupingBy { it.stoppedFor }.eachCount() }
+    private val onTheWay: Map<Job?, Int> by lazy { cluster.stopping.groupingBy { it.preemptedFor }.eachCount() }
 
     fun onTheWayFor(job: Job): Int = onTheWay[job] ?: 0
 
@@ -36,7 +41,7 @@
 
     /** Beyond its guarantee a team of others may be pushed back; what was stopped for one job does not count for the next. */
     fun excessOf(team: String): Double = excess.getOrPut(team) {
-        cluster.usage.beyondGuarantee(team) -
+        cluster.quota.beyondQuota(team) -
             cluster.stopping.sumOf { placement -> placement.job?.spec?.takeIf { it.team == team }?.vcpus ?: 0.0 }
     }
 
@@ -48,16 +53,16 @@
      * How many more tasks of [job] its team's limit allows beside what may run unseen and what is left to the team's
      * more urgent gangs: to those that nothing else holds back, and to [next], which has not come yet.
      */
-    fun roomInTeam(job: Job, next: KeptRoom?): Int {
-        val hidden = unseenOf(job.spec.team)
+    fun quotaHeadroom(job: Job, next: ReservedCapacity?): Int {
+        val hidden = unconfirmedOf(job.spec.team)
         var cpus = 0.0
         var gpus = 0.0
         for (gang in gangs[job.spec.team].orEmpty()) {
-            if (gang === job || gang.blockedBy != Placer.TEAM_LIMIT || gang.pendingCount == 0 || !comesBefore(gang, job)) continue
+            if (gang === job || gang.pendingReason != Scheduler.TEAM_LIMIT || gang.pendingCount == 0 || !comesBefore(gang, job)) continue
             cpus += gang.pendingCount * gang.spec.vcpus
             gpus += gang.pendingCount * gang.spec.gpus
         }
-        return cluster.usage.room(
+        return cluster.quota.room(
             job.spec,
             hidden.cpus + maxOf(cpus, next?.cpus ?: 0.0),
             hidden.gpus + maxOf(gpus, next?.gpus ?: 0.0),
@@ -66,20 +71,20 @@
 
     /** Whether machines are left to jobs whose image they have. */
     var heedsImages = true
-    private val imageAffinity = ImageAffinity(jobs) { roomInTeam(it, null) > 0 }
+    private val imageAffinity = ImageAffinity(jobs) { quotaHeadroom(it, null) > 0 }
 
     /** Whether [machine] is left to another job for now. */
     fun isLeftToAnother(job: Job, machine: Machine): Boolean = heedsImages && imageAffinity.prefersAnother(job, machine)
 
-    class KeptRoom(val cpus: Double, val gpus: Double)
+    class ReservedCapacity(val cpus: Double, val gpus: Double)
 
-    private fun unseenOf(team: String): Amounts = unseen.getOrPut(team) {
-        Amounts(cluster.takeover.unseenAmount(team) { it.spec.vcpus }, cluster.takeover.unseenAmount(team) { it.spec.gpus })
+    private fun unconfirmedOf(team: String): Amounts = unconfirmed.getOrPut(team) {
+        Amounts(cluster.failover.unconfirmedAmount(team) { it.spec.vcpus }, cluster.failover.unconfirmedAmount(team) { it.spec.gpus })
     }
 
     private fun comesBefore(gang: Job, job: Job): Boolean = when {
-        gang.waitsLong && job.waitsLong -> gang.readyWallMicros < job.readyWallMicros
-        gang.waitsLong || job.waitsLong -> gang.waitsLong
+        gang.isStarving && job.isStarving -> gang.readyWallMicros < job.readyWallMicros
+        gang.isStarving || job.isStarving -> gang.isStarving
         else -> gang.priority < job.priority
     }
 }
--- a/src/main/kotlin/linemast/scheduling/PlaceRules.kt
+++ b/src/main/kotlin/linemast/scheduling/SpreadConstraint.kt
@@ -3,7 +3,7 @@
 import linemast.domain.Job
 
 /** Counts a job's tasks by zone and tells where one more may start. */
-internal class PlaceRules(private val job: Job) {
+internal class SpreadConstraint(private val job: Job) {
     private val byZone = HashMap<String, Int>()
 
     init {
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -4,9 +4,9 @@
 import linemast.domain.EndCause
 import linemast.domain.Machine
 import linemast.domain.Placement
-import linemast.domain.TaskReport
-import linemast.jobs.DoneSet
-import linemast.recovery.RecoveryLedger
+import linemast.domain.TaskStatus
+import linemast.jobs.CompletedTasks
+import linemast.recovery.RecoveryStatistics
 
 /** Chooses the commands that leave in the answer to a worker's report. */
 internal class TaskCommands(private val cluster: Cluster) {
@@ -25,7 +25,7 @@
         for (task in machine.ended.values) {
             if (mayAcknowledge(machine, task, nowMicros)) commands += Command.Acknowledge(task.task, task.attempt)
         }
-        cluster.recovery?.ordered(RecoveryLedger.Order.ACKNOWLEDGE, commands.size)
+        cluster.recovery?.ordered(RecoveryStatistics.Order.ACKNOWLEDGE, commands.size)
         for (placement in machine.placements.values.toList()) {
             if (commands.size >= MAX_COMMANDS) break
             if (placement.isAssigned) {
@@ -38,9 +38,9 @@
                 cluster.commandSent(placement)
                 placement.job?.gangAttemptUsed = true
                 commands += Command.Start(placement.task, placement.attempt)
-                cluster.recovery?.ordered(RecoveryLedger.Order.START)
+                cluster.recovery?.ordered(RecoveryStatistics.Order.START)
             } else if (shouldStop(placement, nowMicros)) {
-                if (!placement.stopSent) cluster.recovery?.ordered(RecoveryLedger.Order.STOP)
+                if (!placement.stopSent) cluster.recovery?.ordered(RecoveryStatistics.Order.STOP)
                 placement.stopSent = true
                 commands += Command.Stop(placement.task, placement.attempt, placement.stopGracePeriodMicros)
             }
@@ -49,18 +49,18 @@
     }
 
     /** A result may be forgotten by the worker only once the store has it. */
-    private fun mayAcknowledge(machine: Machine, task: TaskReport, nowMicros: Long): Boolean {
+    private fun mayAcknowledge(machine: Machine, task: TaskStatus, nowMicros: Long): Boolean {
         val job = cluster.jobs[task.task.job] ?: return mayDiscard(task.task.job, nowMicros)
         if (job.cancelled || job.finished) return true
         if (job.spec.isGang) job.acknowledgedOn(machine, task.attempt)
         if (task.cause != EndCause.DONE) return true
-        val part = DoneSet.partOf(task.task.index)
+        val part = CompletedTasks.partOf(task.task.index)
         return !job.dirtyParts.get(part) && !job.writingDone
     }
 
     private fun mayStart(machine: Machine, placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job ?: return false
-        return !job.cancelled && !job.finished && !machine.draining && machine.onRecord && cluster.isStartable(job, nowMicros)
+        return !job.cancelled && !job.finished && !machine.draining && machine.isRegistered && cluster.isStartable(job, nowMicros)
     }
 
     /** Without a record of its job a task, or its result, is not to be ended before the store has been asked. */
--- a/src/main/kotlin/linemast/settings/AdmissionSettings.kt
+++ b/src/main/kotlin/linemast/settings/AdmissionSettings.kt
@@ -13,10 +13,10 @@
     /** Part of the changes that the state service takes which new jobs may use, from their submission to their end. */
     val intakeShare: Double = DEFAULT_INTAKE_SHARE,
     /** Unfinished jobs at one time, beyond which flows with more than their fair part of them are held back. */
-    val mostOpenJobs: Int = DEFAULT_OPEN_JOBS,
+    val maxOpenJobs: Int = DEFAULT_OPEN_JOBS,
 ) {
     /** Submissions a second that the state service has room for. */
-    fun capacity(limits: StateLimits): Double = limits.mostWriteRps * intakeShare / CHANGES_A_JOB
+    fun capacity(limits: StateLimits): Double = limits.maxWriteRps * intakeShare / CHANGES_A_JOB
 
     companion object {
         private const val DEFAULT_EPOCH_MICROS = 2 * SECOND_MICROS
@@ -26,12 +26,12 @@
 
         /** Of a job of one task: its verdict and record at the submission, the note that it may start, and both again at its end. */
         private const val CHANGES_A_JOB = 5
-        private const val MOST_EPOCH_SECONDS = 10.0
-        private const val LEAST_DWELL_SECONDS = 5.0
-        private const val MOST_DWELL_SECONDS = 60.0
-        private const val LEAST_SHARE = 0.05
-        private const val LEAST_OPEN_JOBS = 100
-        private const val MOST_OPEN_JOBS = 20_000
+        private const val MAX_EPOCH_SECONDS = 10.0
+        private const val MIN_DWELL_SECONDS = 5.0
+        private const val MAX_DWELL_SECONDS = 60.0
+        private const val MIN_SHARE = 0.05
+        private const val MIN_OPEN_JOBS = 100
+        private const val MAX_OPEN_JOBS = 20_000
 
         /** Reads and checks the file that enables fair admission. */
         fun read(path: Path): AdmissionSettings = FeatureFile.read(path, "admission", ::from)
@@ -40,10 +40,10 @@
         fun from(fields: Fields): AdmissionSettings {
             FeatureFile.refuseUnknown(fields, setOf("epoch_s", "dwell_s", "intake_share", "most_open_jobs"))
             return AdmissionSettings(
-                epochMicros = FeatureFile.seconds(fields, "epoch_s", 1.0, MOST_EPOCH_SECONDS) ?: DEFAULT_EPOCH_MICROS,
-                dwellMicros = FeatureFile.seconds(fields, "dwell_s", LEAST_DWELL_SECONDS, MOST_DWELL_SECONDS) ?: DEFAULT_DWELL_MICROS,
-                intakeShare = FeatureFile.number(fields, "intake_share", LEAST_SHARE, 1.0) ?: DEFAULT_INTAKE_SHARE,
-                mostOpenJobs = FeatureFile.count(fields, "most_open_jobs", LEAST_OPEN_JOBS..MOST_OPEN_JOBS) ?: DEFAULT_OPEN_JOBS,
+                epochMicros = FeatureFile.seconds(fields, "epoch_s", 1.0, MAX_EPOCH_SECONDS) ?: DEFAULT_EPOCH_MICROS,
+                dwellMicros = FeatureFile.seconds(fields, "dwell_s", MIN_DWELL_SECONDS, MAX_DWELL_SECONDS) ?: DEFAULT_DWELL_MICROS,
+                intakeShare = FeatureFile.number(fields, "intake_share", MIN_SHARE, 1.0) ?: DEFAULT_INTAKE_SHARE,
+                maxOpenJobs = FeatureFile.count(fields, "most_open_jobs", MIN_OPEN_JOBS..MAX_OPEN_JOBS) ?: DEFAULT_OPEN_JOBS,
             )
         }
     }
--- a/src/main/kotlin/linemast/settings/DutySettings.kt
+++ b/src/main/kotlin/linemast/settings/DutySettings.kt
@@ -15,11 +15,11 @@
 ) {
     companion object {
         private const val DEFAULT_SLOTS = 128
-        private const val LEAST_SLOTS = 16
-        private const val MOST_SLOTS = 1_000
+        private const val MIN_SLOTS = 16
+        private const val MAX_SLOTS = 1_000
         private const val DEFAULT_ADOPT_MICROS = 30 * SECOND_MICROS
-        private const val LEAST_ADOPT_SECONDS = 1.0
-        private const val MOST_ADOPT_SECONDS = 600.0
+        private const val MIN_ADOPT_SECONDS = 1.0
+        private const val MAX_ADOPT_SECONDS = 600.0
 
         /** Reads and checks the file that enables single-holder duties. */
         fun read(path: Path): DutySettings = FeatureFile.read(path, "duties", ::from)
@@ -28,8 +28,8 @@
         fun from(fields: Fields): DutySettings {
             FeatureFile.refuseUnknown(fields, setOf("slots", "adopt_within_s", "suspended"))
             return DutySettings(
-                slots = FeatureFile.count(fields, "slots", LEAST_SLOTS..MOST_SLOTS) ?: DEFAULT_SLOTS,
-                adoptMicros = FeatureFile.seconds(fields, "adopt_within_s", LEAST_ADOPT_SECONDS, MOST_ADOPT_SECONDS)
+                slots = FeatureFile.count(fields, "slots", MIN_SLOTS..MAX_SLOTS) ?: DEFAULT_SLOTS,
+                adoptMicros = FeatureFile.seconds(fields, "adopt_within_s", MIN_ADOPT_SECONDS, MAX_ADOPT_SECONDS)
                     ?: DEFAULT_ADOPT_MICROS,
                 suspended = (fields.textsOrNull("suspended") ?: emptyList()).mapTo(LinkedHashSet()) { name ->
                     Duty.of(name) ?: fields.fail("suspended", "$name is not a duty")
--- a/src/main/kotlin/linemast/settings/Policy.kt
+++ b/src/main/kotlin/linemast/settings/Policy.kt
@@ -11,21 +11,21 @@
     /** A rented machine without work or plan is returned after this long. */
     val idleReturnMicros: Long = IDLE_RETURN_MICROS,
     /** An owned machine without work is returned after this long. */
-    val ownedIdleMicros: Long = OWNED_IDLE_MICROS,
+    val baselineIdleMicros: Long = BASELINE_IDLE_MICROS,
     /** Lease of the leader on its key. */
     val leaderLeaseMicros: Long = LEADER_LEASE_MICROS,
     /** Rented vcpus at one time, at most. */
-    val mostRentedVcpus: Double = MOST_RENTED_VCPUS,
+    val maxRentedVcpus: Double = MAX_RENTED_VCPUS,
 ) {
     /** The values that hold without a policy file. */
     companion object {
         private const val LONG_INTERVAL_MICROS = 60 * SECOND_MICROS
         private const val SHORT_INTERVAL_MICROS = 10 * SECOND_MICROS
         private const val IDLE_RETURN_MICROS = 25 * SECOND_MICROS
-        private const val OWNED_IDLE_MICROS = 1_800 * SECOND_MICROS
+        private const val BASELINE_IDLE_MICROS = 1_800 * SECOND_MICROS
         private const val LEADER_LEASE_MICROS = 4 * SECOND_MICROS
 
         /** Beyond any fleet: 6,000 machines of 128 vcpus are 768,000. What jobs and their teams' limits ask for bounds it. */
-        private const val MOST_RENTED_VCPUS = 1_000_000.0
+        private const val MAX_RENTED_VCPUS = 1_000_000.0
     }
 }
--- a/src/main/kotlin/linemast/settings/PolicyScript.kt
+++ b/src/main/kotlin/linemast/settings/PolicyScript.kt
@@ -31,20 +31,20 @@
         var longInterval = defaults.longIntervalMicros
         var shortInterval = defaults.shortIntervalMicros
         var idleReturn = defaults.idleReturnMicros
-        var ownedIdle = defaults.ownedIdleMicros
+        var baselineIdle = defaults.baselineIdleMicros
         var leaderLease = defaults.leaderLeaseMicros
-        var mostRented = defaults.mostRentedVcpus
+        var maxRented = defaults.maxRentedVcpus
 
-        fun build() = Policy(longInterval, shortInterval, idleReturn, ownedIdle, leaderLease, mostRented)
+        fun build() = Policy(longInterval, shortInterval, idleReturn, baselineIdle, leaderLease, maxRented)
     }
 
     private val settings = mapOf(
         "long_interval_s" to duration(10.0, 3_600.0) { micros -> longInterval = micros },
         "short_interval_s" to duration(1.0, 600.0) { micros -> shortInterval = micros },
         "idle_return_s" to duration(1.0, 86_400.0) { micros -> idleReturn = micros },
-        "owned_idle_return_s" to duration(60.0, 31_536_000.0) { micros -> ownedIdle = micros },
+        "owned_idle_return_s" to duration(60.0, 31_536_000.0) { micros -> baselineIdle = micros },
         "leader_hold_s" to duration(1.0, 30.0) { micros -> leaderLease = micros },
-        "most_rented_vcpus" to Setting(0.0, 1e6) { builder, value -> builder.mostRented = value },
+        "most_rented_vcpus" to Setting(0.0, 1e6) { builder, value -> builder.maxRented = value },
     )
 
     /** Runs the script in a file. */
--- a/src/main/kotlin/linemast/settings/RecoverySettings.kt
+++ b/src/main/kotlin/linemast/settings/RecoverySettings.kt
@@ -13,11 +13,11 @@
 ) {
     companion object {
         private const val DEFAULT_ORDERS = 200.0
-        private const val LEAST_ORDERS = 1.0
-        private const val MOST_ORDERS = 100_000.0
+        private const val MIN_ORDERS = 1.0
+        private const val MAX_ORDERS = 100_000.0
         private const val DEFAULT_CONFIRM_MICROS = SECOND_MICROS
-        private const val LEAST_CONFIRM_SECONDS = 0.1
-        private const val MOST_CONFIRM_SECONDS = 2.0
+        private const val MIN_CONFIRM_SECONDS = 0.1
+        private const val MAX_CONFIRM_SECONDS = 2.0
 
         /** Reads and checks the file that enables the reconciliation after an outage. */
         fun read(path: Path): RecoverySettings = FeatureFile.read(path, "recovery", ::from)
@@ -26,8 +26,8 @@
         fun from(fields: Fields): RecoverySettings {
             FeatureFile.refuseUnknown(fields, setOf("orders_per_s", "confirm_s"))
             return RecoverySettings(
-                ordersPerSecond = FeatureFile.number(fields, "orders_per_s", LEAST_ORDERS, MOST_ORDERS) ?: DEFAULT_ORDERS,
-                confirmMicros = FeatureFile.seconds(fields, "confirm_s", LEAST_CONFIRM_SECONDS, MOST_CONFIRM_SECONDS)
+                ordersPerSecond = FeatureFile.number(fields, "orders_per_s", MIN_ORDERS, MAX_ORDERS) ?: DEFAULT_ORDERS,
+                confirmMicros = FeatureFile.seconds(fields, "confirm_s", MIN_CONFIRM_SECONDS, MAX_CONFIRM_SECONDS)
                     ?: DEFAULT_CONFIRM_MICROS,
             )
         }
--- a/src/main/kotlin/linemast/settings/Settings.kt
+++ b/src/main/kotlin/linemast/settings/Settings.kt
@@ -35,7 +35,7 @@
 
 /** How workers report, and the durations they keep to. */
 class WorkerSettings(
-    val reportMicros: Long,
+    val heartbeatIntervalMicros: Long,
     val leaseMicros: Long,
     val gangWaitMicros: Long,
     val gangPeerMicros: Long,
@@ -52,13 +52,13 @@
     val next: StateLimits? = null,
 ) {
     /** What values have to keep within: what is written now may have to be written again then. */
-    val mostValueBytes: Int get() = minOf(valueBytes, next?.valueBytes ?: valueBytes)
+    val maxValueBytes: Int get() = minOf(valueBytes, next?.valueBytes ?: valueBytes)
 
     /** Changes a second that are taken now and later. */
-    val mostWriteRps: Double get() = minOf(writeRps, next?.writeRps ?: writeRps)
+    val maxWriteRps: Double get() = minOf(writeRps, next?.writeRps ?: writeRps)
 
     /** What a transaction has to keep within. */
-    val mostTxnOps: Int get() = minOf(txnOps, next?.txnOps ?: txnOps)
+    val maxTxnOps: Int get() = minOf(txnOps, next?.txnOps ?: txnOps)
 }
 
 /** What the cloud takes, and how far its list lags. */
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -16,9 +16,9 @@
 /** Reads and checks the platform's TOML file. Unknown fields are ignored, as DEPLOY asks. */
 object SettingsReader {
     private val ID = Regex("[A-Za-z0-9_.-]{1,64}")
-    private const val LEAST_TXN_OPS = 4
-    private const val LEAST_SOCKETS = 32
-    private const val LEAST_VALUE_KB = 1.5
+    private const val MIN_TXN_OPS = 4
+    private const val MIN_SOCKETS = 32
+    private const val MIN_VALUE_KB = 1.5
 
     /** Reads and checks a settings file. */
     fun read(path: Path): Settings {
@@ -75,7 +75,7 @@
             stateLimits = stateLimits(shared.child("state")),
             cloudLimits = shared.child("cloud").let { CloudLimits(positive(it, "rps"), duration(it, "list_lag_s")) },
             processLimits = shared.child("limits").let {
-                ProcessLimits(positive(it, "cpu_share"), positive(it, "mem_mb"), count(it, "fd_limit", LEAST_SOCKETS))
+                ProcessLimits(positive(it, "cpu_share"), positive(it, "mem_mb"), count(it, "fd_limit", MIN_SOCKETS))
             },
         )
     }
@@ -105,7 +105,7 @@
 
     private fun workers(fields: Fields): WorkerSettings {
         val workers = WorkerSettings(
-            reportMicros = duration(fields, "report_s"),
+            heartbeatIntervalMicros = duration(fields, "report_s"),
             leaseMicros = duration(fields, "lease_s"),
             gangWaitMicros = duration(fields, "gang_wait_s"),
             gangPeerMicros = duration(fields, "gang_peer_s"),
@@ -119,20 +119,20 @@
         val rps = positive(fields, "rps")
         val writeRps = positive(fields, "write_rps")
         val valueBytes = valueBytes(fields)
-        val txnOps = count(fields, "txn_ops", LEAST_TXN_OPS)
+        val txnOps = count(fields, "txn_ops", MIN_TXN_OPS)
         val next = fields.childOrNull("next")?.let {
             StateLimits(
                 rps = if (it.has("rps")) positive(it, "rps") else rps,
                 writeRps = if (it.has("write_rps")) positive(it, "write_rps") else writeRps,
                 valueBytes = if (it.has("value_kb")) valueBytes(it) else valueBytes,
-                txnOps = if (it.has("txn_ops")) count(it, "txn_ops", LEAST_TXN_OPS) else txnOps,
+                txnOps = if (it.has("txn_ops")) count(it, "txn_ops", MIN_TXN_OPS) else txnOps,
             )
         }
         return StateLimits(rps, writeRps, valueBytes, txnOps, next)
     }
 
     /** A part of a done set alone takes nearly 1.5 KiB. */
-    private fun valueBytes(fields: Fields) = (atLeast(fields, "value_kb", LEAST_VALUE_KB) * 1024).toInt()
+    private fun valueBytes(fields: Fields) = (atLeast(fields, "value_kb", MIN_VALUE_KB) * 1024).toInt()
 
     private fun id(fields: Fields, name: String): String {
         val value = fields.text(name)
--- a/src/main/kotlin/linemast/store/Store.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStore.kt
@@ -4,13 +4,13 @@
 import linemast.time.SECOND_MICROS
 
 /** A key's value with the revision of its latest change. */
-class Item(val key: String, val value: Fields, val version: Long)
+class Entry(val key: String, val value: Fields, val revision: Long)
 
 /** A part of the items under a prefix, as of [revision]. */
-class Page(val items: List<Item>, val truncated: Boolean, val revision: Long)
+class EntryPage(val entries: List<Entry>, val truncated: Boolean, val revision: Long)
 
 /** A key's version that a transaction depends on; version 0: the key does not exist. */
-class Condition(val key: String, val version: Long)
+class Precondition(val key: String, val revision: Long)
 
 /** A change of one key in a transaction. */
 sealed interface Write {
@@ -20,7 +20,7 @@
     class Put(override val key: String, val value: Map<String, Any?>, val lease: Long? = null) : Write
 
     /** Deletes a key. */
-    class Drop(override val key: String) : Write
+    class Delete(override val key: String) : Write
 }
 
 /** What became of a transaction. */
@@ -36,12 +36,12 @@
 }
 
 /** One change seen by a follower; [value] is null for a dropped key. */
-class Change(val key: String, val value: Fields?, val version: Long)
+class KeyChange(val key: String, val value: Fields?, val revision: Long)
 
 /** What a watch brought. */
 sealed interface WatchResult {
     /** All changes up to [revision], possibly none. */
-    class Changes(val revision: Long, val changes: List<Change>) : WatchResult
+    class Changes(val revision: Long, val changes: List<KeyChange>) : WatchResult
 
     /** The revision asked for is too old: read the keys again. */
     data object TooOld : WatchResult
@@ -50,37 +50,41 @@
 /**
  * A call to the state service that gave no result.
  *
- * [mayHaveRun] tells refusals, which surely were not executed, from silence, after which the request may
+ * [mayHaveExecuted] tells refusals, which surely were not executed, from silence, after which the request may
  * have been executed or may still be.
  */
-class StoreException(message: String, val mayHaveRun: Boolean) : Exception(message)
+class StoreException(message: String, val mayHaveExecuted: Boolean) : Exception(message)
 
 /**
- * How urgently a call needs its token: it leaves [keptShare] of the tokens to more urgent ones, and gives up when
- * it would have to wait for longer than [patienceMicros].
+ * How urgently a call needs its token: it leaves [reservedShare] of the tokens to more urgent ones, and gives up when
+ * it would have to wait for longer than [queueTimeoutMicros].
  */
-enum class Priority(val keptShare: Double, val patienceMicros: Long) {
+enum class RequestPriority(val reservedShare: Double, val queueTimeoutMicros: Long) {
     /** What the leadership hangs on. */
-    VITAL(0.0, 2 * SECOND_MICROS),
+    CRITICAL(0.0, 2 * SECOND_MICROS),
 
     /** Submissions, cancellations, and the start and end of jobs. */
-    INTAKE(0.1, 1_500_000),
-    ORDINARY(0.3, 1_500_000),
+    HIGH(0.1, 1_500_000),
+    NORMAL(0.3, 1_500_000),
 
     /** What is as good a little later. */
     BACKGROUND(0.5, 0),
 }
 
 /** The state service, as much of it as the controllers use. Tests put a stand-in behind it. */
-interface Store {
+interface KeyValueStore {
     /** The item under [key]; null if there is none. */
-    suspend fun get(key: String, priority: Priority = Priority.ORDINARY): Item?
+    suspend fun get(key: String, priority: RequestPriority = RequestPriority.NORMAL): Entry?
 
     /** A page of the items whose keys begin with [under], in key order. */
-    suspend fun list(under: String, after: String?): Page
+    suspend fun list(under: String, after: String?): EntryPage
 
-    /** Applies [writes] together if all [conditions] hold. */
-    suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority = Priority.ORDINARY): CommitResult
+    /** Applies [writes] together if all [preconditions] hold. */
+    suspend fun commit(
+        preconditions: List<Precondition>,
+        writes: List<Write>,
+        priority: RequestPriority = RequestPriority.NORMAL,
+    ): CommitResult
 
     /** Waits up to [waitMicros] for changes under a prefix after a revision. */
     suspend fun watch(under: String, afterRevision: Long, waitMicros: Long): WatchResult
@@ -96,15 +100,15 @@
 }
 
 /** Every pair under a prefix, page by page, and the revision of the first page: changes since then must be followed. */
-suspend fun Store.listAll(under: String): Page {
-    val items = ArrayList<Item>()
+suspend fun KeyValueStore.listAll(under: String): EntryPage {
+    val entries = ArrayList<Entry>()
     var after: String? = null
     var revision = -1L
     while (true) {
         val page = list(under, after)
         if (revision < 0) revision = page.revision
-        items += page.items
-        if (!page.truncated || page.items.isEmpty()) return Page(items, false, revision)
-        after = page.items.last().key
+        entries += page.entries
+        if (!page.truncated || page.entries.isEmpty()) return EntryPage(entries, false, revision)
+        after = page.entries.last().key
     }
 }
--- a/src/main/kotlin/linemast/store/StoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -16,18 +16,19 @@
 import org.slf4j.LoggerFactory
 
 /** The state service over HTTP, within this controller's part of the service's limits. */
-class StoreClient(loop: EventLoop, address: Address, limits: StateLimits, controllers: Int, private val clock: Clock) : Store {
-    private val log = LoggerFactory.getLogger(StoreClient::class.java)
+class KeyValueStoreClient(loop: EventLoop, address: Address, limits: StateLimits, controllers: Int, private val clock: Clock) :
+    KeyValueStore {
+    private val log = LoggerFactory.getLogger(KeyValueStoreClient::class.java)
     private val calls = HttpClient(loop, address, MAX_CALLS, MAX_REPLY_BYTES)
     private val renewals = HttpClient(loop, address, 1)
     private val watches = HttpClient(loop, address, MAX_WATCHES, MAX_REPLY_BYTES)
-    private val rates = StoreRates(limits, controllers)
+    private val rates = StoreRateLimits(limits, controllers)
     private val requests = TokenBucket(rates.requests)
     private val changes = TokenBucket(rates.changes)
 
     /** The leader writes more than the others; while two take themselves for it, the service may refuse a call. */
-    fun share(leads: Boolean) {
-        rates.leads = leads
+    fun share(isLeader: Boolean) {
+        rates.isLeader = isLeader
         changes.perSecond = rates.changes
     }
 
@@ -38,28 +39,28 @@
         changes.perSecond = rates.changes
     }
 
-    override suspend fun get(key: String, priority: Priority): Item? {
+    override suspend fun get(key: String, priority: RequestPriority): Entry? {
         val reply = call(calls, "GET", "/keys/$key", null, priority)
         if (reply.status == HttpStatus.NOT_FOUND) return null
-        return read(reply) { Item(it.text("k"), it.child("v"), it.long("stamp")) }
+        return read(reply) { Entry(it.text("k"), it.child("v"), it.long("stamp")) }
     }
 
-    override suspend fun list(under: String, after: String?): Page {
+    override suspend fun list(under: String, after: String?): EntryPage {
         val from = if (after == null) "" else "&after=$after"
-        val reply = call(calls, "GET", "/keys?under=$under$from&limit=$PAGE_ITEMS", null, Priority.ORDINARY)
+        val reply = call(calls, "GET", "/keys?under=$under$from&limit=$PAGE_ITEMS", null, RequestPriority.NORMAL)
         return read(reply) { page ->
-            val items = page.children("pairs").map { Item(it.text("k"), it.child("v"), it.long("stamp")) }
-            Page(items, page.flagOrNull("truncated") ?: false, page.long("era"))
+            val entries = page.children("pairs").map { Entry(it.text("k"), it.child("v"), it.long("stamp")) }
+            EntryPage(entries, page.flagOrNull("truncated") ?: false, page.long("era"))
         }
     }
 
-    override suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority): CommitResult {
+    override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
         awaitTokens(changes, writes.size, priority)
         val body = mapOf(
-            "when" to conditions.map { mapOf("k" to it.key, "stamp" to it.version) },
+            "when" to preconditions.map { mapOf("k" to it.key, "stamp" to it.revision) },
             "writes" to writes.map { write ->
                 when (write) {
-                    is Write.Drop -> mapOf("drop" to write.key)
+                    is Write.Delete -> mapOf("drop" to write.key)
                     is Write.Put -> mapOf("put" to write.key, "v" to write.value, "hold" to write.lease)
                 }
             },
@@ -75,7 +76,7 @@
 
     override suspend fun watch(under: String, afterRevision: Long, waitMicros: Long): WatchResult {
         val path = "/follow?under=$under&after=$afterRevision&wait_ms=${waitMicros / 1_000}"
-        val reply = call(watches, "GET", path, null, Priority.ORDINARY, waitMicros + WATCH_GRACE_MICROS)
+        val reply = call(watches, "GET", path, null, RequestPriority.NORMAL, waitMicros + WATCH_GRACE_MICROS)
         if (reply.status == HttpStatus.GONE) return WatchResult.TooOld
         return read(reply) { changes ->
             WatchResult.Changes(
@@ -83,9 +84,9 @@
                 changes.children("news").map { change ->
                     val dropped = change.textOrNull("drop")
                     if (dropped != null) {
-                        Change(dropped, null, change.long("stamp"))
+                        KeyChange(dropped, null, change.long("stamp"))
                     } else {
-                        Change(change.text("put"), change.child("v"), change.long("stamp"))
+                        KeyChange(change.text("put"), change.child("v"), change.long("stamp"))
                     }
                 },
             )
@@ -94,18 +95,18 @@
 
     override suspend fun openLease(lifeMicros: Long): Long {
         val body = Cbor.encode(mapOf("life_ms" to lifeMicros / 1_000))
-        return read(call(renewals, "POST", "/holds", body, Priority.VITAL)) { it.long("hold") }
+        return read(call(renewals, "POST", "/holds", body, RequestPriority.CRITICAL)) { it.long("hold") }
     }
 
     override suspend fun renewLease(lease: Long): Boolean {
-        val reply = call(renewals, "POST", "/holds/$lease/renew", Cbor.encode(emptyMap<String, Any?>()), Priority.VITAL)
+        val reply = call(renewals, "POST", "/holds/$lease/renew", Cbor.encode(emptyMap<String, Any?>()), RequestPriority.CRITICAL)
         if (reply.status == HttpStatus.NOT_FOUND) return false
         if (reply.status != HttpStatus.OK) refuse(reply)
         return true
     }
 
     override suspend fun endLease(lease: Long) {
-        val reply = call(renewals, "DELETE", "/holds/$lease", null, Priority.VITAL)
+        val reply = call(renewals, "DELETE", "/holds/$lease", null, RequestPriority.CRITICAL)
         if (reply.status != HttpStatus.OK && reply.status != HttpStatus.NOT_FOUND) refuse(reply)
     }
 
@@ -114,37 +115,38 @@
         method: String,
         path: String,
         body: ByteArray?,
-        priority: Priority,
+        priority: RequestPriority,
         timeoutMicros: Long = CALL_TIMEOUT_MICROS,
     ): HttpReply {
         awaitTokens(requests, 1, priority)
         val reply = try {
             client.call(method, path, body, timeoutMicros)
         } catch (e: NoAnswerException) {
-            throw StoreException(e.message ?: "no answer", mayHaveRun = true)
+            throw StoreException(e.message ?: "no answer", mayHaveExecuted = true)
         }
         if (reply.status == HttpStatus.TOO_MANY_REQUESTS) refusedForRate(isCommit = path == COMMIT_PATH)
         if (reply.status == HttpStatus.SERVICE_UNAVAILABLE || reply.status == HttpStatus.TOO_MANY_REQUESTS) refuse(reply)
         return reply
     }
 
-    private suspend fun awaitTokens(bucket: TokenBucket, count: Int, priority: Priority) {
-        val deadline = clock.nowMicros() + priority.patienceMicros
+    private suspend fun awaitTokens(bucket: TokenBucket, count: Int, priority: RequestPriority) {
+        val deadline = clock.nowMicros() + priority.queueTimeoutMicros
         while (!bucket.tryTake(count, priority, clock.nowMicros())) {
             val wait = bucket.waitMicros(count, priority, clock.nowMicros())
-            if (clock.nowMicros() + wait > deadline) throw StoreException("no token within the wait", mayHaveRun = false)
+            if (clock.nowMicros() + wait > deadline) throw StoreException("no token within the wait", mayHaveExecuted = false)
             delay(wait / 1_000 + 1)
         }
     }
 
-    private fun refuse(reply: HttpReply): Nothing = throw StoreException("the state service answered ${reply.status}", mayHaveRun = false)
+    private fun refuse(reply: HttpReply): Nothing =
+        throw StoreException("the state service answered ${reply.status}", mayHaveExecuted = false)
 
     private inline fun <T> read(reply: HttpReply, decode: (Fields) -> T): T {
         if (reply.status != HttpStatus.OK) refuse(reply)
         return try {
             decode(reply.fields())
         } catch (e: MalformedException) {
-            throw StoreException("malformed answer from the state service: ${e.message}", mayHaveRun = true)
+            throw StoreException("malformed answer from the state service: ${e.message}", mayHaveExecuted = true)
         }
     }
 
--- a/src/main/kotlin/linemast/store/StoreProbe.kt
+++ b/src/main/kotlin/linemast/store/StoreHealthProbe.kt
@@ -9,7 +9,7 @@
  *
  * It may refuse one controller alone, whose open watches then just wait; so it is asked once a second.
  */
-class StoreProbe(private val store: Store, private val clock: Clock) {
+class StoreHealthProbe(private val store: KeyValueStore, private val clock: Clock) {
     private var failingSinceMicros: Long? = null
 
     val works: Boolean get() = failingSinceMicros == null
--- a/src/main/kotlin/linemast/store/StoreRates.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimits.kt
@@ -8,15 +8,15 @@
  * The service's next limits hold from some moment on that is not announced: a refusal although all keep within their
  * parts says that it has come. From then on the next rates are kept, those of changes and of all calls each by itself.
  */
-class StoreRates(private val limits: StateLimits, private val controllers: Int) {
+class StoreRateLimits(private val limits: StateLimits, private val controllers: Int) {
     /** The leader writes more than the others. */
-    var leads = false
+    var isLeader = false
     private var rps = limits.rps
     private var writeRps = limits.writeRps
 
     val requests: Double get() = rps * USED_SHARE / controllers
 
-    val changes: Double get() = writeRps * USED_SHARE * (if (leads) LEADER_PARTS else 1.0) / (controllers - 1 + LEADER_PARTS)
+    val changes: Double get() = writeRps * USED_SHARE * (if (isLeader) LEADER_PARTS else 1.0) / (controllers - 1 + LEADER_PARTS)
 
     /** A call was refused for its rate; whether that changes the rates. */
     fun refused(isCommit: Boolean): Boolean {
--- a/src/main/kotlin/linemast/store/TokenBucket.kt
+++ b/src/main/kotlin/linemast/store/TokenBucket.kt
@@ -17,7 +17,7 @@
     private var filledMicros = Long.MIN_VALUE
 
     /** Takes [count] tokens if [priority] may have them now. */
-    fun tryTake(count: Int, priority: Priority, nowMicros: Long): Boolean {
+    fun tryTake(count: Int, priority: RequestPriority, nowMicros: Long): Boolean {
         refill(nowMicros)
         // A call that asks for more than ever fits may go out alone once the bucket is full.
         if (tokens - count < floor(priority) && tokens < perSecond) return false
@@ -26,13 +26,13 @@
     }
 
     /** How long until [count] tokens can be taken if nobody else takes any. */
-    fun waitMicros(count: Int, priority: Priority, nowMicros: Long): Long {
+    fun waitMicros(count: Int, priority: RequestPriority, nowMicros: Long): Long {
         refill(nowMicros)
         val wanted = minOf(count + floor(priority), perSecond)
         return if (tokens >= wanted) 0 else ((wanted - tokens) / perSecond * 1e6).toLong() + 1
     }
 
-    private fun floor(priority: Priority) = perSecond * priority.keptShare
+    private fun floor(priority: RequestPriority) = perSecond * priority.reservedShare
 
     private fun refill(nowMicros: Long) {
         if (filledMicros != Long.MIN_VALUE) {
--- a/src/main/kotlin/linemast/store/WriteBatches.kt
+++ b/src/main/kotlin/linemast/store/TransactionBatcher.kt
@@ -3,7 +3,7 @@
 import linemast.serialization.Cbor
 
 /** Packs writes into transactions within what the state service takes in one. */
-class WriteBatches(private val maxWrites: Int) {
+class TransactionBatcher(private val maxWrites: Int) {
     /** [writes] in their order, in as few transactions as their number and size allow. */
     fun <T> pack(writes: List<T>, writeOf: (T) -> Write): List<List<T>> {
         val batches = ArrayList<ArrayList<T>>()
@@ -22,7 +22,7 @@
 
     private fun sizeOf(write: Write): Int = when (write) {
         is Write.Put -> Cbor.jsonSize(write.value) + FRAME_BYTES + write.key.length
-        is Write.Drop -> write.key.length
+        is Write.Delete -> write.key.length
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/transport/Listener.kt
+++ b/src/main/kotlin/linemast/transport/Listener.kt
@@ -11,7 +11,7 @@
     private val address: Address,
     private val maxConnections: Int,
     /** Closes a connection that can be done without when a new one comes and all are taken; false if there is none. */
-    private val makeRoom: () -> Boolean = { false },
+    private val preemptFor: () -> Boolean = { false },
 ) {
     private var open = 0
 
@@ -26,7 +26,7 @@
         listener.use {
             while (scope.isActive) {
                 val socket = listener.accept()
-                if (open >= maxConnections && !makeRoom()) {
+                if (open >= maxConnections && !preemptFor()) {
                     socket.close()
                     continue
                 }
--- a/src/main/kotlin/linemast/workers/ReportCodec.kt
+++ b/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
@@ -2,15 +2,15 @@
 
 import linemast.domain.Command
 import linemast.domain.EndCause
-import linemast.domain.Report
+import linemast.domain.Heartbeat
 import linemast.domain.TaskId
-import linemast.domain.TaskReport
 import linemast.domain.TaskState
+import linemast.domain.TaskStatus
 import linemast.serialization.Fields
 import linemast.serialization.MalformedException
 
 /** The wire form of workers' reports and of the answers to them; see docs/glossary.md for the names. */
-object ReportCodec {
+object HeartbeatCodec {
     private val states = mapOf(
         "fetching" to TaskState.FETCHING,
         "gathering" to TaskState.WAITING_FOR_GANG,
@@ -30,20 +30,20 @@
     )
 
     /** Reads a report's body. */
-    fun decode(fields: Fields) = Report(
+    fun decode(fields: Fields) = Heartbeat(
         machineName = fields.text("rig"),
         addr = fields.textOrNull("addr") ?: "",
         machineType = fields.text("build"),
         zone = fields.text("yard"),
         spot = fields.flagOrNull("loaners") ?: false,
-        session = fields.long("watch"),
-        sequence = fields.long("tick"),
+        incarnation = fields.long("watch"),
+        sequenceNumber = fields.long("tick"),
         fencingToken = fields.long("helm"),
         preemptionNoticeMicros = fields.microsOrNull("recall_s"),
         tasks = fields.children("pieces").map(::decodeTask),
     )
 
-    private fun decodeTask(fields: Fields) = TaskReport(
+    private fun decodeTask(fields: Fields) = TaskStatus(
         task = TaskId.parse(fields.text("piece")) ?: throw MalformedException("piece: is not a task"),
         attempt = fields.long("try"),
         status = states[fields.text("status")] ?: fields.fail("status", "is unknown"),
--- a/src/main/kotlin/linemast/workers/FleetRecord.kt
+++ b/src/main/kotlin/linemast/workers/MachineRegistry.kt
@@ -3,7 +3,7 @@
 import linemast.domain.Machine
 import linemast.domain.MachineType
 import linemast.serialization.Cbor
-import linemast.store.Item
+import linemast.store.Entry
 
 /**
  * The stored list of machines that may run tasks.
@@ -12,7 +12,7 @@
  * without the cloud's lagging list, whose reports it has to wait for. Kept in chunks that fit a value of [valueBytes]; a
  * chunk that was stored larger is split when it is written again.
  */
-class FleetRecord(private val valueBytes: Int) {
+class MachineRegistry(private val valueBytes: Int) {
     private class Chunk {
         val entries = LinkedHashMap<String, Map<String, Any?>>()
         private val sizes = HashMap<String, Int>()
@@ -37,26 +37,26 @@
     }
 
     private val chunks = ArrayList<Chunk>()
-    private val versions = HashMap<String, Long>()
+    private val revisions = HashMap<String, Long>()
 
     /** Takes the stored chunks in place of all it knew; the machines in them. */
-    fun read(items: List<Item>, types: Map<String, MachineType>): List<Machine> {
+    fun read(entries: List<Entry>, types: Map<String, MachineType>): List<Machine> {
         chunks.clear()
-        versions.clear()
+        revisions.clear()
         val machines = LinkedHashMap<String, Machine>()
-        for (item in items.sortedBy { it.key.removePrefix(PREFIX).toInt() }) {
+        for (entry in entries.sortedBy { it.key.removePrefix(PREFIX).toInt() }) {
             val chunk = Chunk()
-            for (entry in item.value.children("rigs")) {
-                val type = types[entry.text("build")] ?: continue
-                val machine = Machine(entry.text("rig"), type, entry.text("yard"), entry.flag("loaners"))
+            for (machineFields in entry.value.children("rigs")) {
+                val type = types[machineFields.text("build")] ?: continue
+                val machine = Machine(machineFields.text("rig"), type, machineFields.text("yard"), machineFields.flag("loaners"))
                 // A split that ended half-way left it in two chunks.
                 if (machine.name in machines) continue
-                machine.owned = entry.flag("owned")
-                chunk.put(machine.name, entry.map)
+                machine.baseline = machineFields.flag("owned")
+                chunk.put(machine.name, machineFields.map)
                 machines[machine.name] = machine
             }
             chunks += chunk
-            versions[item.key] = item.version
+            revisions[entry.key] = entry.revision
         }
         return machines.values.toList()
     }
@@ -76,16 +76,16 @@
         fitted(chunks.indices.filterTo(LinkedHashSet()) { at -> names.count { chunks[at].remove(it) } > 0 })
 
     /** The revision a write of the chunk has to build on, so that a late write cannot undo a newer one. */
-    fun versionOf(key: String): Long = versions[key] ?: 0L
+    fun revisionOf(key: String): Long = revisions[key] ?: 0L
 
-    /** A chunk was stored as [version]. */
-    fun written(key: String, version: Long) {
-        versions[key] = version
+    /** A chunk was stored as [revision]. */
+    fun written(key: String, revision: Long) {
+        revisions[key] = revision
     }
 
     private fun add(name: String, entry: Map<String, Any?>): Int {
         val size = sizeOf(entry)
-        var at = chunks.indexOfFirst { it.bytes + size <= valueBytes && it.entries.size < MOST_ENTRIES }
+        var at = chunks.indexOfFirst { it.bytes + size <= valueBytes && it.entries.size < MAX_ENTRIES }
         if (at < 0) {
             chunks += Chunk()
             at = chunks.lastIndex
@@ -116,14 +116,14 @@
         "build" to machine.type.name,
         "yard" to machine.zone,
         "loaners" to machine.spot,
-        "owned" to machine.owned,
+        "owned" to machine.baseline,
     )
 
     companion object {
         const val PREFIX = "fleet/"
 
         /** Few enough that a change does not rewrite the whole fleet, whatever a value may hold. */
-        private const val MOST_ENTRIES = 60
+        private const val MAX_ENTRIES = 60
         private const val FRAME_BYTES = 11
 
         /** With the comma behind it. */
--- a/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
@@ -16,9 +16,9 @@
 class AdmissionPlanTest {
     private val flow = Flow("north", "tiny")
 
-    private fun arc(random: Random): AdmissionArc {
-        val pace = random.nextLong(1L shl 20, IdCircle.SIZE / 20)
-        return AdmissionArc(random.nextLong(IdCircle.SIZE), pace * 12, pace)
+    private fun arc(random: Random): HashRange {
+        val pace = random.nextLong(1L shl 20, HashRing.SIZE / 20)
+        return HashRange(random.nextLong(HashRing.SIZE), pace * 12, pace)
     }
 
     @Test
@@ -26,7 +26,7 @@
         val random = Random(32)
         repeat(400) { number ->
             var plan = AdmissionPlan(1, 1, mapOf(flow to arc(random)))
-            val roundSeconds = IdCircle.SIZE / plan.arcs.getValue(flow).pace + 1
+            val roundSeconds = HashRing.SIZE / plan.arcs.getValue(flow).pace + 1
             val id = "req-%06d".format(number)
             var waited = 0L
             while (true) {
@@ -47,7 +47,7 @@
         repeat(200) { number ->
             val arc = arc(random)
             val id = "req-%06d".format(number)
-            val turn = arc.after(IdCircle.distance(arc.head, IdCircle.pointOf(id)) * 1_000_000 / arc.pace + 1_000_000)
+            val turn = arc.after(HashRing.distance(arc.head, HashRing.pointOf(id)) * 1_000_000 / arc.pace + 1_000_000)
             for (seconds in 0L..10L) {
                 val plan = AdmissionPlan(1, 1, mapOf(flow to turn.after(seconds * 1_000_000)))
                 assertEquals(Decision.Admitted, plan.decide(flow, id), "$seconds s after its turn")
@@ -56,8 +56,8 @@
     }
 
     @Test
-    fun `ids in sequence are spread over the circle`() {
-        val quarters = (0 until 10_000).groupingBy { IdCircle.pointOf("req-%06d".format(it)) * 4 / IdCircle.SIZE }.eachCount()
+    fun `consecutive ids are spread over the hash ring`() {
+        val quarters = (0 until 10_000).groupingBy { HashRing.pointOf("req-%06d".format(it)) * 4 / HashRing.SIZE }.eachCount()
         assertTrue(quarters.size == 4 && quarters.values.all { it in 2_300..2_700 }, "$quarters")
     }
 
@@ -76,7 +76,7 @@
             val read = AdmissionCodec.decodeDemand(Cbor.decodeMap(Cbor.encode(AdmissionCodec.encode(DemandReport("mast-1", demands)))))
             assertEquals("mast-1" to demands, read.node to read.demands)
         }
-        val bad = mapOf("crew" to "north", "lane" to "x", "head" to IdCircle.SIZE, "width" to 1L, "pace" to 1L)
+        val bad = mapOf("crew" to "north", "lane" to "x", "head" to HashRing.SIZE, "width" to 1L, "pace" to 1L)
         for (arc in listOf(bad, bad + ("head" to 0L) + ("pace" to 0L), bad + ("head" to 0L) + ("width" to -1L))) {
             val stored = mapOf("epoch" to 1L, "helm" to 1L, "flows" to listOf(arc))
             assertThrows(MalformedException::class.java) { AdmissionCodec.decodePlan(Fields(stored)) }
@@ -88,9 +88,9 @@
         val shipped = AdmissionSettings.read(Path.of("deploy/admission.toml"))
         val default = AdmissionSettings()
         assertEquals(
-            listOf(default.epochMicros, default.dwellMicros, default.mostOpenJobs),
+            listOf(default.epochMicros, default.dwellMicros, default.maxOpenJobs),
             shipped.let {
-                listOf(it.epochMicros, it.dwellMicros, it.mostOpenJobs)
+                listOf(it.epochMicros, it.dwellMicros, it.maxOpenJobs)
             },
         )
         assertEquals(default.intakeShare, shipped.intakeShare)
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -1,7 +1,7 @@
 package linemast.admission
 
 import linemast.domain.Job
-import linemast.domain.OpenRecord
+import linemast.domain.JobRecord
 import linemast.settings.AdmissionSettings
 import linemast.settings.Objective
 import linemast.testSpec
@@ -105,7 +105,7 @@
     @Test
     fun `with more open jobs than there may be, the team that has most of them is held back, and not for ever`() {
         val random = Random(37)
-        val few = AdmissionSettings(mostOpenJobs = 300)
+        val few = AdmissionSettings(maxOpenJobs = 300)
         val flood = Users(Flow("north", "tiny"), { 8.0 }) { random.nextInt(3) }
         val other = Users(Flow("south", "pull"), { 0.4 }) { random.nextInt(3) }
         val taken = run(300, capacity = 50.0, listOf(flood, other), few)
@@ -116,13 +116,13 @@
 
     private fun job(number: Int, team: String, jobClass: String): Job {
         val spec = testSpec("req-%06d".format(number), "crew" to team, "lane" to jobClass)
-        return Job(OpenRecord(spec, number.toLong(), opened = true, cancelled = false), 1, false)
+        return Job(JobRecord(spec, number.toLong(), opened = true, cancelled = false), 1, false)
     }
 
     @Test
     fun `a flow's waiting job has its turn after a few of each other flow, however many wait there`() {
         val classes = listOf("match", "pull")
-        val turns = StartTurns(FlowClassifier(classes.map { Objective("wait", it, 1, 1.0, null) }))
+        val turns = FlowRoundRobin(FlowClassifier(classes.map { Objective("wait", it, 1, 1.0, null) }))
         val flood = List(3_000) { job(it, "north", "match") }
         val others = listOf(job(5_000, "north", "pull"), job(5_001, "south", "match"), job(5_002, "south", "unknown"))
         var waiting = flood + others
@@ -135,6 +135,6 @@
         }
         assertTrue(served.take(4).containsAll(others), served.take(4).map { it.id }.toString())
         assertEquals(flood.take(27), served - others.toSet(), "its own order is kept")
-        assertTrue(turns.choose(waiting).size <= StartTurns.JOBS_A_FLOW)
+        assertTrue(turns.choose(waiting).size <= FlowRoundRobin.JOBS_A_FLOW)
     }
 }
--- a/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
@@ -67,7 +67,7 @@
         )
         assertTrue(outcome.others.all { it.accepted && it.startedMicros > 0 })
         assertEquals(0, outcome.others.sumOf { it.putOffCount }, "nobody else is put off")
-        assertTrue(starts.max() < MOST_START_MICROS, "started after ${starts.max()} us")
+        assertTrue(starts.max() < MAX_START_MICROS, "started after ${starts.max()} us")
         assertTrue(outcome.flood.any { it.putOffCount > 0 })
         assertEquals(emptyList<String>(), outcome.world.broken)
         assertEquals(emptyList<String>(), outcome.world.store.tooLarge)
@@ -127,6 +127,6 @@
         const val NEWLY_ACCEPTED = 201
         const val FLOOD_SECONDS = 60
         const val FLOOD_A_SECOND = 40
-        const val MOST_START_MICROS = 45_000_000L
+        const val MAX_START_MICROS = 45_000_000L
     }
 }
--- a/src/test/kotlin/linemast/admission/FairSharesTest.kt
+++ b/src/test/kotlin/linemast/admission/MaxMinFairShareTest.kt
@@ -6,14 +6,14 @@
 import kotlin.random.Random
 
 /** Max-min sharing under generated demands. */
-class FairSharesTest {
+class MaxMinFairShareTest {
     @Test
     fun `nobody gets more than asked for, nothing is left over that is wanted, and nobody short gets less than another`() {
         val random = Random(31)
         repeat(500) {
             val demands = (0 until random.nextInt(1, 12)).associateWith { random.nextDouble(0.0, 20.0) }
             val capacity = random.nextDouble(0.0, 80.0)
-            val shares = FairShares.divide(capacity, demands)
+            val shares = MaxMinFairShare.divide(capacity, demands)
             assertEquals(minOf(capacity, demands.values.sum()), shares.values.sum(), 1e-9)
             for ((key, share) in shares) {
                 assertTrue(share <= demands.getValue(key) + 1e-9)
@@ -25,7 +25,7 @@
     @Test
     fun `a team does not gain by having many classes`() {
         val flood = (1..50).associate { Flow("north", "class-$it") to 10.0 }
-        val shares = FairShares.divideAmongFlows(20.0, flood + (Flow("south", "only") to 10.0))
+        val shares = MaxMinFairShare.divideAmongFlows(20.0, flood + (Flow("south", "only") to 10.0))
         assertEquals(10.0, shares.getValue(Flow("south", "only")), 1e-9)
         assertEquals(10.0, shares.filterKeys { it.team == "north" }.values.sum(), 1e-9)
     }
--- a/src/test/kotlin/linemast/autoscaling/DemandTest.kt
+++ b/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
@@ -4,11 +4,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class DemandTest {
+class DemandMonitorTest {
     /** A lull after a burst of first submissions once made the leader return the whole standing fleet. */
     @Test
     fun `a pause after a burst is not the end of demand, a long silence is`() {
-        val demand = Demand()
+        val demand = DemandMonitor()
         var now = 0L
         fun pass(seconds: Int) = repeat(seconds * 4) {
             now += 250_000
--- /dev/null
+++ b/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
@@ -0,0 +1,48 @@
+package linemast.cloud
+
+import linemast.domain.Machine
+import linemast.domain.MachineType
+import linemast.settings.Policy
+import linemast.testSettings
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Test
+
+/** Which idle machines are given back, and when. */
+class ScaleInPolicyTest {
+    private val type = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, listOf("z"))
+    private val rules = ScaleInPolicy(testSettings().workers, Policy())
+
+    private fun reasonAfter(idleMicros: Long, isBaseline: Boolean, demandCeased: Boolean, isNeeded: Boolean = false): ScaleInReason? {
+        val nowMicros = 600_000_000L
+        val worker = Machine("host-000001", type, "z", false)
+        worker.lastHeartbeatMicros = nowMicros - 500_000
+        worker.idleSinceMicros = nowMicros - idleMicros
+        val listed = CloudMachine(worker.name, type, "z", false, rentedMicros = 0)
+        val situation = ScaleInPolicy.Situation({ isNeeded }, demandCeased, setOf("z"), nowMicros)
+        return rules.reason(listed, worker, isBaseline, situation)
+    }
+
+    @Test
+    fun `an idle rented machine is kept for a while as long as jobs come`() {
+        assertNull(reasonAfter(20_000_000, isBaseline = false, demandCeased = false))
+        assertEquals(ScaleInReason.IDLE, reasonAfter(26_000_000, isBaseline = false, demandCeased = false))
+    }
+
+    @Test
+    fun `once demand has ceased nothing idle is kept for longer than reports may be late`() {
+        for (isBaseline in listOf(false, true)) {
+            assertNull(reasonAfter(4_000_000, isBaseline, demandCeased = true))
+            assertEquals(
+                if (isBaseline) ScaleInReason.BASELINE_IDLE else ScaleInReason.IDLE,
+                reasonAfter(5_000_000, isBaseline, demandCeased = true),
+            )
+            assertNull(reasonAfter(20_000_000, isBaseline, demandCeased = true, isNeeded = true))
+        }
+    }
+
+    @Test
+    fun `an baseline machine is kept through a pause`() {
+        assertNull(reasonAfter(600_000_000, isBaseline = true, demandCeased = false))
+    }
+}
--- a/src/test/kotlin/linemast/cloud/RentalCallsTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
@@ -1,9 +1,9 @@
 package linemast.cloud
 
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
-import linemast.planning.RentalWish
+import linemast.planning.ScaleOutDemand
 import linemast.settings.Policy
 import linemast.testSettings
 import linemast.testSpec
@@ -13,20 +13,20 @@
 import org.junit.jupiter.api.Test
 
 /** How many rentals are asked for at once, where the cloud takes only a few calls a second. */
-class RentalCallsTest {
+class ScaleOutRequestsTest {
     private val type = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, listOf("a", "b"))
     private val types = mapOf(type.name to type)
 
     /** The settings say five calls a second. */
-    private val fleet = Fleet(testSettings(), Policy(), fencingToken = 1).also { it.standing = emptySet() }
+    private val fleet = Fleet(testSettings(), Policy(), fencingToken = 1).also { it.baselineMachines = emptySet() }
     private val job = Job(
-        OpenRecord(testSpec("req-1", "pieces" to 10_000, "vcpus" to 2.0), 0L, opened = true, cancelled = false),
+        JobRecord(testSpec("req-1", "pieces" to 10_000, "vcpus" to 2.0), 0L, opened = true, cancelled = false),
         1L,
         inherited = false,
     )
 
-    private fun rentFor(machines: Int, nowMicros: Long = 0L): List<RentRequest> {
-        val wishes = listOf(RentalWish(job, machines * 4.0))
+    private fun rentFor(machines: Int, nowMicros: Long = 0L): List<ScaleOutRequest> {
+        val wishes = listOf(ScaleOutDemand(job, machines * 4.0))
         return fleet.toRent(wishes, types.values, emptyMap(), { Double.MAX_VALUE }, { _, _, _ -> false }, nowMicros)
     }
 
--- a/src/test/kotlin/linemast/control/StandingFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -4,11 +4,11 @@
 import kotlinx.coroutines.test.runTest
 import linemast.cloud.Cloud
 import linemast.cloud.ListedMachine
-import linemast.cloud.RentRequest
-import linemast.cloud.RentResult
+import linemast.cloud.ScaleOutRequest
+import linemast.cloud.ScaleOutResult
 import linemast.domain.MachineType
-import linemast.leadership.Authority
 import linemast.leadership.LeaderKeys
+import linemast.leadership.LeaderLease
 import linemast.simulation.SimStore
 import linemast.store.Write
 import linemast.time.Clock
@@ -17,19 +17,19 @@
 import kotlin.random.Random
 
 /** The names of a standing fleet of any size are stored within what the store takes, and read back whole. */
-class StandingFleetStoreTest {
+class BaselineFleetStoreTest {
     private class ListingCloud(private val names: List<String>) : Cloud {
         override suspend fun types(): List<MachineType> = emptyList()
 
         override suspend fun machines() = names.map { ListedMachine(it, "", "small", "z", false, "running", 0L) }
 
-        override suspend fun rent(request: RentRequest): RentResult = RentResult.NoCapacity
+        override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult = ScaleOutResult.NoCapacity
 
-        override suspend fun giveBack(names: List<String>) = Unit
+        override suspend fun scaleIn(names: List<String>) = Unit
     }
 
     @Test
-    fun `standing fleets of up to 6,000 machines fit the store's transactions of any permitted number of changes`() = runTest {
+    fun `baseline fleets of up to 6,000 machines fit the store's transactions of any permitted number of changes`() = runTest {
         for (txnOps in listOf(2, 16, 24, 40)) {
             for (machines in listOf(1, 200, 4_000, 6_000)) {
                 val names = List(machines) { "host-%06d".format(it + 998_000) }
@@ -48,8 +48,8 @@
         store.valueBytes = 16 * 1024
         val client = store.clientOf("mast-0")
         client.commit(emptyList(), listOf(Write.Put(LeaderKeys.LEADER, emptyMap())))
-        val authority = Authority(1, version = 2, leaderLeaseMicros = 60_000_000, graceMicros = 0, sentMicros = 0)
-        fun fleet() = StandingFleetStore(client, ListingCloud(names), clock, authority, store.valueBytes, txnOps, 10_000_000)
+        val leaderLease = LeaderLease(1, revision = 2, leaderLeaseMicros = 60_000_000, degradedModeMicros = 0, sentMicros = 0)
+        fun fleet() = BaselineFleetStore(client, ListingCloud(names), clock, leaderLease, store.valueBytes, txnOps, 10_000_000)
         return store to (fleet().learn() to fleet().learn())
     }
 }
--- a/src/test/kotlin/linemast/control/PipelineCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -2,21 +2,21 @@
 
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
+import linemast.domain.JobOutcome
 import linemast.domain.JobPriority
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
+import linemast.domain.JobRecord
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
-import linemast.leadership.Authority
+import linemast.leadership.LeaderLease
 import linemast.scheduling.ClusterFixture
 import linemast.scheduling.HandWorker
 import linemast.serialization.Fields
 import linemast.simulation.SimStore
-import linemast.store.Change
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.KeyChange
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.Write
 import linemast.testSpec
 import linemast.time.Clock
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class PipelineCoordinatorTest {
+class DependencyCoordinatorTest {
     /** What waiting jobs ask of others, and room rented ahead for them, must not outlast them. */
     @Test
     fun `when the last waiting job is released nothing is asked of others any more`() = runTest {
@@ -33,7 +33,7 @@
         val store = SimStore(backgroundScope, clock, Random(1))
         val client = store.clientOf("mast-0")
         val waiting =
-            OpenRecord(
+            JobRecord(
                 testSpec("req-2", "awaits" to listOf("req-1"), "urgency" to "high", "due_s" to 90.0),
                 0,
                 opened = false,
@@ -45,17 +45,17 @@
         val first = fixture.submit("req-1", 2)
         HandWorker(fixture, "host-000001").reportFor(3)
         val coordinator = coordinator(client, fixture)
-        coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).items)
+        coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
         coordinator.step()
         assertEquals(listOf("req-2"), fixture.cluster.waitingStages.map { it.job.id })
         assertEquals(JobPriority.HIGH, first.priority)
         fixture.cluster.finish(first)
         val other = fixture.submit("req-3", 1)
-        coordinator.over("req-1", Verdict.DONE)
+        coordinator.over("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(1_000)
         assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves it")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
-        coordinator.changed(Change(JobKeys.waiting("req-2"), null, 9))
+        coordinator.changed(KeyChange(JobKeys.waiting("req-2"), null, 9))
         fixture.pass(2_000_000)
         coordinator.step()
         assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
@@ -74,28 +74,28 @@
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(2))
         val inner = store.clientOf("mast-0")
-        val waiting = OpenRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, opened = false, cancelled = false)
+        val waiting = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, opened = false, cancelled = false)
         inner.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
         inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(waiting))))
-        val racing = object : Store by inner {
-            override suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority): CommitResult {
-                inner.commit(emptyList(), listOf(Write.Drop(JobKeys.waiting("req-2"))))
-                return inner.commit(conditions, writes, priority)
+        val racing = object : KeyValueStore by inner {
+            override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
+                inner.commit(emptyList(), listOf(Write.Delete(JobKeys.waiting("req-2"))))
+                return inner.commit(preconditions, writes, priority)
             }
         }
         val fixture = ClusterFixture()
         val coordinator = coordinator(racing, fixture)
-        coordinator.load(inner.list(JobKeys.WAITING_PREFIX, null).items)
-        coordinator.over("req-1", Verdict.DONE)
+        coordinator.load(inner.list(JobKeys.WAITING_PREFIX, null).entries)
+        coordinator.over("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(5_000)
         assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "nothing brings it back")
         assertEquals(emptySet<String>(), fixture.cluster.jobs.keys)
     }
 
-    private fun TestScope.coordinator(store: Store, fixture: ClusterFixture) = PipelineCoordinator(
+    private fun TestScope.coordinator(store: KeyValueStore, fixture: ClusterFixture) = DependencyCoordinator(
         store,
         backgroundScope,
-        Authority(5, version = 2, leaderLeaseMicros = 60_000_000, graceMicros = 0, sentMicros = 0),
+        LeaderLease(5, revision = 2, leaderLeaseMicros = 60_000_000, degradedModeMicros = 0, sentMicros = 0),
         { fixture.cluster },
         5,
         { fixture.now },
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -34,7 +34,7 @@
         script: suspend kotlinx.coroutines.test.TestScope.(SimWorld) -> Unit,
     ): SimWorld = simulate(
         seed,
-        standing = 1,
+        baselineMachines = 1,
         features = Features(
             DutySettings().takeIf {
                 enabled
@@ -67,12 +67,12 @@
         }
     }
 
-    private fun assertOnlyHoldersActed(world: SimWorld, leastOrders: Int) {
+    private fun assertOnlyHoldersActed(world: SimWorld, minOrders: Int) {
         val audit = OrderHistoryAudit(world)
         val orders = world.cloud.orders
         println("${orders.size} orders, ${audit.lateOrders()} of them after the term that decided them, ${world.starts} starts")
         assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.rental ?: order.returned}" })
-        assertTrue(orders.size >= leastOrders, "only ${orders.size} orders")
+        assertTrue(orders.size >= minOrders, "only ${orders.size} orders")
         assertTrue(orders.any { it.rental != null } && orders.any { it.returned.isNotEmpty() })
     }
 
@@ -94,7 +94,7 @@
         }
         println("seed $seed: ${terms.size} terms")
         assertTrue(terms.size > 60, "only ${terms.size} terms")
-        assertOnlyHoldersActed(world, leastOrders = 60)
+        assertOnlyHoldersActed(world, minOrders = 60)
         assertEquals(emptyList<String>(), world.broken)
         assertEquals(emptyList<String>(), world.store.tooLarge)
     }
@@ -123,7 +123,7 @@
                 if (holder >= 0) world.freeze(holder, world.random.nextLong(500_000, 5_000_000))
             }
         }
-        assertOnlyHoldersActed(world, leastOrders = 8)
+        assertOnlyHoldersActed(world, minOrders = 8)
     }
 
     @Test
@@ -141,7 +141,7 @@
                 if (holder >= 0) jumps[holder] += 60_000_000L
             }
         }
-        assertOnlyHoldersActed(world, leastOrders = 8)
+        assertOnlyHoldersActed(world, minOrders = 8)
     }
 
     /** While it is cut off, the earlier holder reaches the cloud, and both take themselves for the holder for a while. */
@@ -164,10 +164,10 @@
             delay(60_000)
             val old = world.clock.nowMicros() - 30_000_000
             val left = world.store.keysUnder(IntentCodec.PREFIX).map { IntentCodec.decode(world.store.valueOf(it)!!) }
-                .filter { !it.state.isFinal && it.decidedWallMicros < old }
+                .filter { !it.state.isTerminal && it.decidedWallMicros < old }
             assertEquals(emptyList<Intent>(), left, "every action has ended")
         }
-        assertOnlyHoldersActed(world, leastOrders = 8)
+        assertOnlyHoldersActed(world, minOrders = 8)
         assertEquals(emptyList<String>(), world.broken)
     }
 
@@ -202,7 +202,7 @@
     @Test
     fun `a machine whose return is on its way gets no work from the next holder`() {
         val world = returnThatComesLate(enabled = true)
-        assertOnlyHoldersActed(world, leastOrders = 2)
+        assertOnlyHoldersActed(world, minOrders = 2)
         assertTrue(OrderHistoryAudit(world).lateOrders() > 0)
     }
 
--- a/src/test/kotlin/linemast/duties/IntentAuditTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentAuditTest.kt
@@ -1,6 +1,6 @@
 package linemast.duties
 
-import linemast.cloud.RentRequest
+import linemast.cloud.ScaleOutRequest
 import linemast.settings.Duty
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -15,7 +15,7 @@
         Intent(IntentId(token, number), CloudAction.Return(names.toList(), Duty.RETURN), 0)
 
     private fun rented(token: Long, number: Long, requestId: String) =
-        Intent(IntentId(token, number), CloudAction.Rental(RentRequest(requestId, "type", "zone", false, 1)), 0)
+        Intent(IntentId(token, number), CloudAction.Rental(ScaleOutRequest(requestId, "type", "zone", false, 1)), 0)
 
     private fun check(vararg intents: Intent, wallMicros: Long = 0) =
         IntentAudit(30_000_000).check(intents.toList(), leadership, wallMicros).map { it.severity to it.message }
--- a/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
@@ -1,6 +1,6 @@
 package linemast.duties
 
-import linemast.cloud.RentRequest
+import linemast.cloud.ScaleOutRequest
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
 import linemast.serialization.MalformedException
@@ -8,7 +8,7 @@
 import linemast.settings.DutySettings
 import linemast.settings.SettingsException
 import linemast.settings.SettingsReader
-import linemast.store.Item
+import linemast.store.Entry
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -20,7 +20,7 @@
 
 internal fun generatedIntent(random: Random, token: Long = random.nextLong(1, 1_000), number: Long = random.nextLong(1, 9_999)): Intent {
     val action = if (random.nextBoolean()) {
-        val request = RentRequest("r-$token-$number", "type-${random.nextInt(9)}", "zone", random.nextBoolean(), random.nextInt(1, 51))
+        val request = ScaleOutRequest("r-$token-$number", "type-${random.nextInt(9)}", "zone", random.nextBoolean(), random.nextInt(1, 51))
         CloudAction.Rental(request)
     } else {
         val duty = listOf(Duty.RETURN, Duty.RECLAIM, Duty.CLEAN_UP).random(random)
@@ -61,7 +61,7 @@
 
     @Test
     fun `a slot that cannot be read is never used`() {
-        val log = IntentLog.empty(slotCount = 2).reload(listOf(Item("duty/0", Fields(mapOf("state" to "odd")), 7)))
+        val log = IntentLog.empty(slotCount = 2).reload(listOf(Entry("duty/0", Fields(mapOf("state" to "odd")), 7)))
         assertEquals(setOf(0), log.unreadable)
         assertEquals(1, log.freeSlot())
         assertNull(log.reserve(1).freeSlot())
--- a/src/test/kotlin/linemast/duties/IntentLogTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentLogTest.kt
@@ -14,23 +14,23 @@
         val random = Random(29)
         repeat(50) {
             var log = IntentLog.empty(slotCount = 8)
-            var version = 0L
+            var revision = 0L
             for (number in 1L..200L) {
                 val slot = log.freeSlot()
                 if (slot == null) {
                     assertEquals(8, log.open.size)
                 } else {
                     val earlier = log[slot]
-                    assertTrue(earlier == null || earlier.intent.state.isFinal)
-                    if (earlier != null) assertEquals(log.intents.first { it.intent.state.isFinal }.intent.id, earlier.intent.id)
+                    assertTrue(earlier == null || earlier.intent.state.isTerminal)
+                    if (earlier != null) assertEquals(log.intents.first { it.intent.state.isTerminal }.intent.id, earlier.intent.id)
                     val intent = generatedIntent(random, token = 1, number = number).copy(state = IntentState.OPEN)
                     log = log.reserve(slot)
                     assertTrue(log.freeSlot() != slot)
-                    log = log.put(StoredIntent(slot, intent, ++version))
+                    log = log.put(StoredIntent(slot, intent, ++revision))
                 }
                 val ends = log.open.randomOrNull(random)?.takeIf { random.nextInt(10) < 8 } ?: continue
-                log = log.put(StoredIntent(ends.slot, ends.intent.closed(IntentState.CARRIED_OUT, 1, 1), ++version))
-                assertEquals(version, log.versionOf(ends.slot))
+                log = log.put(StoredIntent(ends.slot, ends.intent.closed(IntentState.CARRIED_OUT, 1, 1), ++revision))
+                assertEquals(revision, log.revisionOf(ends.slot))
             }
         }
     }
--- a/src/test/kotlin/linemast/duties/IntentWriterTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentWriterTest.kt
@@ -7,13 +7,13 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
-import linemast.leadership.Authority
 import linemast.leadership.LeaderKeys
+import linemast.leadership.LeaderLease
 import linemast.settings.Duty
 import linemast.simulation.SimStore
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Store
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
 import linemast.store.Write
 import linemast.time.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -28,22 +28,22 @@
 class IntentWriterTest {
     private fun TestScope.clock() = Clock { testScheduler.currentTime * 1_000 + 1 }
 
-    private suspend fun lead(store: Store, token: Long): Authority {
+    private suspend fun lead(store: KeyValueStore, token: Long): LeaderLease {
         val current = store.get(LeaderKeys.LEADER)
         val put = Write.Put(LeaderKeys.LEADER, mapOf("node" to "mast-$token", "helm" to token))
-        val result = store.commit(listOf(Condition(LeaderKeys.LEADER, current?.version ?: 0L)), listOf(put))
-        return Authority(token, (result as CommitResult.Applied).revision, 1L shl 50, 0, 0)
+        val result = store.commit(listOf(Precondition(LeaderKeys.LEADER, current?.revision ?: 0L)), listOf(put))
+        return LeaderLease(token, (result as CommitResult.Applied).revision, 1L shl 50, 0, 0)
     }
 
-    private fun writer(store: Store, authority: Authority, slots: Int = 32) = IntentWriter(store, authority, slots, 5) { 0L }
+    private fun writer(store: KeyValueStore, leaderLease: LeaderLease, slots: Int = 32) = IntentWriter(store, leaderLease, slots, 5) { 0L }
 
     /** A writer that leads with fencing token 1, running. */
-    private suspend fun TestScope.runningWriter(store: SimStore, slots: Int = 32): Pair<IntentWriter, Authority> {
-        val authority = lead(store.clientOf("mast-1"), 1)
-        val writer = writer(store.clientOf("mast-1"), authority, slots)
+    private suspend fun TestScope.runningWriter(store: SimStore, slots: Int = 32): Pair<IntentWriter, LeaderLease> {
+        val leaderLease = lead(store.clientOf("mast-1"), 1)
+        val writer = writer(store.clientOf("mast-1"), leaderLease, slots)
         writer.load()
         backgroundScope.launch { writer.run() }
-        return writer to authority
+        return writer to leaderLease
     }
 
     private fun returnOf(number: Int) = CloudAction.Return(listOf("host-$number"), Duty.RETURN)
@@ -71,7 +71,7 @@
     @ValueSource(ints = [11, 12, 13, 14])
     fun `a replaced holder writes nothing more, however late its transactions are carried out`(seed: Int) = runTest {
         val store = SimStore(backgroundScope, clock(), Random(seed))
-        val (writer, authority) = runningWriter(store)
+        val (writer, leaderLease) = runningWriter(store)
         store.lostAnswers = 0.7
         val waiting =
             List(6) { number -> CoroutineScope(backgroundScope.coroutineContext).async { runCatching { writer.begin(returnOf(number)) } } }
@@ -89,7 +89,7 @@
         assertTrue(outcomes.all { it.isSuccess || it.exceptionOrNull() is DutyLostException })
         assertTrue(outcomes.filter { it.isSuccess }.all { it.getOrThrow().intent in atTakeOver })
         assertTrue(refused.exceptionOrNull() is DutyLostException, "$refused")
-        assertTrue(authority.ended)
+        assertTrue(leaderLease.ended)
     }
 
     @Test
--- a/src/test/kotlin/linemast/duties/OrderHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/OrderHistoryAudit.kt
@@ -33,12 +33,12 @@
     private fun decisions(): List<Decision> = world.store.history.mapNotNull { change ->
         val value = change.value?.takeIf { IntentCodec.slot(change.key) != null } ?: return@mapNotNull null
         val intent = IntentCodec.decode(value)
-        if (intent.state.isFinal) null else Decision(intent, change.version, leaderAt(change.version))
+        if (intent.state.isTerminal) null else Decision(intent, change.revision, leaderAt(change.revision))
     }
 
     /** Fencing token of the leader by the store's [revision]; null while there is none. */
     private fun leaderAt(revision: Long): Long? =
-        world.store.history.lastOrNull { it.key == "leader" && it.version <= revision }?.value?.long("helm")
+        world.store.history.lastOrNull { it.key == "leader" && it.revision <= revision }?.value?.long("helm")
 
     private fun decisionsOf(order: SimOrder): List<Decision> = decisions.filter { decision ->
         when (val action = decision.intent.action) {
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -7,19 +7,19 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
+import linemast.domain.JobOutcome
+import linemast.domain.JobRecord
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
+import linemast.domain.OutcomeRecord
 import linemast.serialization.Cbor
 import linemast.settings.Team
 import linemast.simulation.SimStore
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Page
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.EntryPage
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.StoreException
 import linemast.store.TokenBucket
 import linemast.store.Write
@@ -98,7 +98,7 @@
         val store = SimStore(backgroundScope, clock, Random(8))
         write(store, Graph.CHAIN)
         val controller = CoroutineScope(backgroundScope.coroutineContext + Job())
-        val check = DependencyCheck(VerdictReader(store.clientOf("mast-0"), controller, clock, CANCEL_MICROS), controller, CANCEL_MICROS)
+        val check = DependencyCheck(OutcomeReader(store.clientOf("mast-0"), controller, clock, CANCEL_MICROS), controller, CANCEL_MICROS)
         val caller = async { runCatching { check.dependsOnCancelled(listOf(id(400))) } }
         delay(5)
         controller.cancel()
@@ -124,53 +124,56 @@
         val client = store.clientOf("users")
         for ((at, dependencies) in graph.dependencies.withIndex()) {
             val spec = testSpec(id(at), "awaits" to dependencies.map(::id))
-            val record = OpenRecord(spec, 0, opened = false, cancelled = false)
+            val record = JobRecord(spec, 0, opened = false, cancelled = false)
             val key = if (dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.waiting(spec.id)
-            val verdict = VerdictRecord(Verdict.OPEN, spec.taskCount, spec.dependencies)
-            client.commit(emptyList(), listOf(Write.Put(JobKeys.verdict(spec.id), JobRecordCodec.encode(verdict)), Write.Put(key, JobRecordCodec.encode(record))))
+            val outcome = OutcomeRecord(JobOutcome.OPEN, spec.taskCount, spec.dependencies)
+            client.commit(
+                emptyList(),
+                listOf(Write.Put(JobKeys.outcome(spec.id), JobRecordCodec.encode(outcome)), Write.Put(key, JobRecordCodec.encode(record))),
+            )
         }
     }
 
-    private fun TestScope.service(store: Store, clock: Clock) = JobService(
+    private fun TestScope.service(store: KeyValueStore, clock: Clock) = JobService(
         store, backgroundScope, mapOf("team" to Team("team", 8.0, 16.0, 0.0, 0.0)), {
             TYPES
         }, { null }, { 0L }, VALUE_BYTES, clock, CANCEL_MICROS,
     )
 
     /** Takes the tokens that a controller has for its calls, and turns away a call that has to wait too long for one. */
-    private class RateLimitedStore(private val store: Store, private val clock: Clock) : Store by store {
+    private class RateLimitedStore(private val store: KeyValueStore, private val clock: Clock) : KeyValueStore by store {
         private val requests = TokenBucket(REQUESTS_PER_SECOND)
 
-        private suspend fun enter(priority: Priority) {
-            val deadline = clock.nowMicros() + priority.patienceMicros
+        private suspend fun enter(priority: RequestPriority) {
+            val deadline = clock.nowMicros() + priority.queueTimeoutMicros
             while (!requests.tryTake(1, priority, clock.nowMicros())) {
                 val wait = requests.waitMicros(1, priority, clock.nowMicros())
-                if (clock.nowMicros() + wait > deadline) throw StoreException("no token within the wait", mayHaveRun = false)
+                if (clock.nowMicros() + wait > deadline) throw StoreException("no token within the wait", mayHaveExecuted = false)
                 delay(wait / 1_000 + 1)
             }
         }
 
-        override suspend fun get(key: String, priority: Priority): Item? {
+        override suspend fun get(key: String, priority: RequestPriority): Entry? {
             enter(priority)
             return store.get(key, priority)
         }
 
         /** Pages as large as the store gives them, where its stand-in gives few records a page. */
-        override suspend fun list(under: String, after: String?): Page {
-            enter(Priority.ORDINARY)
-            val items = ArrayList<Item>()
+        override suspend fun list(under: String, after: String?): EntryPage {
+            enter(RequestPriority.NORMAL)
+            val entries = ArrayList<Entry>()
             var page = store.list(under, after)
             val revision = page.revision
             while (true) {
-                items += page.items
-                if (!page.truncated || items.size >= PAGE_ITEMS) return Page(items, page.truncated, revision)
-                page = store.list(under, items.last().key)
+                entries += page.entries
+                if (!page.truncated || entries.size >= PAGE_ITEMS) return EntryPage(entries, page.truncated, revision)
+                page = store.list(under, entries.last().key)
             }
         }
 
-        override suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority): CommitResult {
+        override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
             enter(priority)
-            return store.commit(conditions, writes, priority)
+            return store.commit(preconditions, writes, priority)
         }
     }
 
--- a/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
@@ -1,7 +1,7 @@
 package linemast.jobs
 
 import linemast.domain.JobProgress
-import linemast.domain.OpenRecord
+import linemast.domain.JobRecord
 import linemast.peers.PeerFrame
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
@@ -23,7 +23,7 @@
         val random = Random(seed)
         repeat(300) {
             val record =
-                OpenRecord(JobCodec.decode(Fields(job(random))), random.nextLong(1L shl 50), random.nextBoolean(), random.nextBoolean())
+                JobRecord(JobCodec.decode(Fields(job(random))), random.nextLong(1L shl 50), random.nextBoolean(), random.nextBoolean())
             val again = JobRecordCodec.decodeJob(Cbor.decodeMap(Cbor.encode(JobRecordCodec.encode(record))))
             assertEquals(JobRecordCodec.encode(record), JobRecordCodec.encode(again))
         }
@@ -50,14 +50,14 @@
             val done = BitSet()
             repeat(taskCount / 2 + 1) { done.set(random.nextInt(taskCount)) }
             val again = BitSet()
-            for (part in 0 until DoneSet.parts(taskCount)) {
-                val text = DoneSet.encodePart(done, part)
+            for (part in 0 until CompletedTasks.parts(taskCount)) {
+                val text = CompletedTasks.encodePart(done, part)
                 assertTrue(text.length < 4_096, "part of ${text.length} characters")
-                DoneSet.decodePart(text, part, again)
+                CompletedTasks.decodePart(text, part, again)
             }
             assertEquals(done, again)
         }
-        assertThrows(MalformedException::class.java) { DoneSet.decodePart("*", 0, BitSet()) }
+        assertThrows(MalformedException::class.java) { CompletedTasks.decodePart("*", 0, BitSet()) }
     }
 
     @Test
--- a/src/test/kotlin/linemast/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobServiceTest.kt
@@ -4,26 +4,26 @@
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
-import linemast.admission.AdmissionArc
-import linemast.admission.AdmissionGate
+import linemast.admission.AdmissionController
 import linemast.admission.AdmissionPlan
 import linemast.admission.Flow
 import linemast.admission.FlowClassifier
-import linemast.admission.IdCircle
+import linemast.admission.HashRange
+import linemast.admission.HashRing
+import linemast.domain.JobOutcome
+import linemast.domain.JobRecord
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
+import linemast.domain.OutcomeRecord
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
 import linemast.serialization.MalformedException
 import linemast.settings.Team
 import linemast.simulation.SimStore
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.Write
 import linemast.time.Clock
 import linemast.transport.HttpRequest
@@ -57,7 +57,7 @@
     }
 
     @Test
-    fun `no verdict, no answer - outage, unknown types and unreadable records are 503`() = runTest {
+    fun `no outcome, no answer - outage, unknown types and unreadable records are 503`() = runTest {
         val store = store()
         assertEquals(503, submit(jobService(store) { null }, job()))
         store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/req-000001", mapOf("verdict" to 7))))
@@ -74,11 +74,11 @@
     fun `a submission whose turn has not come is told when, and what is known or depends on others is not put off`() = runTest {
         val store = store()
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
-        val gate = AdmissionGate(FlowClassifier(emptyList()), clock)
+        val gate = AdmissionController(FlowClassifier(emptyList()), clock)
         val jobService = jobService(store, admission = gate) { types }
         assertEquals(201, submit(jobService, job()))
-        val head = IdCircle.ahead(IdCircle.pointOf("req-000002"), IdCircle.SIZE / 2)
-        val arc = AdmissionArc(head, width = 0, pace = IdCircle.SIZE / 16)
+        val head = HashRing.ahead(HashRing.pointOf("req-000002"), HashRing.SIZE / 2)
+        val arc = HashRange(head, width = 0, pace = HashRing.SIZE / 16)
         gate.take(AdmissionPlan(1, 1, mapOf(Flow("team", "*") to arc)))
         val later = jobService.handle(HttpRequest("POST", "/v1/jobs", "", Cbor.encode(job("name_id" to "req-000002"))))
         assertEquals(429 to 8, later?.status to later?.retryAfterSeconds)
@@ -87,7 +87,7 @@
         assertEquals(201, submit(jobService, job("name_id" to "req-000003", "awaits" to listOf("req-000001"))))
         assertEquals(201, submit(jobService, job("name_id" to "req-000004", "crew" to "other")), "another team's")
         assertEquals(422, submit(jobService, job("name_id" to "req-000005", "vcpus" to 9.0)))
-        gate.take(AdmissionPlan(2, 1, mapOf(Flow("team", "*") to arc.copy(head = IdCircle.pointOf("req-000002")))))
+        gate.take(AdmissionPlan(2, 1, mapOf(Flow("team", "*") to arc.copy(head = HashRing.pointOf("req-000002")))))
         assertEquals(201, submit(jobService, job("name_id" to "req-000002")))
         gate.take(AdmissionPlan(1, 1, mapOf(Flow("team", "*") to arc)))
         assertEquals(2L, gate.plan.epoch, "an older plan changes nothing")
@@ -154,8 +154,8 @@
         submit(jobService(store) { types }, job("name_id" to "req-000002", "awaits" to listOf("req-000001")))
         val other = jobService(store) { types }
         val inner = store.clientOf("mast-0")
-        val slow = object : Store by inner {
-            override suspend fun get(key: String, priority: Priority): Item? =
+        val slow = object : KeyValueStore by inner {
+            override suspend fun get(key: String, priority: RequestPriority): Entry? =
                 inner.get(key, priority).also { if (key == "j/req-000001") assertEquals(200, cancel(other, "req-000002")) }
         }
         assertEquals("withdrawn", state(jobService(slow) { types }, "req-000002"))
@@ -170,18 +170,18 @@
         val inner = store.clientOf("mast-0")
         val waiting = JobRecordCodec.decodeJob(requireNotNull(inner.get(JobKeys.waiting("req-000002"))).value)
         var isReleased = false
-        val racing = object : Store by inner {
-            override suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority): CommitResult {
+        val racing = object : KeyValueStore by inner {
+            override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
                 if (!isReleased) {
                     isReleased = true
                     val released = Write.Put(JobKeys.open("req-000002"), JobRecordCodec.encode(waiting.released(5)))
-                    inner.commit(emptyList(), listOf(released, Write.Drop(JobKeys.waiting("req-000002"))))
+                    inner.commit(emptyList(), listOf(released, Write.Delete(JobKeys.waiting("req-000002"))))
                 }
-                return inner.commit(conditions, writes, priority)
+                return inner.commit(preconditions, writes, priority)
             }
         }
         assertEquals(200, cancel(jobService(racing) { types }, "req-000002"))
-        assertEquals("withdrawn", store.valueOf(JobKeys.verdict("req-000002"))?.text("verdict"))
+        assertEquals("withdrawn", store.valueOf(JobKeys.outcome("req-000002"))?.text("verdict"))
         assertEquals(true, store.valueOf(JobKeys.open("req-000002"))?.flag("withdrawn"), "the leader is told to stop it")
         assertEquals(emptySet<String>(), store.keysUnder("w/"))
     }
@@ -193,7 +193,9 @@
         fun id(at: Int) = "req-%06d".format(at)
         submit(jobService(store) { types }, job("name_id" to id(1)))
         submit(jobService(store) { types }, job("name_id" to id(2), "crew" to "other"))
-        store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/${id(3)}", JobRecordCodec.encode(VerdictRecord(Verdict.DONE, 3)))))
+        store.clientOf(
+            "test",
+        ).commit(emptyList(), listOf(Write.Put("j/${id(3)}", JobRecordCodec.encode(OutcomeRecord(JobOutcome.DONE, 3)))))
         val names = listOf(id(1), id(2), id(3))
         assertEquals(201, submit(jobService(store) { types }, job("name_id" to id(4), "awaits" to names)))
         assertEquals("pending", state(jobService(store) { types }, id(4)))
@@ -218,12 +220,12 @@
     /** The size of a stored job is counted in the form in which the store counts it. */
     @Test
     fun `a job just at, under and over what a value takes`() = runTest {
-        val record = JobRecordCodec.encode(OpenRecord(JobCodec.decode(Fields(job())), 0L, opened = false, cancelled = false))
+        val record = JobRecordCodec.encode(JobRecord(JobCodec.decode(Fields(job())), 0L, opened = false, cancelled = false))
         val size = Cbor.jsonSize(record)
-        assertEquals(201, submit(jobService(store(), mostValueBytes = size) { types }, job()))
-        assertEquals(201, submit(jobService(store(), mostValueBytes = size + 1) { types }, job()))
+        assertEquals(201, submit(jobService(store(), maxValueBytes = size) { types }, job()))
+        assertEquals(201, submit(jobService(store(), maxValueBytes = size + 1) { types }, job()))
         assertThrows(MalformedException::class.java) {
-            runBlocking { submit(jobService(store(), mostValueBytes = size - 1) { types }, job()) }
+            runBlocking { submit(jobService(store(), maxValueBytes = size - 1) { types }, job()) }
         }
     }
 
@@ -231,7 +233,9 @@
     fun `what awaits only jobs that are done need not wait`() = runTest {
         val store = store()
         val jobService = jobService(store) { types }
-        store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/req-000007", JobRecordCodec.encode(VerdictRecord(Verdict.DONE, 3)))))
+        store.clientOf(
+            "test",
+        ).commit(emptyList(), listOf(Write.Put("j/req-000007", JobRecordCodec.encode(OutcomeRecord(JobOutcome.DONE, 3)))))
         assertEquals(201, submit(jobService, job("awaits" to listOf("req-000007"))))
         assertEquals(setOf("o/req-000001"), store.keysUnder("o/"))
     }
@@ -239,7 +243,7 @@
     @Test
     fun `a job that no value can take is refused at once`() = runTest {
         val store = store()
-        val jobService = jobService(store, mostValueBytes = 700) { types }
+        val jobService = jobService(store, maxValueBytes = 700) { types }
         assertEquals(
             201,
             submit(
@@ -270,22 +274,22 @@
 
     private fun TestScope.jobService(
         store: SimStore,
-        mostValueBytes: Int = 8 * 1024,
-        admission: AdmissionGate? = null,
+        maxValueBytes: Int = 8 * 1024,
+        admission: AdmissionController? = null,
         types: () -> List<MachineType>?,
-    ) = jobService(store.clientOf("mast-0"), mostValueBytes, admission, types)
+    ) = jobService(store.clientOf("mast-0"), maxValueBytes, admission, types)
 
     private fun TestScope.jobService(
-        store: Store,
-        mostValueBytes: Int = 8 * 1024,
-        admission: AdmissionGate? = null,
+        store: KeyValueStore,
+        maxValueBytes: Int = 8 * 1024,
+        admission: AdmissionController? = null,
         types: () -> List<MachineType>?,
     ) = JobService(
         store, backgroundScope,
         listOf("team", "other").associateWith {
             Team(it, 8.0, 16.0, 0.0, 0.0)
         },
-        types, { null }, { 0L }, mostValueBytes,
+        types, { null }, { 0L }, maxValueBytes,
         Clock { testScheduler.currentTime * 1_000 + 1 }, CANCEL_MICROS, admission,
     )
 
