--- a/src/test/kotlin/linemast/leadership/CancellationKnowledgeTest.kt
+++ b/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
@@ -1,6 +1,6 @@
 package linemast.leadership
 
-import linemast.control.ReportAnswer
+import linemast.control.HeartbeatResponse
 import linemast.domain.Command
 import linemast.domain.TaskId
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class CancellationKnowledgeTest {
+class CancellationFreshnessTest {
     /** Reads that succeed, lag or fail; a cancellation at any time; the latest answer that does not know of it. */
     @Test
     fun `a lease renewed without knowing of a cancellation ends within its time`() {
@@ -20,37 +20,37 @@
             val lease = leaseS * 1_000_000L
             val cancel = cancelS * 1_000_000L
             repeat(200) {
-                val knowledge = CancellationKnowledge(CancellationKnowledge.renewalMicros(lease, cancel))
-                assertEquals(Long.MIN_VALUE, knowledge.renewsUntilMicros, "nothing is renewed before the first read")
+                val cancellationFreshness = CancellationFreshness(CancellationFreshness.renewalMicros(lease, cancel))
+                assertEquals(Long.MIN_VALUE, cancellationFreshness.renewalsAllowedUntilMicros, "nothing is renewed before the first read")
                 var now = 1_000_000L
                 val cancelled = now + random.nextLong(60_000_000)
                 while (now < cancelled + cancel) {
                     val sent = now
                     now += random.nextLong(3_000_000)
                     // A read sent before the cancellation was confirmed may miss it; a later one never does.
-                    if (sent < cancelled && random.nextInt(3) != 0) knowledge.readAt(sent)
+                    if (sent < cancelled && random.nextInt(3) != 0) cancellationFreshness.refreshedAt(sent)
                 }
-                val slowestLease = lease + Authority.drift(lease)
-                assertTrue(knowledge.renewsUntilMicros + slowestLease + 400_000 < cancelled + cancel)
+                val slowestLease = lease + LeaderLease.drift(lease)
+                assertTrue(cancellationFreshness.renewalsAllowedUntilMicros + slowestLease + 400_000 < cancelled + cancel)
             }
-            assertTrue(CancellationKnowledge.renewalMicros(lease, cancel) > 1_000_000, "leases can be renewed at all")
+            assertTrue(CancellationFreshness.renewalMicros(lease, cancel) > 1_000_000, "leases can be renewed at all")
         }
     }
 
     @Test
     fun `an answer is judged by what was known when it was made`() {
-        val knowledge = CancellationKnowledge(20_000_000)
-        val authority = Authority(3, 1, 4_000_000, 16_000_000, 0)
-        knowledge.readAt(0)
-        val empty = ReportAnswer(3, emptyList(), knowledge, authority)
-        val start = ReportAnswer(3, listOf(Command.Start(TaskId("req-1", 0), 1)), knowledge, authority)
-        knowledge.readAt(30_000_000)
-        repeat(10) { authority.renewed(it * 3_000_000L) }
+        val cancellationFreshness = CancellationFreshness(20_000_000)
+        val leaderLease = LeaderLease(3, 1, 4_000_000, 16_000_000, 0)
+        cancellationFreshness.refreshedAt(0)
+        val empty = HeartbeatResponse(3, emptyList(), cancellationFreshness, leaderLease)
+        val start = HeartbeatResponse(3, listOf(Command.Start(TaskId("req-1", 0), 1)), cancellationFreshness, leaderLease)
+        cancellationFreshness.refreshedAt(30_000_000)
+        repeat(10) { leaderLease.renewed(it * 3_000_000L) }
         assertTrue(empty.isValid(19_000_000))
         assertFalse(empty.isValid(20_000_000), "it lacks what was learned while it waited")
         assertTrue(start.isValid(3_500_000))
         assertFalse(start.isValid(4_000_000), "its job may have been cancelled since")
-        authority.end()
+        leaderLease.end()
         assertFalse(empty.isValid(1))
     }
 }
--- a/src/test/kotlin/linemast/leadership/AuthorityTest.kt
+++ b/src/test/kotlin/linemast/leadership/LeaderLeaseTest.kt
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class AuthorityTest {
-    private val leaderLease = 4_000_000L
+class LeaderLeaseTest {
+    private val leaderLeaseMicros = 4_000_000L
     private val lease = 11_000_000L
     private val cancel = 36_000_000L
-    private val grace = Authority.graceMicros(lease, cancel)
+    private val grace = LeaderLease.degradedModeMicros(lease, cancel)
 
     /** Renewals at generated times with generated delays, on a clock that runs 0.05% slow against the store's. */
     @Test
-    fun `authority always ends before the store lets another in`() {
+    fun `leader lease always ends before the store lets another in`() {
         val seed = 17
         println("seed $seed")
         val random = Random(seed)
@@ -22,42 +22,42 @@
             val slow = 1.0 - 0.0005 * random.nextDouble()
             val own = { storeMicros: Long -> (storeMicros * slow).toLong() }
             var now = 0L
-            val authority = Authority(1, 1, leaderLease, grace, own(now))
+            val leaderLease = LeaderLease(1, 1, leaderLeaseMicros, grace, own(now))
             now += random.nextLong(200_000)
-            var leaseEnds = now + leaderLease
+            var leaseEnds = now + leaderLeaseMicros
             while (now < leaseEnds) {
                 if (random.nextInt(4) == 0) {
                     val sent = own(now)
                     now += random.nextLong(400_000)
                     if (now >= leaseEnds) break
-                    leaseEnds = now + leaderLease
+                    leaseEnds = now + leaderLeaseMicros
                     now += random.nextLong(400_000)
-                    authority.renewed(sent)
+                    leaderLease.renewed(sent)
                 }
                 now += random.nextLong(900_000)
             }
-            assertFalse(authority.mayCommand(own(maxOf(now, leaseEnds))))
+            assertFalse(leaderLease.mayIssueCommands(own(maxOf(now, leaseEnds))))
         }
     }
 
     @Test
     fun `grace, a lease and margins end before a cancellation is due`() {
         for ((leaseS, cancelS) in listOf(11 to 36, 16 to 41, 5 to 60, 10 to 12)) {
-            val graceMicros = Authority.graceMicros(leaseS * 1_000_000L, cancelS * 1_000_000L)
-            assertTrue(graceMicros >= 0)
-            assertTrue(graceMicros == 0L || graceMicros + leaseS * 1_000_000L + 5_000_000L < cancelS * 1_000_000L)
+            val degradedModeMicros = LeaderLease.degradedModeMicros(leaseS * 1_000_000L, cancelS * 1_000_000L)
+            assertTrue(degradedModeMicros >= 0)
+            assertTrue(degradedModeMicros == 0L || degradedModeMicros + leaseS * 1_000_000L + 5_000_000L < cancelS * 1_000_000L)
         }
     }
 
     @Test
     fun `news of a higher fencing token ends orders and grace at once`() {
-        val authority = Authority(3, 1, leaderLease, grace, 0)
+        val leaderLease = LeaderLease(3, 1, leaderLeaseMicros, grace, 0)
         val view = LeaderView()
-        view.own = authority
-        view.heardOf(3)
-        assertTrue(authority.mayCommand(1_000_000))
-        assertTrue(authority.mayAnswer(leaderLease + grace - 500_000))
-        view.heardOf(4)
-        assertEquals(listOf(false, false), listOf(authority.mayCommand(1), authority.mayAnswer(1)))
+        view.own = leaderLease
+        view.observeFencingToken(3)
+        assertTrue(leaderLease.mayIssueCommands(1_000_000))
+        assertTrue(leaderLease.mayAnswerHeartbeats(leaderLeaseMicros + grace - 500_000))
+        view.observeFencingToken(4)
+        assertEquals(listOf(false, false), listOf(leaderLease.mayIssueCommands(1), leaderLease.mayAnswerHeartbeats(1)))
     }
 }
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -28,8 +28,8 @@
         seed = seed,
         arguments = listOf("--duties", "deploy/duties.toml"),
         policy = "return { leader_hold_s = 1, idle_return_s = 1.5, short_interval_s = 1 }",
-        standing = 1,
-        mostMachines = 24,
+        baselineMachines = 1,
+        maxMachines = 24,
     )
 
     @Test
@@ -83,7 +83,7 @@
     }
 
     private fun beginsAction(write: Write): Boolean =
-        write is Write.Put && IntentCodec.slot(write.key) != null && !IntentCodec.decode(Fields(write.value)).state.isFinal
+        write is Write.Put && IntentCodec.slot(write.key) != null && !IntentCodec.decode(Fields(write.value)).state.isTerminal
 
     private suspend fun CoroutineScope.submitForEver(world: SimWorld) {
         var number = 0
--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -26,8 +26,8 @@
     /** Options of the program besides its settings. */
     val arguments: List<String>,
     val policy: String,
-    val standing: Int,
-    val mostMachines: Int,
+    val baselineMachines: Int,
+    val maxMachines: Int,
     val requestsPerSecond: Double = 3_000.0,
     val changesPerSecond: Double = 1_000.0,
     val objectives: String = "",
@@ -55,8 +55,8 @@
                     ::settings,
                     TYPES,
                     LEASE_MICROS,
-                    standing = options.standing,
-                    mostMachines = options.mostMachines,
+                    baselineMachines = options.baselineMachines,
+                    maxMachines = options.maxMachines,
                 )
                 connect(loop)
                 repeat(NODES) { start(it) }
@@ -117,13 +117,13 @@
         if (process.isAlive) ProcessBuilder("kill", "-$name", process.pid().toString()).start().waitFor()
     }
 
-    /** Waits until [condition] holds, at most [mostMillis]; whether it does. */
-    suspend fun await(mostMillis: Long, condition: () -> Boolean): Boolean {
-        repeat((mostMillis / STEP_MILLIS).toInt()) {
-            if (condition()) return true
+    /** Waits until [precondition] holds, at most [maxMillis]; whether it does. */
+    suspend fun await(maxMillis: Long, precondition: () -> Boolean): Boolean {
+        repeat((maxMillis / STEP_MILLIS).toInt()) {
+            if (precondition()) return true
             delay(STEP_MILLIS)
         }
-        return condition()
+        return precondition()
     }
 
     private fun settings(name: String): Settings = SettingsReader.parse(settingsText(name))
@@ -146,8 +146,8 @@
             clock_off_ms = 10.0
             objectives = [${options.objectives}]
             teams = [
-              { name = "north", cpus = ${options.mostMachines * 2}.0, cpus_max = ${options.mostMachines * 4}.0, gpus = 0.0, gpus_max = 0.0 },
-              { name = "south", cpus = ${options.mostMachines}.0, cpus_max = ${options.mostMachines * 2}.0, gpus = 0.0, gpus_max = 0.0 },
+              { name = "north", cpus = ${options.maxMachines * 2}.0, cpus_max = ${options.maxMachines * 4}.0, gpus = 0.0, gpus_max = 0.0 },
+              { name = "south", cpus = ${options.maxMachines}.0, cpus_max = ${options.maxMachines * 2}.0, gpus = 0.0, gpus_max = 0.0 },
             ]
             [settings.workers]
             report_s = 1.0
--- a/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
@@ -20,8 +20,8 @@
         seed = seed,
         arguments = listOf("--recovery", "deploy/recovery.toml"),
         policy = "return { leader_hold_s = 1 }",
-        standing = machines,
-        mostMachines = machines,
+        baselineMachines = machines,
+        maxMachines = machines,
     )
 
     @Test
@@ -29,7 +29,7 @@
         val cluster = LoopbackCluster(options)
         val orders = ArrayList<Pair<String, String>>()
         var lost = emptySet<String>()
-        var unrecorded = emptySet<String>()
+        var unregistered = emptySet<String>()
         var adopted = 0
         cluster.play {
             val world = cluster.world
@@ -43,13 +43,13 @@
             lost = silent.flatMapTo(HashSet()) { machine -> machine.tasks.values.map { "${it.job}/${it.index}" } }
             silent.forEach { it.mute = true }
             val others = world.workers.values.filter { it !in silent }.take(machines / 50)
-            unrecorded = others.mapIndexedTo(HashSet()) { at, machine ->
+            unregistered = others.mapIndexedTo(HashSet()) { at, machine ->
                 val job = SimJob("req-99%04d".format(at), "north", 1, 0.0, false, false, false, false, 300_000_000)
                 world.jobs[job.id] = job
                 machine.inject(job)
                 "${job.id}/0"
             }
-            adopted = live().size - lost.size - unrecorded.size
+            adopted = live().size - lost.size - unregistered.size
             world.onLeaseEnd = { forgotten -> lost = lost + forgotten }
             world.onCommand = { _, verb, task -> orders += verb to task.substringBefore('#') }
             delay(OUTAGE_MILLIS)
@@ -60,13 +60,13 @@
         val started = byVerb["start"].orEmpty()
         val stopped = byVerb["halt"].orEmpty()
         println("seed $seed, $machines workers, $adopted tasks running at the outage of $OUTAGE_MILLIS ms:")
-        println("  differences: ${(lost - unrecorded).size} tasks lost, ${(unrecorded - lost).size} tasks of jobs without a record")
+        println("  differences: ${(lost - unregistered).size} tasks lost, ${(unregistered - lost).size} tasks of jobs without a record")
         println("  orders: ${started.size} starts, ${stopped.size} stops, ${byVerb["clear"].orEmpty().size} acknowledgements")
         println("  jobs done: ${cluster.world.jobs.values.count { it.told == "done" }} of 2; broken rules: ${cluster.world.broken}")
         assertEquals(emptyList<String>(), cluster.world.broken)
         assertEquals(2, cluster.world.jobs.values.count { it.told == "done" })
-        assertEquals(lost - unrecorded, started.toSet(), "started anew")
-        assertEquals(unrecorded - lost, stopped.toSet(), "stopped")
+        assertEquals(lost - unregistered, started.toSet(), "started anew")
+        assertEquals(unregistered - lost, stopped.toSet(), "stopped")
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/loopback/StandInServers.kt
+++ b/src/test/kotlin/linemast/loopback/StandInServers.kt
@@ -4,14 +4,14 @@
 import linemast.cloud.Cloud
 import linemast.cloud.CloudException
 import linemast.cloud.MachineTypeCodec
-import linemast.cloud.RentRequest
-import linemast.cloud.RentResult
+import linemast.cloud.ScaleOutRequest
+import linemast.cloud.ScaleOutResult
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
 import linemast.store.StoreException
 import linemast.store.WatchResult
 import linemast.store.Write
@@ -19,11 +19,11 @@
 import linemast.transport.HttpResponse
 
 /** The stand-in of the state service behind its protocol, as one controller reaches it. */
-internal class StoreServer(private val store: Store) {
+internal class StoreServer(private val store: KeyValueStore) {
     suspend fun answer(request: HttpRequest): HttpResponse = try {
         route(request)
     } catch (e: StoreException) {
-        if (e.mayHaveRun) awaitCancellation()
+        if (e.mayHaveExecuted) awaitCancellation()
         HttpResponse(503)
     }
 
@@ -41,24 +41,25 @@
         }
     }
 
-    private fun pair(item: Item) = mapOf("k" to item.key, "v" to item.value.map, "stamp" to item.version)
+    private fun pair(entry: Entry) = mapOf("k" to entry.key, "v" to entry.value.map, "stamp" to entry.revision)
 
     private suspend fun get(key: String): HttpResponse {
-        val item = store.get(key) ?: return HttpResponse.of(404, "era" to 0)
-        return HttpResponse(200, Cbor.encode(pair(item)))
+        val entry = store.get(key) ?: return HttpResponse.of(404, "era" to 0)
+        return HttpResponse(200, Cbor.encode(pair(entry)))
     }
 
     private suspend fun list(query: Map<String, String>): HttpResponse {
         val page = store.list(query.getValue("under"), query["after"])
-        return HttpResponse.of(200, "pairs" to page.items.map(::pair), "truncated" to page.truncated, "era" to page.revision)
+        return HttpResponse.of(200, "pairs" to page.entries.map(::pair), "truncated" to page.truncated, "era" to page.revision)
     }
 
     private suspend fun commit(body: Fields): HttpResponse {
-        val conditions = body.children("when").map { Condition(it.text("k"), it.long("stamp")) }
+        val preconditions = body.children("when").map { Precondition(it.text("k"), it.long("stamp")) }
         val writes = body.children("writes").map { write ->
-            write.textOrNull("drop")?.let { Write.Drop(it) } ?: Write.Put(write.text("put"), write.child("v").map, write.longOrNull("hold"))
+            write.textOrNull("drop")?.let { Write.Delete(it) }
+                ?: Write.Put(write.text("put"), write.child("v").map, write.longOrNull("hold"))
         }
-        return when (val result = store.commit(conditions, writes)) {
+        return when (val result = store.commit(preconditions, writes)) {
             is CommitResult.Applied -> HttpResponse.of(200, "era" to result.revision)
             is CommitResult.Conflict -> HttpResponse.of(409, "failed" to result.failed, "era" to 0)
             is CommitResult.NoSuchLease -> HttpResponse.of(400, "error" to "no such lease")
@@ -71,9 +72,9 @@
         val news = result.changes.map { change ->
             val value = change.value
             if (value == null) {
-                mapOf("drop" to change.key, "stamp" to change.version)
+                mapOf("drop" to change.key, "stamp" to change.revision)
             } else {
-                pair(Item(change.key, value, change.version))
+                pair(Entry(change.key, value, change.revision))
                     .let { it - "k" + ("put" to change.key) }
             }
         }
@@ -85,8 +86,8 @@
 internal class CloudServer(private val cloud: Cloud) {
     suspend fun answer(request: HttpRequest): HttpResponse = when {
         request.path == "/machine_types" -> HttpResponse(200, Cbor.encode(MachineTypeCodec.encode(cloud.types())))
-        request.path == "/machines/return" -> giveBack(Cbor.decodeMap(request.body).textsOrNull("rigs")!!)
-        request.method == "POST" -> rent(Cbor.decodeMap(request.body))
+        request.path == "/machines/return" -> scaleIn(Cbor.decodeMap(request.body).textsOrNull("rigs")!!)
+        request.method == "POST" -> scaleOut(Cbor.decodeMap(request.body))
         else -> list()
     }
 
@@ -105,18 +106,18 @@
         return HttpResponse.of(200, "rigs" to rigs, "truncated" to false)
     }
 
-    private suspend fun rent(body: Fields): HttpResponse {
+    private suspend fun scaleOut(body: Fields): HttpResponse {
         val request =
-            RentRequest(body.text("charter"), body.text("build"), body.text("yard"), body.flag("loaners"), body.long("number").toInt())
-        return when (val result = cloud.rent(request)) {
-            is RentResult.Rented -> HttpResponse.of(200, "rigs" to result.names)
-            RentResult.NoCapacity -> HttpResponse.of(503, "error" to "no capacity")
-            RentResult.Unknown -> HttpResponse.of(503, "error" to "trouble")
+            ScaleOutRequest(body.text("charter"), body.text("build"), body.text("yard"), body.flag("loaners"), body.long("number").toInt())
+        return when (val result = cloud.scaleOut(request)) {
+            is ScaleOutResult.Rented -> HttpResponse.of(200, "rigs" to result.names)
+            ScaleOutResult.NoCapacity -> HttpResponse.of(503, "error" to "no capacity")
+            ScaleOutResult.Unknown -> HttpResponse.of(503, "error" to "trouble")
         }
     }
 
-    private suspend fun giveBack(names: List<String>): HttpResponse = try {
-        cloud.giveBack(names)
+    private suspend fun scaleIn(names: List<String>): HttpResponse = try {
+        cloud.scaleIn(names)
         HttpResponse.of(200)
     } catch (e: CloudException) {
         HttpResponse.of(503, "error" to "trouble")
--- a/src/test/kotlin/linemast/peers/PeerViewTest.kt
+++ b/src/test/kotlin/linemast/peers/PeerViewTest.kt
@@ -16,20 +16,20 @@
     @Test
     fun `what a peer said last counts, while it is fresh`() {
         view.heard(frame("mast-1", storeWorks = true))
-        assertTrue(view.storeWorksElsewhere && view.hearsAny)
+        assertTrue(view.storeWorksElsewhere && view.hasReachablePeer)
         now += 1_000_000
         view.heard(frame("mast-1", storeWorks = false))
         assertFalse(view.storeWorksElsewhere)
         view.heard(frame("mast-2", storeWorks = true, workersAsk = true))
         assertTrue(view.storeWorksElsewhere && view.workersAskElsewhere)
         now += 4_000_000
-        assertFalse(view.storeWorksElsewhere || view.workersAskElsewhere || view.hearsAny)
+        assertFalse(view.storeWorksElsewhere || view.workersAskElsewhere || view.hasReachablePeer)
     }
 
     @Test
     fun `progress comes from the leader with the highest fencing token`() {
-        view.heard(frame("mast-1", fencingToken = 4, leads = true, done = 7))
-        view.heard(frame("mast-2", fencingToken = 3, leads = true, done = 1))
+        view.heard(frame("mast-1", fencingToken = 4, isLeader = true, done = 7))
+        view.heard(frame("mast-2", fencingToken = 3, isLeader = true, done = 1))
         assertEquals(7, view.progressOf("req-1")?.done)
         now += 6_000_000
         assertNull(view.progressOf("req-1"))
@@ -38,9 +38,9 @@
     private fun frame(
         node: String,
         fencingToken: Long = 1,
-        leads: Boolean = false,
+        isLeader: Boolean = false,
         storeWorks: Boolean = false,
         workersAsk: Boolean = false,
         done: Int = 0,
-    ) = PeerFrame(node, fencingToken, leads, storeWorks, workersAsk, mapOf("req-1" to JobProgress(done, 0)))
+    ) = PeerFrame(node, fencingToken, isLeader, storeWorks, workersAsk, mapOf("req-1" to JobProgress(done, 0)))
 }
--- a/src/test/kotlin/linemast/planning/PlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/PlannerTest.kt
@@ -1,9 +1,9 @@
 package linemast.planning
 
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
 import linemast.domain.Placement
 import linemast.domain.TaskId
 import linemast.settings.Policy
@@ -35,22 +35,22 @@
             }
             val plan = plan(job, machines)
             val tasks = job.spec.taskCount.toDouble()
-            assertTrue(plan.owned.all { it >= 0 } && plan.rented.all { it >= -1e-6 })
-            assertEquals(tasks, plan.owned.sum() + plan.rented.sum(), tasks * 1e-6 + 1e-6, "all tasks are planned, once")
+            assertTrue(plan.baseline.all { it >= 0 } && plan.rented.all { it >= -1e-6 })
+            assertEquals(tasks, plan.baseline.sum() + plan.rented.sum(), tasks * 1e-6 + 1e-6, "all tasks are planned, once")
             if (machines.isEmpty()) assertEquals(tasks, plan.rented.sum(), 1e-6, "with no owned room all is rented")
             // Nothing is planned into intervals that end after the deadline, but for the first.
             val due = job.spec.deadlineMicros ?: 0L
-            for (i in 1 until plan.owned.size) {
-                if (i * 60_000_000L + plan.taskMicros > due) assertEquals(0.0, plan.owned[i] + plan.rented[i], 1e-9)
+            for (i in 1 until plan.baseline.size) {
+                if (i * 60_000_000L + plan.taskMicros > due) assertEquals(0.0, plan.baseline[i] + plan.rented[i], 1e-9)
             }
         }
     }
 
     @Test
-    fun `owned targets stand in proportion to free room when that suffices`() {
+    fun `baseline targets stand in proportion to free room when that suffices`() {
         val machine = Machine("host-1", type, "z", false)
         val plan = plan(job("req-1", 12, estimateS = 30, deadlineS = 180), listOf(machine))
-        assertEquals(listOf(4.0, 4.0, 4.0), plan.owned.take(3))
+        assertEquals(listOf(4.0, 4.0, 4.0), plan.baseline.take(3))
         assertEquals(0.0, plan.rented.sum(), 1e-9)
     }
 
@@ -107,7 +107,7 @@
 
     private fun job(id: String, taskCount: Int, estimateS: Int, deadlineS: Int): Job {
         val spec = testSpec(id, "pieces" to taskCount, "guess_s" to estimateS, "due_s" to deadlineS)
-        return Job(OpenRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
+        return Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
     }
 
     private val settings = testSettings()
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -1,9 +1,9 @@
 package linemast.planning
 
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
 import linemast.settings.Policy
 import linemast.testSettings
 import linemast.testSpec
@@ -32,8 +32,8 @@
         val slow = stage(2, 40, setOf(1), startsInS = 70, estimateS = 20, deadlineS = 400)
         planner.plan(emptyList(), machines, true, { 0L }, 0L, 0L, stages = listOf(slow))
         val alone = requireNotNull(planner.planOf(slow.job))
-        assertEquals(0.0, alone.owned[0], 1e-9, "nothing before it can start")
-        assertEquals(40.0, alone.owned.sum() + alone.rented.sum(), 1e-6, "all tasks are planned, once")
+        assertEquals(0.0, alone.baseline[0], 1e-9, "nothing before it can start")
+        assertEquals(40.0, alone.baseline.sum() + alone.rented.sum(), 1e-6, "all tasks are planned, once")
         val first = stage(2, 200, setOf(1), startsInS = 0, estimateS = 20, deadlineS = 60)
         val child = stage(3, 40, setOf(2), startsInS = 70, estimateS = 20, deadlineS = 400)
         val other = planner()
@@ -68,8 +68,8 @@
                 val one = requireNotNull(without.planOf(job))
                 val other = requireNotNull(with.planOf(job))
                 assertEquals(
-                    one.owned.toList() + one.rented.toList() + one.rentedSlots,
-                    other.owned.toList() + other.rented.toList() + other.rentedSlots,
+                    one.baseline.toList() + one.rented.toList() + one.rentedSlots,
+                    other.baseline.toList() + other.rented.toList() + other.rentedSlots,
                 )
             }
         }
@@ -94,12 +94,12 @@
     @Test
     fun `a deadline counts from the submission, the wait from the release`() {
         val spec = testSpec("req-1", "due_s" to 100.0, "awaits" to listOf("req-0"))
-        val record = OpenRecord(spec, 5_000_000, opened = false, cancelled = false).released(80_000_000)
+        val record = JobRecord(spec, 5_000_000, opened = false, cancelled = false).released(80_000_000)
         val job = Job(record, 1, inherited = false)
         assertEquals(105_000_000, planner().deadlineWallMicros(job))
         assertEquals(80_000_000, job.readyWallMicros)
         val withoutDeadline =
-            Job(OpenRecord(spec.copy(deadlineMicros = null), 5_000_000, false, false).released(80_000_000), 1, inherited = false)
+            Job(JobRecord(spec.copy(deadlineMicros = null), 5_000_000, false, false).released(80_000_000), 1, inherited = false)
         assertTrue(planner().deadlineWallMicros(withoutDeadline) > 80_000_000, "planned as if due some time after it could start")
     }
 
@@ -110,6 +110,6 @@
 
     private fun job(id: Int, tasks: Int, estimateS: Int, deadlineS: Int): Job {
         val spec = testSpec("req-$id", "pieces" to tasks, "guess_s" to estimateS, "due_s" to deadlineS)
-        return Job(OpenRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
+        return Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
     }
 }
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -20,7 +20,7 @@
         val commands: List<Command>,
         /** Tasks and results that were lost with their machines or with the lease of a worker. */
         val lost: Set<String>,
-        val unrecorded: Set<String>,
+        val unregistered: Set<String>,
         val damaged: SimJob?,
         val completedBefore: Int,
     ) {
@@ -40,11 +40,11 @@
     private fun play(seed: Int, enabled: Boolean, outageMillis: Long, damages: Boolean, ordersPerSecond: Double = 200.0): Outcome {
         val commands = ArrayList<Command>()
         var lost = emptySet<String>()
-        var unrecorded = emptySet<String>()
+        var unregistered = emptySet<String>()
         var damaged: SimJob? = null
         var completedBefore = 0
         val features = Features(recovery = RecoverySettings(ordersPerSecond).takeIf { enabled })
-        val world = simulate(seed, size = 50, standing = 300, features = features) { world ->
+        val world = simulate(seed, size = 50, baselineMachines = 300, features = features) { world ->
             repeat(4) { world.user(array(it + 1, runMicros = 35_000_000), null) }
             repeat(10) { world.user(gang(it + 100), null) }
             delay(28_000)
@@ -57,7 +57,7 @@
             silent.take(6).forEach { it.mute = true }
             silent.drop(6).forEach { world.removeMachine(it.name) }
             val idle = plain.filter { it.tasks.isEmpty() && it.name in world.workers }.take(8)
-            unrecorded = idle.mapIndexedTo(HashSet()) { at, machine ->
+            unregistered = idle.mapIndexedTo(HashSet()) { at, machine ->
                 val job = SimJob("req-99000$at", "north", 1, 1.0, false, false, false, true, 300_000_000)
                 world.jobs[job.id] = job
                 machine.inject(job)
@@ -72,12 +72,12 @@
             repeat(3) { world.startNode(it) }
             delay(100_000)
         }
-        return Outcome(world, commands, lost, unrecorded, damaged, completedBefore)
+        return Outcome(world, commands, lost, unregistered, damaged, completedBefore)
     }
 
     private fun println(outcome: Outcome) = println(
         "orders: ${outcome.tasks("start").size} start, ${outcome.tasks("halt").size} halt, ${outcome.tasks("clear").size} clear; " +
-            "differences: ${outcome.lost.size} lost, ${outcome.unrecorded.size} unrecorded",
+            "differences: ${outcome.lost.size} lost, ${outcome.unregistered.size} unrecorded",
     )
 
     private fun checkAllEnded(outcome: Outcome) {
@@ -93,14 +93,14 @@
         val outcome = play(seed = 71, enabled = true, outageMillis = 3_000, damages = false)
         println(outcome)
         checkAllEnded(outcome)
-        assertEquals(outcome.unrecorded - outcome.lost, outcome.tasks("halt").toSet(), "nothing else is stopped")
-        assertEquals(outcome.lost - outcome.unrecorded, outcome.tasks("start").toSet(), "nothing else is started anew")
-        assertTrue(outcome.unrecorded.any { it !in outcome.lost })
+        assertEquals(outcome.unregistered - outcome.lost, outcome.tasks("halt").toSet(), "nothing else is stopped")
+        assertEquals(outcome.lost - outcome.unregistered, outcome.tasks("start").toSet(), "nothing else is started anew")
+        assertTrue(outcome.unregistered.any { it !in outcome.lost })
         assertTrue(outcome.tasks("start").size <= outcome.lost.size * 11 / 10, "${outcome.tasks("start").size} starts")
-        assertTrue(outcome.tasks("halt").size <= outcome.unrecorded.size * 3, "${outcome.tasks("halt").size} stops")
+        assertTrue(outcome.tasks("halt").size <= outcome.unregistered.size * 3, "${outcome.tasks("halt").size} stops")
         val record = outcome.world.store.valueOf("recovery")
         val listed = record?.children("jobs")?.associate { it.text("job") to it.text("standing") }
-        assertEquals((outcome.unrecorded - outcome.lost).associate { it.substringBefore('/') to "unrecorded" }, listed)
+        assertEquals((outcome.unregistered - outcome.lost).associate { it.substringBefore('/') to "unrecorded" }, listed)
     }
 
     @Test
--- a/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
+++ b/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
@@ -1,8 +1,8 @@
 package linemast.recovery
 
+import linemast.domain.JobOutcome
 import linemast.domain.TaskAttempt
 import linemast.domain.TaskId
-import linemast.domain.Verdict
 import linemast.serialization.MalformedException
 import linemast.settings.RecoverySettings
 import linemast.settings.SettingsReader
@@ -21,25 +21,29 @@
         val random = Random(61)
         repeat(500) { round ->
             val jobs = UnknownJobs(confirmMicros = 1_000_000, patienceMicros = 3_000_000)
-            val truth = listOf(VerdictAnswer.Absent, VerdictAnswer.Found(Verdict.OPEN), VerdictAnswer.Found(Verdict.DONE)).random(random)
+            val truth = listOf(
+                OutcomeLookup.Absent,
+                OutcomeLookup.Found(JobOutcome.OPEN),
+                OutcomeLookup.Found(JobOutcome.DONE),
+            ).random(random)
             var now = 0L
             val absences = ArrayList<Long>()
             var answered = false
             while (now < 6_000_000) {
-                val standing = jobs.reported("req-1", now)
-                when (standing) {
-                    JobStanding.UNDECIDED -> assertTrue(now <= 3_000_000)
-                    JobStanding.OVER -> assertTrue(answered && truth == VerdictAnswer.Found(Verdict.DONE), "round $round")
-                    JobStanding.INCONSISTENT -> assertTrue(answered && truth == VerdictAnswer.Found(Verdict.OPEN), "round $round")
-                    JobStanding.UNRECORDED -> assertTrue(absences.last() - absences.first() >= 1_000_000, "round $round")
-                    JobStanding.UNKNOWN -> assertTrue(now > 3_000_000)
+                val state = jobs.reported("req-1", now)
+                when (state) {
+                    UnknownJobState.UNDECIDED -> assertTrue(now <= 3_000_000)
+                    UnknownJobState.OVER -> assertTrue(answered && truth == OutcomeLookup.Found(JobOutcome.DONE), "round $round")
+                    UnknownJobState.INCONSISTENT -> assertTrue(answered && truth == OutcomeLookup.Found(JobOutcome.OPEN), "round $round")
+                    UnknownJobState.UNRECORDED -> assertTrue(absences.last() - absences.first() >= 1_000_000, "round $round")
+                    UnknownJobState.UNKNOWN -> assertTrue(now > 3_000_000)
                 }
                 for (job in jobs.toAsk(now)) {
                     assertTrue(jobs.toAsk(now).isEmpty(), "asked for once at a time")
                     now += random.nextLong(200_000)
-                    val answer = if (random.nextInt(3) == 0) VerdictAnswer.NoAnswer else truth
-                    if (answer == VerdictAnswer.Absent) absences += now
-                    if (answer is VerdictAnswer.Found) answered = true
+                    val answer = if (random.nextInt(3) == 0) OutcomeLookup.NoAnswer else truth
+                    if (answer == OutcomeLookup.Absent) absences += now
+                    if (answer is OutcomeLookup.Found) answered = true
                     jobs.answered(job, answer, now)
                 }
                 now += random.nextLong(1, 300_000)
@@ -52,10 +56,10 @@
     fun `what was decided stays so`() {
         val jobs = UnknownJobs(1, 10)
         jobs.reported("req-1", 0)
-        jobs.answered("req-1", VerdictAnswer.Found(Verdict.OPEN), 1)
-        jobs.answered("req-1", VerdictAnswer.Absent, 2)
-        jobs.answered("req-1", VerdictAnswer.Absent, 5)
-        assertEquals(JobStanding.INCONSISTENT, jobs.reported("req-1", 1_000))
+        jobs.answered("req-1", OutcomeLookup.Found(JobOutcome.OPEN), 1)
+        jobs.answered("req-1", OutcomeLookup.Absent, 2)
+        jobs.answered("req-1", OutcomeLookup.Absent, 5)
+        assertEquals(UnknownJobState.INCONSISTENT, jobs.reported("req-1", 1_000))
     }
 
     @Test
@@ -64,17 +68,17 @@
         val sent = (0L until 5_000_000L step 10_000).count { recovery.mayOrder(it) }
         assertTrue(sent in 50..61, "$sent in 5 s")
         repeat(3) { recovery.foundUnknown(TaskAttempt(TaskId("req-1", 0), 1)) }
-        assertEquals(1, recovery.ledger.count(RecoveryLedger.Difference.UNKNOWN))
+        assertEquals(1, recovery.ledger.count(RecoveryStatistics.Difference.UNKNOWN))
         assertFalse(recovery.mayDiscard("req-1", 0))
-        assertFalse(recovery.step(isSettled = true, 5_000_000), "a job is undecided")
+        assertFalse(recovery.step(isReconciled = true, 5_000_000), "a job is undecided")
         recovery.unknownJobs.toAsk(0)
-        recovery.unknownJobs.answered("req-1", VerdictAnswer.Found(Verdict.CANCELLED), 1)
+        recovery.unknownJobs.answered("req-1", OutcomeLookup.Found(JobOutcome.CANCELLED), 1)
         assertTrue(recovery.mayDiscard("req-1", 1))
-        assertFalse(recovery.step(isSettled = false, 6_000_000))
-        assertFalse(recovery.step(isSettled = true, 6_000_000), "what has to be started anew is still to come")
+        assertFalse(recovery.step(isReconciled = false, 6_000_000))
+        assertFalse(recovery.step(isReconciled = true, 6_000_000), "what has to be started anew is still to come")
         assertFalse((1..100).all { recovery.mayOrder(8_000_000) })
-        assertFalse(recovery.step(isSettled = true, 10_000_000), "orders were held back 2 s ago")
-        assertTrue(recovery.step(isSettled = true, 11_000_000))
+        assertFalse(recovery.step(isReconciled = true, 10_000_000), "orders were held back 2 s ago")
+        assertTrue(recovery.step(isReconciled = true, 11_000_000))
         assertEquals(100, (1..100).count { recovery.mayOrder(11_000_000) })
     }
 
--- a/src/test/kotlin/linemast/scheduling/UsableMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -1,10 +1,10 @@
 package linemast.scheduling
 
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.JobSpec
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
 import linemast.domain.Placement
 import linemast.domain.TaskId
 import linemast.testSpec
@@ -14,7 +14,7 @@
 import kotlin.random.Random
 
 /** Led by sorts and free room, a job gets the machines that looking through the whole fleet would give it. */
-class UsableMachinesTest {
+class CandidateMachinesTest {
     private val types = listOf(
         MachineType("small", 4.0, 0.0, 16.0, 10.0, 1.0, 0.4, 0.1, 30_000_000, listOf("a", "b")),
         MachineType("middle", 16.0, 0.0, 64.0, 10.0, 1.0, 1.5, 0.5, 30_000_000, listOf("a", "b")),
@@ -31,7 +31,7 @@
             val jobs = List(8) { job(it, random) }
             val scarce = ScarceTypes().apply { learn(jobs.map { it.spec }, types, 0L) }
             val machines = List(random.nextInt(1, 60)) { machine(it, jobs, random) }
-            val usable = UsableMachines(machines, scarce, ::turn)
+            val usable = CandidateMachines(machines, scarce, ::turn)
             for (job in jobs) {
                 val plain = plainly(job, machines, scarce)
                 assertEquals(
@@ -61,10 +61,10 @@
             compareBy(
                 { it.reservedFor !== job },
                 { it.reservedFor !== job && scarce.of(it.type, it.spot, job.spec).isScarce },
-                { it.reservedFor !== job && job.guaranteed && job.spec.image !in it.images },
-                { if (it.reservedFor !== job && job.guaranteed) turn(it) else 0 },
-                { it.reservedFor !== job && !it.owned },
-                { if (it.reservedFor === job || it.owned) 0.0 else it.pricePerVcpu },
+                { it.reservedFor !== job && job.withinQuota && job.spec.image !in it.images },
+                { if (it.reservedFor !== job && job.withinQuota) turn(it) else 0 },
+                { it.reservedFor !== job && !it.baseline },
+                { if (it.reservedFor === job || it.baseline) 0.0 else it.pricePerVcpu },
                 { if (it.reservedFor === job) 0.0 else it.type.vcpus + it.type.gpus * 16 },
                 { it.reservedFor !== job && job.spec.image !in it.images },
                 { if (it.reservedFor === job) 0.0 else it.freeVcpus },
@@ -79,7 +79,7 @@
 
     private fun machine(number: Int, jobs: List<Job>, random: Random): Machine {
         val machine = Machine("host-%06d".format(number), types.random(random), listOf("a", "b").random(random), random.nextBoolean())
-        machine.owned = !machine.spot && random.nextBoolean()
+        machine.baseline = !machine.spot && random.nextBoolean()
         repeat(random.nextInt(4)) { machine.images += "img-${random.nextInt(3)}" }
         repeat(random.nextInt(6)) { at ->
             val job = jobs.random(random)
@@ -98,8 +98,8 @@
             "bundle" to "img-${random.nextInt(3)}", "yard" to listOf(null, "a", "b")[random.nextInt(3)],
             "loaners" to random.nextBoolean(), "guess_s" to 10.0, "due_s" to 100.0,
         )
-        return Job(OpenRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false).also {
-            it.guaranteed =
+        return Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false).also {
+            it.withinQuota =
                 random.nextBoolean()
         }
     }
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -2,14 +2,14 @@
 
 import linemast.domain.Command
 import linemast.domain.EndCause
+import linemast.domain.Heartbeat
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
-import linemast.domain.Report
 import linemast.domain.TaskId
-import linemast.domain.TaskReport
 import linemast.domain.TaskState
+import linemast.domain.TaskStatus
 import linemast.planning.Planner
 import linemast.planning.TaskTimes
 import linemast.settings.Policy
@@ -21,14 +21,14 @@
     val fencingToken: Long = 5,
     teams: String = TEAM,
     recorded: List<String> = emptyList(),
-    open: List<OpenRecord> = emptyList(),
+    open: List<JobRecord> = emptyList(),
 ) {
     var now = 1_000_000L
     val droppedMachines = ArrayList<String>()
     private val settings = testSettings(teams)
     val workers get() = settings.workers
     private val times = TaskTimes()
-    private val effects = object : Effects {
+    private val effects = object : ClusterEffects {
         override fun storeOpened(job: Job) {
             job.opened = Job.Opened.YES
         }
@@ -38,7 +38,7 @@
             if (job.isDone) cluster.finish(job)
         }
 
-        override fun storeMachines(machines: List<Machine>) = machines.forEach { it.onRecord = true }
+        override fun storeMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
 
         override fun dropMachines(names: List<String>) {
             droppedMachines += names
@@ -55,11 +55,11 @@
     }
 
     fun submit(id: String, taskCount: Int, gang: Boolean = false, vcpus: Double = 1.0, team: String = "team"): Job {
-        cluster.putJob(OpenRecord(spec(id, taskCount, gang, vcpus, team), now, opened = false, cancelled = false), 1)
+        cluster.putJob(JobRecord(spec(id, taskCount, gang, vcpus, team), now, opened = false, cancelled = false), 1)
         return cluster.jobs.getValue(id)
     }
 
-    fun report(report: Report): List<Command> = cluster.report(report, now).orEmpty()
+    fun heartbeat(heartbeat: Heartbeat): List<Command> = cluster.heartbeat(heartbeat, now).orEmpty()
 
     /** Time passes, with the leader's regular work. */
     fun pass(micros: Long) {
@@ -89,15 +89,15 @@
 
 /** A worker that does what it is told, if the answer reaches it. */
 internal class HandWorker(private val fixture: ClusterFixture, val name: String) {
-    var session = 1L
-    var sequence = 0L
+    var incarnation = 1L
+    var sequenceNumber = 0L
     var fencingToken = 0L
     val tasks = LinkedHashMap<Pair<TaskId, Long>, TaskState>()
 
-    fun makeReport(): Report = Report(
-        name, "", ClusterFixture.TYPE.name, "z", false, session, ++sequence, fencingToken, null,
+    fun makeReport(): Heartbeat = Heartbeat(
+        name, "", ClusterFixture.TYPE.name, "z", false, incarnation, ++sequenceNumber, fencingToken, null,
         tasks.map { (key, status) ->
-            TaskReport(
+            TaskStatus(
                 key.first,
                 key.second,
                 status,
@@ -113,8 +113,8 @@
         },
     )
 
-    fun report(answered: Boolean = true): List<Command> {
-        val commands = fixture.report(makeReport())
+    fun heartbeat(answered: Boolean = true): List<Command> {
+        val commands = fixture.heartbeat(makeReport())
         if (!answered) return commands
         fencingToken = fixture.fencingToken
         for (order in commands) {
@@ -131,6 +131,6 @@
     /** Reports once a second for [seconds]. */
     fun reportFor(seconds: Int, answered: Boolean = true): List<Command> = (1..seconds).flatMap {
         fixture.pass(1_000_000)
-        report(answered)
+        heartbeat(answered)
     }
 }
--- a/src/test/kotlin/linemast/scheduling/ClusterTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterTest.kt
@@ -1,8 +1,8 @@
 package linemast.scheduling
 
 import linemast.domain.Command
-import linemast.domain.OpenRecord
-import linemast.domain.Report
+import linemast.domain.Heartbeat
+import linemast.domain.JobRecord
 import linemast.domain.TaskId
 import linemast.domain.TaskState
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -15,7 +15,7 @@
 class ClusterTest {
     /** Two clusters hear the same worker; one also gets copies of its reports, up to several leases late. */
     @Test
-    fun `late copies of reports change nothing`() {
+    fun `late copies of heartbeats change nothing`() {
         val seed = 11
         println("seed $seed")
         repeat(20) { round ->
@@ -23,16 +23,16 @@
             val fixture = ClusterFixture()
             val worker = HandWorker(fixture, "host-000001")
             fixture.submit("req-1", 40)
-            val sent = ArrayList<Report>()
+            val sent = ArrayList<Heartbeat>()
             repeat(40) {
                 fixture.pass(1_000_000)
                 if (random.nextInt(3) == 0) worker.tasks.keys.randomOrNull(random)?.let { worker.tasks[it] = TaskState.ENDED }
-                worker.report()
-                sent += worker.makeReport().also { worker.sequence-- }
+                worker.heartbeat()
+                sent += worker.makeReport().also { worker.sequenceNumber-- }
                 val before = state(fixture)
                 repeat(random.nextInt(3)) {
                     val copy = sent[random.nextInt(sent.size)]
-                    if (copy.sequence < worker.sequence) assertEquals(emptyList<Command>(), fixture.report(copy))
+                    if (copy.sequenceNumber < worker.sequenceNumber) assertEquals(emptyList<Command>(), fixture.heartbeat(copy))
                 }
                 assertEquals(before, state(fixture))
             }
@@ -42,17 +42,17 @@
     private fun state(fixture: ClusterFixture) = fixture.cluster.machines.values.map { machine ->
         listOf(
             machine.name,
-            machine.session,
-            machine.sequence,
+            machine.incarnation,
+            machine.sequenceNumber,
             machine.fencingToken,
-            machine.reportedMicros,
+            machine.lastHeartbeatMicros,
             machine.leaseEndMicros,
             machine.placements.keys.toList(),
         )
     } to fixture.cluster.jobs.values.map { it.doneCount to it.pendingCount }
 
     @Test
-    fun `no start leaves before the worker shows this fencing token and hears its answers`() {
+    fun `no start leaves before the worker shows this fencing token and acknowledges responses`() {
         val fixture = ClusterFixture()
         val worker = HandWorker(fixture, "host-000001")
         fixture.submit("req-1", 4)
@@ -61,12 +61,12 @@
         worker.fencingToken = fixture.fencingToken
         fixture.pass(10_000_000)
         // The first report after a silence may come from a worker that no answer reaches.
-        assertEquals(emptyList<Command>(), worker.report())
+        assertEquals(emptyList<Command>(), worker.heartbeat())
         assertEquals(4, worker.reportFor(2).count { it is Command.Start })
         // Chosen while it heard, but not sent before it fell silent.
         fixture.submit("req-2", 4)
         fixture.pass(6_000_000)
-        assertEquals(0, worker.report().count { it is Command.Start })
+        assertEquals(0, worker.heartbeat().count { it is Command.Start })
     }
 
     @Test
@@ -80,16 +80,16 @@
         // Its reports get through every five seconds, no answer does: its lease ends and it begins a new session.
         repeat(2) {
             other.reportFor(5)
-            assertFalse(deaf.report(answered = false).any { it is Command.Start })
+            assertFalse(deaf.heartbeat(answered = false).any { it is Command.Start })
             assertEquals(0, other.tasks.size, "they may still run on the first machine")
         }
-        deaf.session++
+        deaf.incarnation++
         deaf.tasks.clear()
         other.reportFor(1)
-        assertFalse(deaf.report(answered = false).any { it is Command.Start })
+        assertFalse(deaf.heartbeat(answered = false).any { it is Command.Start })
         other.reportFor(3)
         assertEquals(8, other.tasks.size)
-        assertTrue(fixture.cluster.machines.getValue(deaf.name).deafSinceMicros > 0)
+        assertTrue(fixture.cluster.machines.getValue(deaf.name).unacknowledgedSinceMicros > 0)
     }
 
     @Test
@@ -99,7 +99,7 @@
         worker.reportFor(3)
         val copy = worker.makeReport()
         fixture.cluster.returned(listOf(worker.name))
-        assertEquals(emptyList<Command>(), fixture.report(copy))
+        assertEquals(emptyList<Command>(), fixture.heartbeat(copy))
         assertFalse(worker.name in fixture.cluster.machines)
     }
 
@@ -111,13 +111,13 @@
         worker.reportFor(6)
         assertEquals(4, worker.tasks.size)
         val machine = fixture.cluster.machines.getValue(worker.name)
-        val old = worker.makeReport().also(fixture::report)
-        worker.sequence = 0
+        val old = worker.makeReport().also(fixture::heartbeat)
+        worker.sequenceNumber = 0
         worker.tasks.clear()
         worker.reportFor(2)
         assertEquals(4, machine.placements.size, "within the lease the earlier worker may still run them")
         fixture.pass(12_000_000)
-        fixture.report(old)
+        fixture.heartbeat(old)
         worker.reportFor(5)
         assertEquals(4, worker.tasks.size)
     }
@@ -130,18 +130,18 @@
     fun `a late copy from before a worker began from the start does not end its new tasks`() {
         for (sessions in listOf(1L, 3L)) {
             val fixture = ClusterFixture()
-            val worker = HandWorker(fixture, "host-000001").apply { session = sessions }
+            val worker = HandWorker(fixture, "host-000001").apply { incarnation = sessions }
             worker.reportFor(60)
             val copy = worker.makeReport()
-            worker.session = 1
-            worker.sequence = 0
+            worker.incarnation = 1
+            worker.sequenceNumber = 0
             worker.fencingToken = 0
             worker.reportFor(30)
             fixture.submit("req-1", 8)
             worker.reportFor(5)
             assertEquals(8, worker.tasks.size)
             val machine = fixture.cluster.machines.getValue(worker.name)
-            assertNull(fixture.cluster.report(copy, fixture.now))
+            assertNull(fixture.cluster.heartbeat(copy, fixture.now))
             assertEquals(8, machine.placements.size)
             worker.reportFor(2)
             assertEquals(8, machine.placements.size)
@@ -150,23 +150,23 @@
 
     /** A worker that looks like an older one may hold tasks: an answer would renew a lease that the leader's records do not count. */
     @Test
-    fun `a report that does not count gets no answer`() {
+    fun `a heartbeat that does not count gets no answer`() {
         val fixture = ClusterFixture()
         val worker = HandWorker(fixture, "host-000001")
         worker.reportFor(6)
-        worker.sequence = 0
-        assertNull(fixture.cluster.report(worker.makeReport(), fixture.now))
+        worker.sequenceNumber = 0
+        assertNull(fixture.cluster.heartbeat(worker.makeReport(), fixture.now))
     }
 
     /** A copy of a report to an earlier leader must not count as proof that the machine has heard of this one. */
     @Test
     fun `after a take-over opened jobs wait for machines that can hold their tasks, and for no late copy`() {
-        val opened = OpenRecord(ClusterFixture.spec("req-1", 4), 0, opened = true, cancelled = false)
+        val opened = JobRecord(ClusterFixture.spec("req-1", 4), 0, opened = true, cancelled = false)
         val fixture = ClusterFixture(recorded = listOf("host-000001", "host-000002"), open = listOf(opened))
         val here = HandWorker(fixture, "host-000001")
         val silent = HandWorker(fixture, "host-000002").apply { fencingToken = 4 }
         here.reportFor(2)
-        fixture.report(silent.makeReport())
+        fixture.heartbeat(silent.makeReport())
         here.reportFor(3)
         assertEquals(0, here.tasks.size)
         fixture.pass(ClusterFixture.GRACE_MICROS)
@@ -179,23 +179,23 @@
     /** Spot machines are taken without notice all the time: each take-over waited for a lease because of them. */
     @Test
     fun `a machine that most others of its zone outlive is confirmed gone at a take-over, and ends the wait`() {
-        val opened = OpenRecord(ClusterFixture.spec("req-1", 4), 0, opened = true, cancelled = false)
+        val opened = JobRecord(ClusterFixture.spec("req-1", 4), 0, opened = true, cancelled = false)
         val names = List(5) { "host-00000$it" }
         val fixture = ClusterFixture(recorded = names, open = listOf(opened))
         val workers = names.take(4).map { HandWorker(fixture, it) }
-        fun report(seconds: Int, who: List<HandWorker>) = repeat(seconds) {
+        fun heartbeat(seconds: Int, who: List<HandWorker>) = repeat(seconds) {
             fixture.pass(1_000_000)
-            who.forEach { it.report() }
+            who.forEach { it.heartbeat() }
         }
-        report(5, workers.take(2))
-        assertEquals(emptySet<String>(), fixture.cluster.takeover.zonesMostlyHeard(), "a zone may be cut off")
-        report(2, workers)
-        assertEquals(setOf("z"), fixture.cluster.takeover.zonesMostlyHeard())
-        assertEquals(listOf("host-000004"), fixture.cluster.takeover.absentMachines(fixture.now).map { it.name })
-        assertFalse(fixture.cluster.settled)
+        heartbeat(5, workers.take(2))
+        assertEquals(emptySet<String>(), fixture.cluster.failover.zonesMostlyReporting(), "a zone may be cut off")
+        heartbeat(2, workers)
+        assertEquals(setOf("z"), fixture.cluster.failover.zonesMostlyReporting())
+        assertEquals(listOf("host-000004"), fixture.cluster.failover.missingMachines(fixture.now).map { it.name })
+        assertFalse(fixture.cluster.isReconciled)
         fixture.cluster.returned(listOf("host-000004"))
-        report(2, workers)
-        assertTrue(fixture.cluster.settled)
+        heartbeat(2, workers)
+        assertTrue(fixture.cluster.isReconciled)
         assertEquals(4, workers.sumOf { it.tasks.size })
     }
 
@@ -206,16 +206,16 @@
         val worker = HandWorker(fixture, "host-000001")
         worker.reportFor(3)
         val machine = fixture.cluster.machines.getValue(worker.name)
-        assertTrue(machine.onRecord)
+        assertTrue(machine.isRegistered)
         fixture.pass(10_000_000)
-        assertTrue(machine.onRecord, "its lease may still run")
+        assertTrue(machine.isRegistered, "its lease may still run")
         fixture.pass(2_000_000)
-        assertFalse(machine.onRecord)
+        assertFalse(machine.isRegistered)
         assertEquals(listOf(worker.name), fixture.droppedMachines)
         fixture.submit("req-1", 4)
-        worker.session++
+        worker.incarnation++
         worker.reportFor(2)
-        assertTrue(machine.onRecord)
+        assertTrue(machine.isRegistered)
         worker.reportFor(2)
         assertEquals(4, worker.tasks.size)
     }
@@ -248,7 +248,7 @@
             fixture.pass(1_000_000)
             seconds++
             workers.forEach { worker ->
-                worker.report()
+                worker.heartbeat()
                 // Staggered ends: never both machines free by chance.
                 val ends = worker.tasks.keys.filterIndexed { at, key ->
                     worker.tasks[key] == TaskState.RUNNING && (at + seconds) % 9 == 0
@@ -265,28 +265,28 @@
     fun `a gang that can begin in time goes before one that is late, and the late one before it starves`() {
         val fixture = ClusterFixture()
         val workers = List(2) { HandWorker(fixture, "host-00000$it") }
-        fun report(seconds: Int) = repeat(seconds) {
+        fun heartbeat(seconds: Int) = repeat(seconds) {
             fixture.pass(1_000_000)
-            workers.forEach { it.report() }
+            workers.forEach { it.heartbeat() }
         }
         fun end() = workers.forEach { worker -> worker.tasks.keys.forEach { worker.tasks[it] = TaskState.ENDED } }
         fun running() = workers.flatMap { worker -> worker.tasks.keys.map { it.first.job } }.toSet()
-        report(3)
+        heartbeat(3)
         fixture.submit("req-1", 2, gang = true, vcpus = 8.0)
-        report(5)
+        heartbeat(5)
         fixture.submit("req-2", 2, gang = true, vcpus = 8.0)
-        report(140)
+        heartbeat(140)
         fixture.submit("req-3", 2, gang = true, vcpus = 8.0)
-        report(160)
+        heartbeat(160)
         assertEquals(setOf("req-1"), running())
         end()
-        report(5)
+        heartbeat(5)
         assertEquals(setOf("req-3"), running(), "300 s and 160 s old")
-        report(300)
+        heartbeat(300)
         fixture.submit("req-4", 2, gang = true, vcpus = 8.0)
-        report(20)
+        heartbeat(20)
         end()
-        report(5)
+        heartbeat(5)
         assertEquals(setOf("req-2"), running(), "over 600 s old")
     }
 
@@ -307,7 +307,7 @@
         var answeredMicros = 0L
         repeat(40) {
             fixture.pass(1_000_000)
-            val commands = fixture.cluster.report(worker.makeReport(), fixture.now)
+            val commands = fixture.cluster.heartbeat(worker.makeReport(), fixture.now)
             if (commands != null) {
                 answeredMicros = fixture.now
                 assertTrue(commands.any { it is Command.Stop && it.task == stubborn.first }, "told again and again")
@@ -328,13 +328,13 @@
         fixture.cluster.cancel(fixture.cluster.jobs.getValue("req-1"))
         fixture.submit("req-3", 2)
         fixture.pass(1_000_000)
-        val commands = fixture.cluster.report(worker.makeReport(), fixture.now, AllowedCommands.NO_COMMANDS).orEmpty()
+        val commands = fixture.cluster.heartbeat(worker.makeReport(), fixture.now, CommandPermission.NO_COMMANDS).orEmpty()
         assertEquals(setOf("req-1/0", "req-1/1"), commands.map { (it as Command.Stop).task.toString() }.toSet())
         fixture.pass(1_000_000)
-        val next = fixture.cluster.report(worker.makeReport(), fixture.now, AllowedCommands.NO_STARTS).orEmpty()
+        val next = fixture.cluster.heartbeat(worker.makeReport(), fixture.now, CommandPermission.NO_STARTS).orEmpty()
         assertTrue(next.none { it is Command.Start }, "cancellations may be unknown")
         fixture.pass(1_000_000)
-        assertEquals(2, fixture.report(worker.makeReport()).count { it is Command.Start })
+        assertEquals(2, fixture.heartbeat(worker.makeReport()).count { it is Command.Start })
     }
 
     /** Its end was committed without an answer, and the store's news of it came first. */
@@ -353,13 +353,13 @@
 
     /** After a restart a copy from before may count just as the next report would, and list nothing. */
     @Test
-    fun `a copy that counts like the next report does not end tasks that were reported, nor a start on its way`() {
+    fun `a copy that counts like the next heartbeat does not end tasks that were reported, nor a start on its way`() {
         for (seen in listOf(true, false)) {
             val fixture = ClusterFixture()
             val worker = HandWorker(fixture, "host-000001")
             worker.reportFor(60)
-            worker.session = 1
-            worker.sequence = 0
+            worker.incarnation = 1
+            worker.sequenceNumber = 0
             worker.fencingToken = 0
             worker.reportFor(30)
             val job = fixture.submit("req-1", 8)
@@ -368,21 +368,21 @@
             fixture.pass(1_000_000)
             val before = job.placements.map { it.key }.toSet()
             val copy =
-                Report(
+                Heartbeat(
                     worker.name,
                     "",
                     ClusterFixture.TYPE.name,
                     "z",
                     false,
                     1,
-                    worker.sequence + 1,
+                    worker.sequenceNumber + 1,
                     fixture.fencingToken,
                     null,
                     emptyList(),
                 )
-            fixture.cluster.report(copy, fixture.now)
+            fixture.cluster.heartbeat(copy, fixture.now)
             assertEquals(before, job.placements.map { it.key }.toSet())
-            worker.sequence++
+            worker.sequenceNumber++
             worker.reportFor(3)
             assertEquals(before, job.placements.map { it.key }.toSet())
         }
@@ -390,8 +390,8 @@
 
     /** One of its tasks says that it is done, another may still be on a machine that the new leader has not heard. */
     @Test
-    fun `an unseen task of a gang that is done counts against its team's limit`() {
-        val open = OpenRecord(ClusterFixture.spec("req-1", 2, gang = true, vcpus = 6.0), 0, opened = true, cancelled = false)
+    fun `an unconfirmed task of a gang that is done counts against its team's limit`() {
+        val open = JobRecord(ClusterFixture.spec("req-1", 2, gang = true, vcpus = 6.0), 0, opened = true, cancelled = false)
         val team = """{ name = "team", cpus = 8, cpus_max = 8, gpus = 0, gpus_max = 0 }"""
         val fixture = ClusterFixture(teams = team, recorded = listOf("host-000001", "host-000002"), open = listOf(open))
         val worker = HandWorker(fixture, "host-000001")
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -1,9 +1,9 @@
 package linemast.scheduling
 
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
 import linemast.domain.Placement
 import linemast.domain.TaskId
 import linemast.testSpec
@@ -18,17 +18,17 @@
     private val machine = Machine("host-000001", type, "z", false).also { it.images += "held" }
 
     private fun job(id: String, image: String, priority: String = "normal", tasks: Int = 4) = Job(
-        OpenRecord(testSpec(id, "bundle" to image, "urgency" to priority, "pieces" to tasks), 0L, opened = true, cancelled = false),
+        JobRecord(testSpec(id, "bundle" to image, "urgency" to priority, "pieces" to tasks), 0L, opened = true, cancelled = false),
         1L,
         inherited = false,
     )
 
-    private fun rank(job: Job, dueSeconds: Long, guaranteed: Boolean = false, missed: Int = 0) =
-        JobOrder.Ranked(job, guaranteed, missed, dueSeconds * 1_000_000)
+    private fun rank(job: Job, dueSeconds: Long, withinQuota: Boolean = false, missed: Int = 0) =
+        JobRanking.Ranked(job, withinQuota, missed, dueSeconds * 1_000_000)
 
     private val lacking = job("req-1", "other")
 
-    private fun isLeft(holder: JobOrder.Ranked, teamHasRoom: Boolean = true): Boolean =
+    private fun isLeft(holder: JobRanking.Ranked, teamHasRoom: Boolean = true): Boolean =
         ImageAffinity(listOf(rank(lacking, 100), holder)) { teamHasRoom }.prefersAnother(lacking, machine)
 
     @Test
@@ -51,10 +51,10 @@
     @Test
     fun `a job within its guarantee or after a long wait takes what it gets`() {
         val holder = rank(job("req-2", "held"), 100)
-        lacking.guaranteed = true
+        lacking.withinQuota = true
         assertFalse(isLeft(holder))
-        lacking.guaranteed = false
-        lacking.waitsLong = true
+        lacking.withinQuota = false
+        lacking.isStarving = true
         assertFalse(isLeft(holder))
     }
 
--- a/src/test/kotlin/linemast/settings/SettingsTest.kt
+++ b/src/test/kotlin/linemast/settings/SettingsTest.kt
@@ -66,12 +66,12 @@
     @Test
     fun `next limits of the state service are optional, and what they leave out stays`() {
         val without = SettingsReader.parse(good).stateLimits
-        assertEquals(listOf(16 * 1024, 16), listOf(without.mostValueBytes, without.mostTxnOps))
+        assertEquals(listOf(16 * 1024, 16), listOf(without.maxValueBytes, without.maxTxnOps))
         val with = SettingsReader.parse(
             good.replace("[settings.cloud]", "[settings.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\n[settings.cloud]"),
         )
         val limits = with.stateLimits
-        assertEquals(listOf(2_048, 16), listOf(limits.mostValueBytes, limits.mostTxnOps))
+        assertEquals(listOf(2_048, 16), listOf(limits.maxValueBytes, limits.maxTxnOps))
         assertEquals(listOf(100.0, 21.0), listOf(limits.next?.rps, limits.next?.writeRps))
         for (bad in listOf("value_kb = 1.0", "txn_ops = 1", "write_rps = 0", "rps = \"many\"")) {
             assertThrows(MalformedException::class.java) {
--- a/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
@@ -76,7 +76,7 @@
     @ParameterizedTest
     @ValueSource(ints = [45, 46])
     fun `there is more work than room, urgent and not, over slow links`(seed: Int) = meet(seed) { world ->
-        world.mostLatencyMillis = 1_500
+        world.maxLatencyMillis = 1_500
         repeat(12) { number ->
             val team = if (number % 2 == 0) "north" else "south"
             val gang = number % 3 == 0
@@ -88,7 +88,7 @@
         }
         world.cancel(world.jobs.values.first(), 5_000)
         delay(60_000)
-        world.mostLatencyMillis = 10
+        world.maxLatencyMillis = 10
     }
 
     @ParameterizedTest
@@ -158,7 +158,7 @@
     fun `the state service is slow, then refuses the leader, then all, while users cancel and ask`(seed: Int) = meet(seed) { world ->
         fill(world, runMicros = 40_000_000)
         delay(8_000)
-        world.store.mostLatencyMillis = 1_500
+        world.store.maxLatencyMillis = 1_500
         delay(5_000)
         world.jobs.values.take(3).forEach { world.cancel(it, world.random.nextLong(4_000)) }
         launch { repeat(5) { world.sendUnusualRequests() } }
@@ -168,7 +168,7 @@
         delay(35_000)
         world.store.endOutage()
         world.store.refused.clear()
-        world.store.mostLatencyMillis = 12
+        world.store.maxLatencyMillis = 12
     }
 
     @ParameterizedTest
@@ -248,7 +248,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [74, 75, 76])
-    fun `reports are held back until a new leader has acted`(seed: Int) = meet(seed) { world ->
+    fun `heartbeats are held back until a new leader has acted`(seed: Int) = meet(seed) { world ->
         world.lateCopies = 0.5
         fill(world, runMicros = 12_000_000)
         repeat(4) {
--- a/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
@@ -29,7 +29,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [92, 93, 94, 95])
-    fun `leaders change and the store is out while pipelines run and are cancelled`(seed: Int) = playPipelines(seed) { world ->
+    fun `leaders change and the store is out while dependencies run and are cancelled`(seed: Int) = playPipelines(seed) { world ->
         repeat(5) { number ->
             val chain = chain("req-51%03d".format(number), 5)
             world.pipeline(chain, lastOnlyThen = number == 2)
@@ -87,7 +87,7 @@
     /** Two versions side by side on each other's records; one that dies before its turn comes back old. */
     @ParameterizedTest
     @ValueSource(ints = [101, 102, 103, 104, 105, 106])
-    fun `a roll from the version before, with faults, and pipelines once all are new`(seed: Int) = playPipelines(seed, { world ->
+    fun `a roll from the revision before, with faults, and dependencies once all are new`(seed: Int) = playPipelines(seed, { world ->
         world.oldNodes +=
             listOf(0, 1, 2)
     }) { world ->
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -5,14 +5,14 @@
 import linemast.cloud.Cloud
 import linemast.cloud.CloudException
 import linemast.cloud.ListedMachine
-import linemast.cloud.RentRequest
-import linemast.cloud.RentResult
+import linemast.cloud.ScaleOutRequest
+import linemast.cloud.ScaleOutResult
 import linemast.domain.MachineType
 
 /** An order that the cloud has carried out, with the store's revision at that moment. */
 class SimOrder(
     val node: Int,
-    val rental: RentRequest?,
+    val rental: ScaleOutRequest?,
     val returned: List<String>,
     val revision: Long,
     val interrupted: List<SimWorker.Task>,
@@ -48,18 +48,18 @@
         return (history.lastOrNull { it.micros <= now - LAG_MICROS } ?: history.first()).machines
     }
 
-    private fun rent(node: Int, request: RentRequest): RentResult {
-        requestCount[request.requestId]?.let { return RentResult.Rented(it) }
-        val room = world.mostMachines - world.workers.size
-        if (room <= 0) return RentResult.NoCapacity
+    private fun scaleOut(node: Int, request: ScaleOutRequest): ScaleOutResult {
+        requestCount[request.requestId]?.let { return ScaleOutResult.Rented(it) }
+        val room = world.maxMachines - world.workers.size
+        if (room <= 0) return ScaleOutResult.NoCapacity
         val type = types.first { it.name == request.machineType }
         val names = List(minOf(room, request.number)) { world.addMachine(type, request.zone, request.spot).name }
         requestCount[request.requestId] = names
         orders += SimOrder(node, request, emptyList(), world.store.revision, emptyList())
-        return RentResult.Rented(names)
+        return ScaleOutResult.Rented(names)
     }
 
-    private fun giveBack(node: Int, names: List<String>) {
+    private fun scaleIn(node: Int, names: List<String>) {
         val known = names.filter { it in world.workers }
         val interrupted = known.flatMap { world.workers.getValue(it).tasks.values }.filter { it.status != "ended" }
         if (known.isNotEmpty()) orders += SimOrder(node, null, known, world.store.revision, interrupted)
@@ -95,13 +95,13 @@
             return list()
         }
 
-        override suspend fun rent(request: RentRequest): RentResult = try {
-            order(isReturn = false) { rent(node, request) }
+        override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult = try {
+            order(isReturn = false) { scaleOut(node, request) }
         } catch (e: CloudException) {
-            RentResult.Unknown
+            ScaleOutResult.Unknown
         }
 
-        override suspend fun giveBack(names: List<String>) = order(isReturn = true) { giveBack(node, names) }
+        override suspend fun scaleIn(names: List<String>) = order(isReturn = true) { scaleIn(node, names) }
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -4,13 +4,13 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.serialization.Cbor
-import linemast.store.Change
 import linemast.store.CommitResult
-import linemast.store.Condition
-import linemast.store.Item
-import linemast.store.Page
-import linemast.store.Priority
-import linemast.store.Store
+import linemast.store.Entry
+import linemast.store.EntryPage
+import linemast.store.KeyChange
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
 import linemast.store.StoreException
 import linemast.store.WatchResult
 import linemast.store.Write
@@ -25,13 +25,13 @@
     /** Waits while a controller stands still. */
     private val awaitThaw: suspend (String) -> Unit = {},
 ) {
-    private class Entry(val value: ByteArray, val version: Long, val lease: Long?)
+    private class StoredValue(val value: ByteArray, val revision: Long, val lease: Long?)
 
     private class Lease(val lifeMicros: Long, var endsMicros: Long)
 
-    private val entries = sortedMapOf<String, Entry>()
+    private val entries = sortedMapOf<String, StoredValue>()
     private val leases = HashMap<Long, Lease>()
-    private val changes = ArrayList<Change>()
+    private val changes = ArrayList<KeyChange>()
     var revision = 1L
         private set
 
@@ -39,7 +39,7 @@
     var onApplied: (node: String, writes: List<Write>) -> Unit = { _, _ -> }
 
     /** Every change that was carried out, in its order. */
-    val history: List<Change> get() = changes
+    val history: List<KeyChange> get() = changes
     private var nextLease = 0L
     var outage = false
         private set
@@ -50,7 +50,7 @@
     var lostAnswers = 0.0
 
     /** Most that a call takes. */
-    var mostLatencyMillis = 12L
+    var maxLatencyMillis = 12L
 
     /** Share of transactions that were carried out and arrive a second time later. */
     var repeats = 0.0
@@ -63,9 +63,9 @@
     private fun checkSize(writes: List<Write>) {
         val large = writes.filter { it is Write.Put && Cbor.jsonSize(it.value) > valueBytes }.map { it.key }
         val bytes = writes.sumOf { it.key.length + if (it is Write.Put) Cbor.jsonSize(it.value) else 0 }
-        if (large.isEmpty() && writes.size <= txnOps && bytes <= MOST_TRANSACTION_BYTES) return
+        if (large.isEmpty() && writes.size <= txnOps && bytes <= MAX_TRANSACTION_BYTES) return
         tooLarge += "$large, ${writes.size} operations, $bytes bytes"
-        throw StoreException("400", mayHaveRun = false)
+        throw StoreException("400", mayHaveExecuted = false)
     }
 
     fun startOutage() {
@@ -87,7 +87,7 @@
 
     fun keysUnder(prefix: String): Set<String> = entries.keys.filterTo(LinkedHashSet()) { it.startsWith(prefix) }
 
-    fun clientOf(node: String): Store = Client(node)
+    fun clientOf(node: String): KeyValueStore = Client(node)
 
     private fun expire() {
         if (outage) return
@@ -102,49 +102,49 @@
     }
 
     private fun drop(key: String) {
-        if (entries.remove(key) != null) changes += Change(key, null, revision)
+        if (entries.remove(key) != null) changes += KeyChange(key, null, revision)
     }
 
-    private fun apply(conditions: List<Condition>, writes: List<Write>): CommitResult {
+    private fun apply(preconditions: List<Precondition>, writes: List<Write>): CommitResult {
         expire()
         if (writes.any { it is Write.Put && it.lease != null && it.lease !in leases }) return CommitResult.NoSuchLease
-        val failed = conditions.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }
+        val failed = preconditions.filter { (entries[it.key]?.revision ?: 0L) != it.revision }.map { it.key }
         if (failed.isNotEmpty()) return CommitResult.Conflict(failed)
         revision++
         for (write in writes) {
             when (write) {
-                is Write.Drop -> drop(write.key)
+                is Write.Delete -> drop(write.key)
                 is Write.Put -> {
                     val bytes = Cbor.encode(write.value)
-                    entries[write.key] = Entry(bytes, revision, write.lease)
-                    changes += Change(write.key, Cbor.decodeMap(bytes), revision)
+                    entries[write.key] = StoredValue(bytes, revision, write.lease)
+                    changes += KeyChange(write.key, Cbor.decodeMap(bytes), revision)
                 }
             }
         }
         return CommitResult.Applied(revision)
     }
 
-    private inner class Client(private val node: String) : Store {
+    private inner class Client(private val node: String) : KeyValueStore {
         private suspend fun enter() {
             awaitThaw(node)
-            delay(random.nextLong(1, mostLatencyMillis))
-            if (outage || node in refused) throw StoreException("503", mayHaveRun = false)
+            delay(random.nextLong(1, maxLatencyMillis))
+            if (outage || node in refused) throw StoreException("503", mayHaveExecuted = false)
             expire()
         }
 
-        override suspend fun get(key: String, priority: Priority): Item? {
+        override suspend fun get(key: String, priority: RequestPriority): Entry? {
             enter()
-            return entries[key]?.let { Item(key, Cbor.decodeMap(it.value), it.version) }
+            return entries[key]?.let { Entry(key, Cbor.decodeMap(it.value), it.revision) }
         }
 
-        override suspend fun list(under: String, after: String?): Page {
+        override suspend fun list(under: String, after: String?): EntryPage {
             enter()
             val found = entries.filterKeys { it.startsWith(under) && (after == null || it > after) }
-            val items = found.entries.take(PAGE).map { Item(it.key, Cbor.decodeMap(it.value.value), it.value.version) }
-            return Page(items, found.size > PAGE, revision)
+            val entries = found.entries.take(PAGE).map { Entry(it.key, Cbor.decodeMap(it.value.value), it.value.revision) }
+            return EntryPage(entries, found.size > PAGE, revision)
         }
 
-        override suspend fun commit(conditions: List<Condition>, writes: List<Write>, priority: Priority): CommitResult {
+        override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
             enter()
             checkSize(writes)
             if (random.nextDouble() < lostAnswers) {
@@ -152,17 +152,17 @@
                 val late = if (random.nextBoolean()) 0L else random.nextLong(30_000)
                 scope.launch {
                     delay(late)
-                    apply(conditions, writes)
+                    apply(preconditions, writes)
                 }
                 delay(2_000)
-                throw StoreException("no answer", mayHaveRun = true)
+                throw StoreException("no answer", mayHaveExecuted = true)
             }
-            val result = apply(conditions, writes)
+            val result = apply(preconditions, writes)
             if (result is CommitResult.Applied) onApplied(node, writes)
             if (random.nextDouble() < repeats) {
                 scope.launch {
                     delay(random.nextLong(60_000))
-                    if (!outage) apply(conditions, writes)
+                    if (!outage) apply(preconditions, writes)
                 }
             }
             delay(random.nextLong(1, 8))
@@ -173,9 +173,9 @@
             enter()
             val end = clock.nowMicros() + waitMicros
             while (true) {
-                if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException("no answer", mayHaveRun = true)
+                if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException("no answer", mayHaveExecuted = true)
                 expire()
-                val matching = changes.filter { it.version > afterRevision && it.key.startsWith(under) }
+                val matching = changes.filter { it.revision > afterRevision && it.key.startsWith(under) }
                 if (!outage && node !in refused && node !in watchesHang && (matching.isNotEmpty() || clock.nowMicros() >= end)) {
                     return WatchResult.Changes(revision, matching)
                 }
@@ -204,7 +204,7 @@
     }
 
     private companion object {
-        const val MOST_TRANSACTION_BYTES = 64 * 1024
+        const val MAX_TRANSACTION_BYTES = 64 * 1024
         const val PAGE = 7
         const val WATCH_STEP_MILLIS = 25L
         const val WATCH_PATIENCE_MICROS = 5_000_000L
--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -39,8 +39,8 @@
 
     /** Reaches no controller. */
     var mute = false
-    private var session = 1L
-    private var sequence = 0L
+    private var incarnation = 1L
+    private var sequenceNumber = 0L
     var fencingToken = 0L
         private set
     private var renewedMicros = world.clock.nowMicros()
@@ -58,8 +58,8 @@
     fun reboot() {
         boots++
         tasks.clear()
-        session = 1
-        sequence = 0
+        incarnation = 1
+        sequenceNumber = 0
         fencingToken = 0
         renewedMicros = world.clock.nowMicros()
         reportSoon = true
@@ -67,7 +67,7 @@
 
     fun start() {
         world.scope.launch { live() }
-        world.scope.launch { reports() }
+        world.scope.launch { heartbeats() }
     }
 
     /** Has a task run here that no controller of this store has ordered. */
@@ -89,7 +89,7 @@
         if (now - renewedMicros > leaseMicros) {
             world.onLeaseEnd(tasks.values.map { "${it.job}/${it.index}" })
             tasks.clear()
-            session++
+            incarnation++
             renewedMicros = now
             reportSoon = true
         }
@@ -137,19 +137,19 @@
         reportSoon = true
     }
 
-    private suspend fun reports() {
+    private suspend fun heartbeats() {
         while (!gone) {
             val wait = if (reportSoon) 500L else random.nextLong(750, 1_250)
             delay(wait)
             if (hung || gone) continue
             reportSoon = false
-            report()
+            heartbeat()
         }
     }
 
-    private suspend fun report() {
+    private suspend fun heartbeat() {
         val sent = world.clock.nowMicros()
-        val session = session
+        val incarnation = incarnation
         val boot = boots
         val body = Cbor.encode(reportBody())
         if (mute) {
@@ -184,7 +184,7 @@
         }
         if (hung || gone) return
         when (reply.status) {
-            200 -> if (session == session && boots == boot) take(Cbor.decodeMap(reply.body), sent)
+            200 -> if (incarnation == incarnation && boots == boot) take(Cbor.decodeMap(reply.body), sent)
             421 -> redirect(if (reply.body.isEmpty()) null else Cbor.decodeMap(reply.body).textOrNull("bridge"))
             else -> {
                 delay(1_000)
@@ -238,7 +238,7 @@
 
     private fun reportBody(): Map<String, Any?> = mapOf(
         "rig" to name, "addr" to "10.9.0.1:9", "build" to type.name, "yard" to zone, "loaners" to spot,
-        "watch" to session, "tick" to ++sequence, "helm" to fencingToken, "recall_s" to null,
+        "watch" to incarnation, "tick" to ++sequenceNumber, "helm" to fencingToken, "recall_s" to null,
         "pieces" to tasks.values.map {
             mapOf("piece" to "${it.job}/${it.index}", "try" to it.attempt, "status" to it.status, "cause" to it.cause)
         },
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -32,8 +32,8 @@
     private val types: List<MachineType>,
     private val workerLeaseMicros: Long,
     /** Standing machines, and how many there can be in all. */
-    private val standing: Int = 6,
-    val mostMachines: Int = 12,
+    private val baselineMachines: Int = 6,
+    val maxMachines: Int = 12,
     private val features: Features = Features(),
     private val policy: Policy = Policy(),
 ) {
@@ -53,7 +53,7 @@
     var dependentsCancelledAtEnd = 0.0
 
     /** Most that a message between workers or users and controllers takes. */
-    var mostLatencyMillis = 10L
+    var maxLatencyMillis = 10L
 
     /** Share of reports of which a copy arrives later, up to several leases. */
     var lateCopies = 0.0
@@ -95,7 +95,7 @@
     var transport: (suspend (at: Int, request: HttpRequest) -> HttpResponse?)? = null
 
     fun begin() {
-        repeat(standing) { addMachine(types[it % types.size], if (it % 2 == 0) "a" else "b", spot = false) }
+        repeat(baselineMachines) { addMachine(types[it % types.size], if (it % 2 == 0) "a" else "b", spot = false) }
         if (transport == null) repeat(3) { startNode(it) }
         scope.launch {
             while (true) {
@@ -168,7 +168,7 @@
     }
 
     suspend fun send(at: Int, method: String, path: String, body: ByteArray, zone: String? = null): HttpResponse? {
-        delay(random.nextLong(1, mostLatencyMillis))
+        delay(random.nextLong(1, maxLatencyMillis))
         if (isCutFrom(at, zone) || at in cutOff || (at in cutFromWorkers && path == "/agent/beat")) {
             delay(4_000)
             return null
@@ -262,7 +262,7 @@
                 continue
             }
             val since = waitingSince.getOrPut(job.id) { maxOf(now, calm) }
-            if (now - since > MOST_WAIT_MICROS) {
+            if (now - since > MAX_WAIT_MICROS) {
                 fail("left waiting: ${job.id}")
                 waitingSince[job.id] = now
             }
@@ -462,6 +462,6 @@
 
     private companion object {
         const val NODES = 3
-        const val MOST_WAIT_MICROS = 90_000_000L
+        const val MAX_WAIT_MICROS = 90_000_000L
     }
 }
--- a/src/test/kotlin/linemast/size/FleetPlay.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -1,42 +1,42 @@
 package linemast.size
 
-import linemast.autoscaling.Provisioner
+import linemast.autoscaling.Autoscaler
 import linemast.cloud.Fleet
 import linemast.cloud.ListedMachine
 import linemast.domain.Command
 import linemast.domain.EndCause
+import linemast.domain.Heartbeat
 import linemast.domain.Job
+import linemast.domain.JobRecord
 import linemast.domain.JobSpec
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
-import linemast.domain.Report
 import linemast.domain.TaskId
-import linemast.domain.TaskReport
 import linemast.domain.TaskState
+import linemast.domain.TaskStatus
 import linemast.planning.Planner
 import linemast.planning.TaskTimes
 import linemast.scheduling.Cluster
-import linemast.scheduling.Effects
+import linemast.scheduling.ClusterEffects
 import linemast.settings.Policy
 import linemast.settings.Settings
 import linemast.testSpec
 import java.util.PriorityQueue
 import kotlin.random.Random
 
-/** A job's part in a [FleetPlay]. */
+/** A job's part in a [FleetScenario]. */
 internal class PlayJob(val spec: JobSpec, val runMicros: Long)
 
 /**
  * A leader's decisions at the size of a whole fleet: workers and users in virtual time around a [Cluster] and a
- * [Provisioner], without network, store or controllers. All starts are noted, so that two plays can be compared.
+ * [Autoscaler], without network, store or controllers. All starts are noted, so that two plays can be compared.
  */
-internal class FleetPlay(
+internal class FleetScenario(
     private val settings: Settings,
     private val types: List<MachineType>,
-    standing: List<Pair<MachineType, String>>,
+    baselineMachines: List<Pair<MachineType, String>>,
     private val seed: Int,
-    private val mostMachines: Int = 1_450,
+    private val maxMachines: Int = 1_450,
 ) {
     private val random = Random(seed)
     private var number = 0L
@@ -54,7 +54,7 @@
     private val running = HashMap<TaskId, PlayWorker>()
     private val jobs = HashMap<String, PlayJob>()
 
-    private val effects = object : Effects {
+    private val effects = object : ClusterEffects {
         override fun storeOpened(job: Job) {
             at(20_000) {
                 job.opened = Job.Opened.YES
@@ -71,7 +71,7 @@
             job.dirtyParts.clear()
         }
 
-        override fun storeMachines(machines: List<Machine>) = machines.forEach { it.onRecord = true }
+        override fun storeMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
 
         override fun dropMachines(names: List<String>) = Unit
 
@@ -84,13 +84,13 @@
         private val planner = Planner(settings, Policy(), times)
         val fleet = Fleet(settings, Policy(), fencingToken)
         val cluster: Cluster = Cluster(settings, fencingToken, GRACE_MICROS, effects, times, planner, { now }, { now })
-        val provisioner = Provisioner(cluster, fleet, planner, Policy())
+        val autoscaler = Autoscaler(cluster, fleet, planner, Policy())
     }
 
     private var leader = LeaderState(FIRST_FENCING_TOKEN)
     val cluster: Cluster get() = leader.cluster
     private val fleet: Fleet get() = leader.fleet
-    private val provisioner: Provisioner get() = leader.provisioner
+    private val autoscaler: Autoscaler get() = leader.autoscaler
 
     /** Another controller leads from now on; it knows what the store holds, and nothing else. */
     fun takeOver() {
@@ -99,13 +99,13 @@
         cluster.types = before.cluster.types
         val open = before.cluster.jobs.values.filter { !it.finished }
         cluster.load(
-            open.map { OpenRecord(it.spec, it.acceptedWallMicros, opened = it.opened == Job.Opened.YES, cancelled = false) to 1L },
-            before.cluster.machines.values.filter { it.onRecord }.map { Machine(it.name, it.type, it.zone, it.spot) },
+            open.map { JobRecord(it.spec, it.acceptedWallMicros, opened = it.opened == Job.Opened.YES, cancelled = false) to 1L },
+            before.cluster.machines.values.filter { it.isRegistered }.map { Machine(it.name, it.type, it.zone, it.spot) },
             now,
         )
         for (job in open) job.done.stream().forEach { cluster.jobs.getValue(job.id).markDone(it) }
-        fleet.standing = before.fleet.standing
-        fleet.standing?.let(cluster::markOwned)
+        fleet.baselineMachines = before.fleet.baselineMachines
+        fleet.baselineMachines?.let(cluster::markBaseline)
     }
 
     private class Event(val atMicros: Long, val number: Long, val action: () -> Unit) : Comparable<Event> {
@@ -115,10 +115,10 @@
     init {
         cluster.types = types.associateBy { it.name }
         cluster.load(emptyList(), emptyList(), now)
-        standing.forEach { (type, zone) -> addWorker(type, zone, false) }
+        baselineMachines.forEach { (type, zone) -> addWorker(type, zone, false) }
         list()
-        fleet.standing = workers.keys.toSet()
-        fleet.standing?.let(cluster::markOwned)
+        fleet.baselineMachines = workers.keys.toSet()
+        fleet.baselineMachines?.let(cluster::markBaseline)
         tick()
     }
 
@@ -137,7 +137,7 @@
 
     fun submit(spec: JobSpec, runMicros: Long) {
         jobs[spec.id] = PlayJob(spec, runMicros)
-        cluster.putJob(OpenRecord(spec, now, opened = false, cancelled = false), 1)
+        cluster.putJob(JobRecord(spec, now, opened = false, cancelled = false), 1)
     }
 
     private fun <T> measured(what: String, action: () -> T): T {
@@ -151,15 +151,15 @@
 
     private fun tick() {
         measured("tick") { cluster.tick(now) }
-        val actions = measured("steward") { provisioner.step(now, now) }
+        val actions = measured("steward") { autoscaler.step(now, now) }
         for (request in actions.rentals) {
             at(120_000) {
                 val type = types.first { it.name == request.machineType }
-                val names = List(minOf(request.number, mostMachines - workers.size).coerceAtLeast(0)) {
+                val names = List(minOf(request.number, maxMachines - workers.size).coerceAtLeast(0)) {
                     addWorker(type, request.zone, request.spot, (type.startupMicros * (0.6 + 0.9 * random.nextDouble())).toLong())
                 }
                 if (names.isEmpty()) fleet.refused(request, cluster.types, now) else fleet.rented(request, names, cluster.types, now)
-                if (names.size < request.number || fleet.hasWaitingWishes) provisioner.adjustSoon()
+                if (names.size < request.number || fleet.hasWaitingWishes) autoscaler.adjustSoon()
             }
         }
         if (actions.returns.isNotEmpty()) {
@@ -189,7 +189,7 @@
     private fun addWorker(type: MachineType, zone: String, spot: Boolean, bootMicros: Long = random.nextLong(1_000_000)): String {
         val worker = PlayWorker("host-%06d".format(workers.size + removed + 1), type, zone, spot)
         workers[worker.name] = worker
-        at(bootMicros, worker::report)
+        at(bootMicros, worker::heartbeat)
         return worker.name
     }
 
@@ -242,7 +242,7 @@
     private inner class PlayWorker(val name: String, val type: MachineType, val zone: String, val spot: Boolean) {
         val bornMicros = now
         var gone = false
-        var sequence = 0L
+        var sequenceNumber = 0L
         var fencingToken = 0L
         var sentMicros = 0L
         var due = 0L
@@ -254,22 +254,22 @@
         private fun reportAt(micros: Long) {
             if (due in (now + 1)..micros) return
             due = micros
-            at(micros - now) { if (due == micros) report() }
+            at(micros - now) { if (due == micros) heartbeat() }
         }
 
-        fun report() {
+        fun heartbeat() {
             if (gone) return
             sentMicros = now
             due = 0
-            val report = Report(
-                name, "", type.name, zone, spot, 1, ++sequence, fencingToken, null,
-                tasks.values.map { TaskReport(it.task, it.attempt, it.status, it.cause, false) },
+            val heartbeat = Heartbeat(
+                name, "", type.name, zone, spot, 1, ++sequenceNumber, fencingToken, null,
+                tasks.values.map { TaskStatus(it.task, it.attempt, it.status, it.cause, false) },
             )
-            val commands = measured("report") { cluster.report(report, now) }.orEmpty()
+            val commands = measured("report") { cluster.heartbeat(heartbeat, now) }.orEmpty()
             if (fencingToken != leader.fencingToken) changed()
             fencingToken = leader.fencingToken
             commands.forEach(::execute)
-            val period = settings.workers.reportMicros
+            val period = settings.workers.heartbeatIntervalMicros
             reportAt(now + period * 3 / 4 + random.nextLong(period / 2))
         }
 
--- a/src/test/kotlin/linemast/size/FleetPlaySettings.kt
+++ b/src/test/kotlin/linemast/size/FleetScenarioSettings.kt
@@ -3,7 +3,7 @@
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
 
-/** The settings of a [FleetPlay]: [teams] with [cpus] guaranteed to each, and [cpusMax] at most. */
+/** The settings of a [FleetScenario]: [teams] with [cpus] guaranteed to each, and [cpusMax] at most. */
 internal fun fleetPlaySettings(teams: List<String>, cpus: Int, cpusMax: Int): Settings = SettingsReader.parse(
     """
     node_name = "mast-0"
--- a/src/test/kotlin/linemast/size/FleetSizeTest.kt
+++ b/src/test/kotlin/linemast/size/FleetSizeTest.kt
@@ -15,12 +15,12 @@
         val zones = listOf("a", "b", "c", "d")
         val small = MachineType("small", 8.0, 0.0, 32.0, 40.0, 0.8, 0.37, 0.11, 25_000_000, zones)
         val large = MachineType("large", 32.0, 0.0, 64.0, 40.0, 0.8, 1.3, 0.33, 30_000_000, zones)
-        val standing = List(370) { small to zones[it % 4] } + List(120) { large to zones[it % 4] }
+        val baselineMachines = List(370) { small to zones[it % 4] } + List(120) { large to zones[it % 4] }
         val teams = listOf("t1", "t2", "t3", "t4", "t5")
-        val play = FleetPlay(fleetPlaySettings(teams, cpus = 1_500, cpusMax = 4_000), listOf(small, large), standing, seed)
+        val play = FleetScenario(fleetPlaySettings(teams, cpus = 1_500, cpusMax = 4_000), listOf(small, large), baselineMachines, seed)
         var id = 0
         fun gang() = play.submit(
-            FleetPlay.spec(
+            FleetScenario.spec(
                 "req-%06d".format(
                     id++,
                 ),
@@ -29,7 +29,7 @@
             (80e6 * Math.exp(random.nextDouble(-0.7, 0.9))).toLong(),
         )
         fun sweep() = play.submit(
-            FleetPlay.spec(
+            FleetScenario.spec(
                 "req-%06d".format(id++), "sweeps", teams[random.nextInt(5)], false, (300 * Math.exp(random.nextDouble(-1.0, 1.2))).toInt(),
                 random.nextDouble(0.7, 1.3), 1.0, "s${random.nextInt(8)}", 40.0, 100.0,
             ),
--- a/src/test/kotlin/linemast/size/LargeFleetTest.kt
+++ b/src/test/kotlin/linemast/size/LargeFleetTest.kt
@@ -14,12 +14,12 @@
     private fun play(machines: Int) {
         val seed = 31
         val random = Random(seed)
-        val standing = List(machines * 3 / 4) { SMALL to ZONES[it % ZONES.size] }
+        val baselineMachines = List(machines * 3 / 4) { SMALL to ZONES[it % ZONES.size] }
         val settings = fleetPlaySettings(TEAMS, cpus = machines * 2, cpusMax = machines * 8)
-        val play = FleetPlay(settings, listOf(SMALL, LARGE), standing, seed, mostMachines = machines)
+        val play = FleetScenario(settings, listOf(SMALL, LARGE), baselineMachines, seed, maxMachines = machines)
         var submitted = 0
         fun id() = "req-%06d".format(submitted++)
-        val largest = FleetPlay.spec(id(), "sweeps", "t1", false, 100_000, 1.0, 0.5, "s0", 2.0, 100.0)
+        val largest = FleetScenario.spec(id(), "sweeps", "t1", false, 100_000, 1.0, 0.5, "s0", 2.0, 100.0)
         play.playUntil(5_000_000)
         play.submit(largest, 2_000_000)
         for (second in 5 until SECONDS) {
@@ -27,12 +27,15 @@
             if (second % 3 == 0) {
                 val tasks = random.nextInt(1, 12)
                 val team = TEAMS.random(random)
-                play.submit(FleetPlay.spec(id(), "gangs", team, true, tasks, 6.0, 8.0, "g${random.nextInt(5)}", 20.0, null), 20_000_000)
+                play.submit(FleetScenario.spec(id(), "gangs", team, true, tasks, 6.0, 8.0, "g${random.nextInt(5)}", 20.0, null), 20_000_000)
             }
             if (second < LAST_ARRAYS && second % 2 == 0) {
                 val tasks = random.nextInt(100, 800)
                 val team = TEAMS.random(random)
-                play.submit(FleetPlay.spec(id(), "sweeps", team, false, tasks, 2.0, 2.0, "s${random.nextInt(8)}", 20.0, 90.0), 20_000_000)
+                play.submit(
+                    FleetScenario.spec(id(), "sweeps", team, false, tasks, 2.0, 2.0, "s${random.nextInt(8)}", 20.0, 90.0),
+                    20_000_000,
+                )
             }
             if (second == DEATHS) play.killRandom(machines / 10)
             if (second == TAKE_OVER) play.takeOver()
--- a/src/test/kotlin/linemast/store/StoreRatesTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class StoreRatesTest {
+class StoreRateLimitsTest {
     private val next = StateLimits(rps = 60.0, writeRps = 20.0, valueBytes = 2_048, txnOps = 5)
     private val limits = StateLimits(rps = 90.0, writeRps = 40.0, valueBytes = 16_384, txnOps = 16, next = next)
 
     @Test
     fun `three controllers together keep within the rates, before a refusal and after it`() {
-        val rates = List(3) { StoreRates(limits, 3) }
-        rates[1].leads = true
+        val rates = List(3) { StoreRateLimits(limits, 3) }
+        rates[1].isLeader = true
         assertTrue(rates.sumOf { it.changes } <= 40.0 && rates.sumOf { it.requests } <= 90.0)
         rates.forEach { assertTrue(it.refused(isCommit = true)) }
         assertTrue(rates.sumOf { it.changes } <= 20.0, "the changes follow at once")
@@ -26,7 +26,7 @@
 
     @Test
     fun `without next limits a refusal changes nothing`() {
-        val rates = StoreRates(StateLimits(90.0, 40.0, 16_384, 16), 3)
+        val rates = StoreRateLimits(StateLimits(90.0, 40.0, 16_384, 16), 3)
         val before = rates.changes to rates.requests
         assertFalse(rates.refused(isCommit = true) || rates.refused(isCommit = false))
         assertEquals(before, rates.changes to rates.requests)
@@ -38,7 +38,7 @@
      */
     @Test
     fun `a rate that drops in a burst refuses each controller a few times only`() {
-        val rates = List(3) { StoreRates(limits, 3).also { rate -> rate.leads = it == 0 } }
+        val rates = List(3) { StoreRateLimits(limits, 3).also { rate -> rate.isLeader = it == 0 } }
         val requests = rates.map { TokenBucket(it.requests) }
         val changes = rates.map { TokenBucket(it.changes) }
         var service = TokenBucket(limits.writeRps)
@@ -49,18 +49,18 @@
             if (stepMicros ==
                 10_000_000L
             ) {
-                service = TokenBucket(next.writeRps).also { it.tryTake(next.writeRps.toInt(), Priority.VITAL, stepMicros) }
+                service = TokenBucket(next.writeRps).also { it.tryTake(next.writeRps.toInt(), RequestPriority.CRITICAL, stepMicros) }
             }
             for (at in 0..2) {
                 if (stepMicros % 800_000L ==
                     0L
                 ) {
-                    assertTrue(requests[at].tryTake(1, Priority.VITAL, stepMicros), "a renewal waits at $stepMicros")
+                    assertTrue(requests[at].tryTake(1, RequestPriority.CRITICAL, stepMicros), "a renewal waits at $stepMicros")
                 }
                 // More submissions than fit are always there: each puts two keys.
-                if (!requests[at].tryTake(1, Priority.INTAKE, stepMicros)) continue
-                if (!changes[at].tryTake(2, Priority.INTAKE, stepMicros)) continue
-                if (service.tryTake(2, Priority.VITAL, stepMicros)) {
+                if (!requests[at].tryTake(1, RequestPriority.HIGH, stepMicros)) continue
+                if (!changes[at].tryTake(2, RequestPriority.HIGH, stepMicros)) continue
+                if (service.tryTake(2, RequestPriority.CRITICAL, stepMicros)) {
                     accepted++
                     continue
                 }
--- a/src/test/kotlin/linemast/store/TokenBucketTest.kt
+++ b/src/test/kotlin/linemast/store/TokenBucketTest.kt
@@ -18,14 +18,14 @@
             var now = 1_000L
             val end = now + 20_000_000
             while (now < end) {
-                if (bucket.tryTake(1, Priority.entries.random(random), now)) taken++
+                if (bucket.tryTake(1, RequestPriority.entries.random(random), now)) taken++
                 now += random.nextLong(20_000)
             }
             assertTrue(taken <= rate * 20 + rate + 1, "$taken at rate $rate")
-            while (bucket.tryTake(1, Priority.ORDINARY, now)) Unit
-            assertTrue(bucket.tryTake(1, Priority.VITAL, now))
-            val wait = bucket.waitMicros(1, Priority.ORDINARY, now)
-            assertTrue(bucket.tryTake(1, Priority.ORDINARY, now + wait))
+            while (bucket.tryTake(1, RequestPriority.NORMAL, now)) Unit
+            assertTrue(bucket.tryTake(1, RequestPriority.CRITICAL, now))
+            val wait = bucket.waitMicros(1, RequestPriority.NORMAL, now)
+            assertTrue(bucket.tryTake(1, RequestPriority.NORMAL, now + wait))
         }
     }
 
@@ -33,8 +33,8 @@
     @Test
     fun `what can wait leaves most tokens to submissions`() {
         val bucket = TokenBucket(20.0)
-        while (bucket.tryTake(1, Priority.BACKGROUND, 1)) Unit
-        repeat(8) { assertTrue(bucket.tryTake(1, Priority.INTAKE, 1)) }
-        assertFalse(bucket.tryTake(1, Priority.BACKGROUND, 1))
+        while (bucket.tryTake(1, RequestPriority.BACKGROUND, 1)) Unit
+        repeat(8) { assertTrue(bucket.tryTake(1, RequestPriority.HIGH, 1)) }
+        assertFalse(bucket.tryTake(1, RequestPriority.BACKGROUND, 1))
     }
 }
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -1,20 +1,20 @@
 package linemast.upgrade
 
+import linemast.domain.JobOutcome
 import linemast.domain.JobProgress
+import linemast.domain.JobRecord
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.domain.OpenRecord
-import linemast.domain.Verdict
-import linemast.domain.VerdictRecord
+import linemast.domain.OutcomeRecord
 import linemast.jobs.JobCodec
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
 import linemast.peers.PeerFrame
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
-import linemast.store.Item
+import linemast.store.Entry
 import linemast.testSpec
-import linemast.workers.FleetRecord
+import linemast.workers.MachineRegistry
 import okio.Buffer
 import okio.ByteString.Companion.decodeHex
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -46,16 +46,16 @@
         assertEquals(oldOpen + ("withdrawn" to true), stored(JobRecordCodec.encode(record.with(cancelled = true).within(types))).map)
         assertEquals(emptyList<String>(), record.spec.dependencies)
         assertNull(record.releasedWallMicros)
-        for (verdict in listOf("open", "done", "withdrawn")) {
-            val old = mapOf("verdict" to verdict, "pieces" to 16L)
+        for (outcome in listOf("open", "done", "withdrawn")) {
+            val old = mapOf("verdict" to outcome, "pieces" to 16L)
             assertEquals(old, stored(JobRecordCodec.encode(JobRecordCodec.decodeOutcome(stored(old)))).map)
         }
     }
 
     /** It asks for these fields, ignores others, and drops them when it rewrites. */
     @Test
-    fun `what is written now passes the readers of the version before`() {
-        val waiting = OpenRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, opened = false, cancelled = false)
+    fun `what is written now passes the readers of the revision before`() {
+        val waiting = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, opened = false, cancelled = false)
         val released = stored(JobRecordCodec.encode(waiting.released(9)))
         assertTrue(released.child("job").map.keys.containsAll(oldJob.keys - setOf("builds", "due_s")))
         assertFalse(released.child("job").has("awaits"), "a job that may start awaits nothing: nothing is lost when it is rewritten")
@@ -63,13 +63,13 @@
         JobCodec.decode(released.child("job"))
         val rewritten = JobRecordCodec.decodeJob(stored(released.map - "from_us"))
         assertEquals(rewritten.acceptedWallMicros, rewritten.releasedWallMicros ?: 5L)
-        val verdict = stored(JobRecordCodec.encode(VerdictRecord(Verdict.OPEN, 3, listOf("req-1"))))
-        assertEquals("open" to 3L, verdict.text("verdict") to verdict.long("pieces"))
+        val outcome = stored(JobRecordCodec.encode(OutcomeRecord(JobOutcome.OPEN, 3, listOf("req-1"))))
+        assertEquals("open" to 3L, outcome.text("verdict") to outcome.long("pieces"))
     }
 
     /** Written out as the version that first had pipelines wrote them; it and later ones serve side by side. */
     @Test
-    fun `records of the first version with pipelines are read and rewritten without a loss`() {
+    fun `records of the first revision with dependencies are read and rewritten without a loss`() {
         val waiting = mapOf(
             "job" to oldJob + ("awaits" to listOf("req-000398", "req-000405")),
             "at_us" to 1_700_000_000_000_000L,
@@ -80,14 +80,21 @@
         assertEquals(listOf("req-000398", "req-000405"), record.spec.dependencies)
         assertEquals(waiting, stored(JobRecordCodec.encode(record)).map)
         val released = oldOpen + ("from_us" to 1_700_000_050_000_000L)
-        assertEquals(released, stored(JobRecordCodec.encode(record.released(1_700_000_050_000_000L))).map, "what a release puts in place of it")
+        assertEquals(
+            released,
+            stored(JobRecordCodec.encode(record.released(1_700_000_050_000_000L))).map,
+            "what a release puts in place of it",
+        )
         assertEquals(released, stored(JobRecordCodec.encode(JobRecordCodec.decodeJob(stored(released)))).map)
-        assertEquals(released + ("withdrawn" to true), stored(JobRecordCodec.encode(JobRecordCodec.decodeJob(stored(released)).with(cancelled = true))).map)
-        val verdict = mapOf("verdict" to "open", "pieces" to 16L, "awaits" to listOf("req-000398", "req-000405"))
-        assertEquals(verdict, stored(JobRecordCodec.encode(JobRecordCodec.decodeOutcome(stored(verdict)))).map)
+        assertEquals(
+            released + ("withdrawn" to true),
+            stored(JobRecordCodec.encode(JobRecordCodec.decodeJob(stored(released)).with(cancelled = true))).map,
+        )
+        val outcome = mapOf("verdict" to "open", "pieces" to 16L, "awaits" to listOf("req-000398", "req-000405"))
+        assertEquals(outcome, stored(JobRecordCodec.encode(JobRecordCodec.decodeOutcome(stored(outcome)))).map)
         assertEquals(
             listOf("j/req-1", "o/req-1", "w/req-1", "d/req-1/0"),
-            listOf(JobKeys.verdict("req-1"), JobKeys.open("req-1"), JobKeys.waiting("req-1"), JobKeys.donePart("req-1", 0)),
+            listOf(JobKeys.outcome("req-1"), JobKeys.open("req-1"), JobKeys.waiting("req-1"), JobKeys.donePart("req-1", 0)),
         )
     }
 
@@ -95,11 +102,11 @@
     fun `the record of machines keeps its keys and fields`() {
         val old =
             mapOf("rigs" to listOf(mapOf("rig" to "host-000001", "build" to "g8", "yard" to "a", "loaners" to false, "owned" to true)))
-        val record = FleetRecord(2_048)
-        val machine = record.read(listOf(Item("fleet/0", stored(old), 7)), types.associateBy { it.name }).single()
+        val record = MachineRegistry(2_048)
+        val machine = record.read(listOf(Entry("fleet/0", stored(old), 7)), types.associateBy { it.name }).single()
         assertEquals(listOf("host-000001", "g8", "a"), listOf(machine.name, machine.type.name, machine.zone))
-        assertTrue(machine.owned)
-        assertEquals(7L, record.versionOf("fleet/0"))
+        assertTrue(machine.baseline)
+        assertEquals(7L, record.revisionOf("fleet/0"))
         val written = record.with(List(80) { Machine("host-%06d".format(it + 2), types.single(), "b", true) })
         for ((at, key) in written.keys.sorted().withIndex()) {
             assertEquals("fleet/$at", key, "counted from 0 without a gap")
@@ -113,13 +120,13 @@
     /** It refuses frames of another version, and bytes behind the last job. */
     @Test
     fun `frames between controllers are the same to the byte`() {
-        val frame = PeerFrame("mast-1", 7, leads = true, storeWorks = true, workersAsk = false, mapOf("req-1" to JobProgress(2, 3)))
+        val frame = PeerFrame("mast-1", 7, isLeader = true, storeWorks = true, workersAsk = false, mapOf("req-1" to JobProgress(2, 3)))
         val bytes = "0100066d6173742d3100000000000000070300010005" + "7265712d310000000200000003"
         assertEquals(bytes, frame.encode().readByteString().hex())
         val read = PeerFrame.decode(Buffer().write(bytes.decodeHex()))
         assertEquals(
             listOf("mast-1", 7L, true, true, false),
-            listOf(read.node, read.fencingToken, read.leads, read.storeWorks, read.workersAsk),
+            listOf(read.node, read.fencingToken, read.isLeader, read.storeWorks, read.workersAsk),
         )
         assertEquals(2 to 3, read.progress.getValue("req-1").let { it.done to it.running })
     }
--- a/src/test/kotlin/linemast/workers/FleetRecordTest.kt
+++ b/src/test/kotlin/linemast/workers/MachineRegistryTest.kt
@@ -4,13 +4,13 @@
 import linemast.domain.MachineType
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
-import linemast.store.Item
+import linemast.store.Entry
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-class FleetRecordTest {
+class MachineRegistryTest {
     private val type = MachineType("mare-32", 32.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("bucuresti"))
     private val types = mapOf(type.name to type)
 
@@ -19,7 +19,12 @@
 
     private fun machine(number: Int) = Machine("host-%06d".format(number), type, "bucuresti", number % 3 == 0)
 
-    private fun reread(record: FleetRecord) = record.read(stored.map { (key, value) -> Item(key, Fields(value), 1) }, types).map { it.name }
+    private fun reread(record: MachineRegistry) = record.read(
+        stored.map { (key, value) ->
+            Entry(key, Fields(value), 1)
+        },
+        types,
+    ).map { it.name }
 
     @Test
     fun `whatever changes, values keep within the limit and nothing is lost between two writes`() {
@@ -28,7 +33,7 @@
         val random = Random(seed)
         for (limit in listOf(1_536, 2_048, 16_384)) {
             stored.clear()
-            val record = FleetRecord(limit)
+            val record = MachineRegistry(limit)
             val expected = LinkedHashSet<String>()
             repeat(200) {
                 val gone = if (random.nextInt(3) == 0) expected.shuffled(random).take(random.nextInt(30)) else emptyList()
@@ -38,10 +43,10 @@
                 for ((key, value) in writes) {
                     stored[key] = value
                     assertTrue(Cbor.jsonSize(value) <= limit, "$key is too large")
-                    assertTrue(reread(FleetRecord(limit)).containsAll(expected))
+                    assertTrue(reread(MachineRegistry(limit)).containsAll(expected))
                 }
                 come.forEach { expected += it.name }
-                assertEquals(expected, reread(FleetRecord(limit)).toSet())
+                assertEquals(expected, reread(MachineRegistry(limit)).toSet())
             }
         }
     }
@@ -58,24 +63,24 @@
         )
         stored["fleet/0"] = mapOf("rigs" to List(60) { rig(it) })
         stored["fleet/1"] = mapOf("rigs" to List(7) { rig(60 + it) })
-        val record = FleetRecord(2_048)
+        val record = MachineRegistry(2_048)
         val all = reread(record)
         assertEquals(67, all.size)
         for ((key, value) in record.without(listOf("host-000003"))) {
             stored[key] = value
-            assertTrue(reread(FleetRecord(2_048)).containsAll(all - "host-000003"))
+            assertTrue(reread(MachineRegistry(2_048)).containsAll(all - "host-000003"))
         }
         assertTrue(stored.values.all { Cbor.jsonSize(it) <= 2_048 })
         assertEquals(stored.keys.toList(), stored.keys.indices.map { "fleet/$it" }, "numbers without a gap, as that version counts them")
-        assertEquals((all - "host-000003").toSet(), reread(FleetRecord(2_048)).toSet())
+        assertEquals((all - "host-000003").toSet(), reread(MachineRegistry(2_048)).toSet())
     }
 
     @Test
     fun `records just at, under and over a value's limit`() {
-        val size = Cbor.jsonSize(FleetRecord(16_384).with(List(10) { machine(it) }).getValue("fleet/0"))
-        assertEquals(setOf("fleet/0"), FleetRecord(size + 1).with(List(10) { machine(it) }).keys)
-        assertEquals(setOf("fleet/0", "fleet/1"), FleetRecord(size - 1).with(List(10) { machine(it) }).keys)
-        val at = FleetRecord(size).with(List(10) { machine(it) })
+        val size = Cbor.jsonSize(MachineRegistry(16_384).with(List(10) { machine(it) }).getValue("fleet/0"))
+        assertEquals(setOf("fleet/0"), MachineRegistry(size + 1).with(List(10) { machine(it) }).keys)
+        assertEquals(setOf("fleet/0", "fleet/1"), MachineRegistry(size - 1).with(List(10) { machine(it) }).keys)
+        val at = MachineRegistry(size).with(List(10) { machine(it) })
         assertTrue(at.values.all { Cbor.jsonSize(it) <= size })
     }
 }
