--- a/src/main/kotlin/linemast/domain/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -64,8 +64,8 @@
     /** Whether [gangAttempt] was seen running: it cannot be completed by a replacement any more. */
     var gangRan = false
 
-    /** Why it was last held back, for the log. */
-    var pendingReason: String? = null
+    /** Why no task of it could be placed last; null once one was placed. */
+    var pendingReason: PendingReason? = null
 
     /** Within its team's guarantee, together with the team's earlier jobs. */
     var withinQuota = false
--- a/src/main/kotlin/linemast/domain/Machine.kt
+++ b/src/main/kotlin/linemast/domain/Machine.kt
@@ -26,7 +26,7 @@
     var runningSinceMicros = 0L
 
     /** Why it is being stopped; null while it is meant to go on. */
-    var stopReason: String? = null
+    var stopReason: StopReason? = null
     var stopGracePeriodMicros = 0L
 
     /** Whether an answer has told its worker to stop it. */
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -8,6 +8,7 @@
 import linemast.domain.Machine
 import linemast.domain.MachineType
 import linemast.domain.Placement
+import linemast.domain.StopReason
 import linemast.domain.TaskId
 import linemast.leadership.CancellationFreshness
 import linemast.planning.Planner
@@ -171,7 +172,7 @@
     }
 
     /** Has a task stopped with the next answer to its machine. */
-    fun stop(placement: Placement, reason: String, gracePeriodMicros: Long) {
+    fun stop(placement: Placement, reason: StopReason, gracePeriodMicros: Long) {
         placement.stopReason = reason
         placement.stopGracePeriodMicros = gracePeriodMicros
         stopping += placement
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -6,6 +6,7 @@
 import linemast.domain.Job
 import linemast.domain.Machine
 import linemast.domain.Placement
+import linemast.domain.StopReason
 import linemast.domain.TaskAttempt
 import linemast.domain.TaskState
 import linemast.domain.TaskStatus
@@ -146,7 +147,7 @@
             if (!placement.isRunning || job.spec.neverSaves || placement.stopReason != null) continue
             val stopped = if (job.spec.isGang) job.placements.filter { !it.isAssigned } else listOf(placement)
             for (mate in stopped) {
-                cluster.stop(mate, "${machine.name} is preempted", job.spec.checkpointMicros + workers.gangPeerMicros)
+                cluster.stop(mate, StopReason.MachinePreempted(machine.name), job.spec.checkpointMicros + workers.gangPeerMicros)
             }
         }
     }
--- a/src/main/kotlin/linemast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/linemast/scheduling/Preemptor.kt
@@ -3,6 +3,7 @@
 import linemast.domain.Job
 import linemast.domain.Machine
 import linemast.domain.Placement
+import linemast.domain.StopReason
 import linemast.settings.Settings
 import org.slf4j.LoggerFactory
 
@@ -76,7 +77,7 @@
             val other = victim.job ?: continue
             if (!mayGiveWay(other, job, cycle)) continue
             cycle.pushedBack(other.spec.team, other.spec.vcpus)
-            stop(victim, "guarantee of ${spec.team}")
+            stop(victim, StopReason.PreemptedForQuota(spec.team))
             victim.preemptedFor = job
             left--
         }
@@ -121,7 +122,7 @@
         if (stoppable.sumOf { it.job?.spec?.vcpus ?: 0.0 } < needed) return
         for (placement in stoppable.sortedByDescending { it.sentMicros }) {
             if (needed <= EPSILON) return
-            stop(placement, "team's limit, for ${job.id}")
+            stop(placement, StopReason.PreemptedAtQuotaLimit(job.id))
             needed -= placement.job?.spec?.vcpus ?: 0.0
         }
     }
@@ -150,7 +151,7 @@
                 } else if (placement.stopReason ==
                     null
                 ) {
-                    stop(placement, "room for ${job.id}")
+                    stop(placement, StopReason.PreemptedForGang(job.id))
                 }
             }
         }
@@ -206,10 +207,10 @@
         return if (spec.neverSaves) (nowMicros - placement.sentMicros) * spec.vcpus else spec.checkpointMicros * spec.vcpus
     }
 
-    private fun stop(placement: Placement, reason: String) {
+    private fun stop(placement: Placement, reason: StopReason) {
         val spec = placement.job?.spec
         cluster.stop(placement, reason, if (spec == null || spec.neverSaves) 0 else spec.checkpointMicros + gracePeriodMicros)
-        log.debug("{} on {}: stopped, {}", placement.task, placement.machine.name, reason)
+        log.debug("{} on {}: {}", placement.task, placement.machine.name, reason.description)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -5,6 +5,7 @@
 import linemast.domain.JobSpec
 import linemast.domain.Machine
 import linemast.domain.MachineType
+import linemast.domain.PendingReason
 import linemast.domain.Placement
 import linemast.settings.Settings
 import org.slf4j.LoggerFactory
@@ -112,7 +113,7 @@
             // One at a time: two that each hold half of what both need would wait for ever.
             if (mayReserve &&
                 job.placements.isEmpty() &&
-                job.pendingReason != TEAM_LIMIT &&
+                job.pendingReason != PendingReason.QuotaLimit &&
                 preemptor.reserveMachines(job, cycle)
             ) {
                 mayReserve = false
@@ -150,9 +151,9 @@
         blocked(
             job,
             when {
-                nowMicros < job.backOffUntilMicros -> "has failed ${job.failures} times"
-                !cluster.failover.isReconciledFor(job) -> "may run unseen"
-                else -> "not opened yet"
+                nowMicros < job.backOffUntilMicros -> PendingReason.BackOff(job.failures)
+                !cluster.failover.isReconciledFor(job) -> PendingReason.UnconfirmedTasks
+                else -> PendingReason.NotOpened
             },
         )
         return false
@@ -177,7 +178,7 @@
     /** Starts tasks of an array, at most [baselineSlots] side by side on owned machines. */
     private fun placeArray(job: Job, baselineSlots: Int, cycle: SchedulingCycle, most: Int = Int.MAX_VALUE) {
         var left = minOf(quotaHeadroom(job, cycle), job.pendingCount, most)
-        if (left == 0) return blocked(job, TEAM_LIMIT)
+        if (left == 0) return blocked(job, PendingReason.QuotaLimit)
         val places = SpreadConstraint(job)
         var baselineLeft = if (baselineSlots ==
             Int.MAX_VALUE
@@ -197,7 +198,7 @@
                 return
             }
         }
-        if (baselineSlots == Int.MAX_VALUE) blocked(job, if (cycle.machines.of(job).none()) "no machine to use" else NO_ROOM)
+        if (baselineSlots == Int.MAX_VALUE) blocked(job, if (cycle.machines.of(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity)
     }
 
     /** Places up to [most] tasks of an array on [machine]; how many. */
@@ -238,19 +239,19 @@
             // Nothing is stopped for the team's limit before there is a place to use it.
             if (!withinLimit && here.sumOf { it.freeSlots(job.spec) } >= missing) {
                 preemptor.preemptWithinTeam(job, missing, limit, cycle)
-                return blocked(job, TEAM_LIMIT)
+                return blocked(job, PendingReason.QuotaLimit)
             }
         }
         val isRoomBeingMade = zones.any { preemptor.preemptFor(job, it, missing, cycle) }
-        val reason = if (isRoomBeingMade) "room being made" else NO_ROOM
-        blocked(job, if (withinLimit) reason else TEAM_LIMIT)
+        val reason = if (isRoomBeingMade) PendingReason.PreemptionInProgress else PendingReason.NoFreeCapacity
+        blocked(job, if (withinLimit) reason else PendingReason.QuotaLimit)
     }
 
     /** Logs once why a job has to wait, each time the reason changes. */
-    private fun blocked(job: Job, reason: String) {
+    private fun blocked(job: Job, reason: PendingReason) {
         if (job.pendingReason == reason) return
         job.pendingReason = reason
-        log.debug("{}: held back, {}", job.id, reason)
+        log.debug("{}: pending: {}", job.id, reason.description)
     }
 
     /** All missing tasks at once, or none. */
@@ -274,22 +275,19 @@
         return false
     }
 
-    companion object {
-        private const val TURNS_PER_REPORT = 4
+    private companion object {
+        const val TURNS_PER_REPORT = 4
 
-        /** Why a job waits that nothing but its team's limit holds back. */
-        const val TEAM_LIMIT = "its team's limit"
-        private const val REPORT_SLACK_MICROS = 1_500_000L
-        private const val NO_ROOM = "no room"
-        private const val FIRST_TASKS = 2
-        private const val BEGIN_MICROS = 60_000_000L
+        const val REPORT_SLACK_MICROS = 1_500_000L
+        const val FIRST_TASKS = 2
+        const val BEGIN_MICROS = 60_000_000L
 
         /** Later: machines reserved for it stand idle until the last is free, which costs others their turn. */
-        private const val GANG_BEGIN_MICROS = 150_000_000L
-        private const val GANG_LATE_MICROS = 240_000_000L
-        private const val GANG_STARVED_MICROS = 600_000_000L
+        const val GANG_BEGIN_MICROS = 150_000_000L
+        const val GANG_LATE_MICROS = 240_000_000L
+        const val GANG_STARVED_MICROS = 600_000_000L
 
         /** No more of a team's limit than this share is kept for a gang that has not come yet. */
-        private const val MAX_KEPT = 0.25
+        const val MAX_KEPT = 0.25
     }
 }
--- a/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -2,6 +2,7 @@
 
 import linemast.domain.Job
 import linemast.domain.Machine
+import linemast.domain.PendingReason
 import linemast.domain.Placement
 
 /** What one pass of placement works with: jobs in their order, machines by their room, and what teams may still use. */
@@ -58,7 +59,7 @@
         var cpus = 0.0
         var gpus = 0.0
         for (gang in gangs[job.spec.team].orEmpty()) {
-            if (gang === job || gang.pendingReason != Scheduler.TEAM_LIMIT || gang.pendingCount == 0 || !comesBefore(gang, job)) continue
+            if (gang === job || gang.pendingReason != PendingReason.QuotaLimit || gang.pendingCount == 0 || !comesBefore(gang, job)) continue
             cpus += gang.pendingCount * gang.spec.vcpus
             gpus += gang.pendingCount * gang.spec.gpus
         }
