--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -198,7 +198,11 @@
                 return
             }
         }
-        if (baselineSlots == Int.MAX_VALUE) blocked(job, if (cycle.machines.of(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity)
+        if (baselineSlots ==
+            Int.MAX_VALUE
+        ) {
+            blocked(job, if (cycle.machines.of(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity)
+        }
     }
 
     /** Places up to [most] tasks of an array on [machine]; how many. */
--- a/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -59,7 +59,13 @@
         var cpus = 0.0
         var gpus = 0.0
         for (gang in gangs[job.spec.team].orEmpty()) {
-            if (gang === job || gang.pendingReason != PendingReason.QuotaLimit || gang.pendingCount == 0 || !comesBefore(gang, job)) continue
+            if (gang === job ||
+                gang.pendingReason != PendingReason.QuotaLimit ||
+                gang.pendingCount == 0 ||
+                !comesBefore(gang, job)
+            ) {
+                continue
+            }
             cpus += gang.pendingCount * gang.spec.vcpus
             gpus += gang.pendingCount * gang.spec.gpus
         }
