--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -12,7 +12,7 @@
 import linemast.store.RequestPriority
 import linemast.store.WatchResult
 import linemast.store.Write
-import linemast.store.attempt
+import linemast.store.storeResultOrNull
 import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
@@ -40,8 +40,14 @@
     private suspend fun followPlan() {
         var revision = -1L
         while (true) {
-            if (revision < 0) revision = attempt(logger) { readPlan() } ?: revision
-            val result = if (revision < 0) null else attempt(logger) { store.watch(AdmissionCodec.PLAN_KEY, revision, WATCH_MICROS) }
+            if (revision < 0) revision = storeResultOrNull(logger) { readPlan() } ?: revision
+            val result = if (revision <
+                0
+            ) {
+                null
+            } else {
+                storeResultOrNull(logger) { store.watch(AdmissionCodec.PLAN_KEY, revision, WATCH_MICROS) }
+            }
             when (result) {
                 is WatchResult.Changes -> {
                     result.changes.mapNotNull { it.value }.forEach { take(it) }
@@ -60,7 +66,7 @@
     }
 
     private suspend fun take(value: Fields) {
-        attempt(logger) { AdmissionCodec.decodePlan(value) }?.let(gate::take)
+        storeResultOrNull(logger) { AdmissionCodec.decodePlan(value) }?.let(gate::take)
     }
 
     private suspend fun tellDemand() {
@@ -70,7 +76,7 @@
             val isQuiet = demands.values.sumOf { it.offered } < quietRate && demands.values.none { it.waiting > 0 }
             if (isQuiet && !hasTold) continue
             hasTold = !isQuiet
-            attempt(logger) { put(fitting(demands)) }
+            storeResultOrNull(logger) { put(fitting(demands)) }
         }
     }
 
--- a/src/main/kotlin/linemast/admission/AdmissionLeader.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionLeader.kt
@@ -9,8 +9,8 @@
 import linemast.store.Precondition
 import linemast.store.RequestPriority
 import linemast.store.Write
-import linemast.store.attempt
 import linemast.store.listAll
+import linemast.store.storeResultOrNull
 import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
@@ -34,10 +34,10 @@
 
     /** Plans until it is cancelled. */
     suspend fun run() {
-        while (attempt(logger) { readPlan() } == null) delay(RETRY_MILLIS)
+        while (storeResultOrNull(logger) { readPlan() } == null) delay(RETRY_MILLIS)
         while (true) {
             delay(settings.epochMicros / MICROS_PER_MILLI)
-            if (leaderLease.mayIssueCommands(clock.nowMicros())) attempt(logger) { step() }
+            if (leaderLease.mayIssueCommands(clock.nowMicros())) storeResultOrNull(logger) { step() }
         }
     }
 
@@ -47,7 +47,7 @@
         revision = entry?.revision ?: 0L
         plannedMicros = clock.nowMicros()
         // One that cannot be read is replaced.
-        plan = entry?.let { attempt(logger) { AdmissionCodec.decodePlan(it.value) } } ?: AdmissionPlan.UNLIMITED
+        plan = entry?.let { storeResultOrNull(logger) { AdmissionCodec.decodePlan(it.value) } } ?: AdmissionPlan.UNLIMITED
     }
 
     private suspend fun step() {
--- a/src/main/kotlin/linemast/control/DependencyCoordinator.kt
+++ b/src/main/kotlin/linemast/control/DependencyCoordinator.kt
@@ -23,7 +23,7 @@
 import linemast.store.Precondition
 import linemast.store.RequestPriority
 import linemast.store.Write
-import linemast.store.attempt
+import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 
 /** Brings what [DependencyGraph] decides into the store, and what the store says of waiting jobs to [DependencyGraph]. */
@@ -122,7 +122,9 @@
             val key = JobKeys.waiting(job.id)
             val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Delete(key))
             val result =
-                attempt(log) { store.commit(listOf(leaderLease.fence, Precondition(key, job.revision)), writes, RequestPriority.HIGH) }
+                storeResultOrNull(log) {
+                    store.commit(listOf(leaderLease.fence, Precondition(key, job.revision)), writes, RequestPriority.HIGH)
+                }
             settle(listOf(job), result) { revision ->
                 log.info("{}: released: all that it depends on is done", job.id)
                 cluster().putJob(record, revision)
@@ -138,7 +140,7 @@
                 listOf(Write.Put(JobKeys.outcome(it.id), JobRecordCodec.encode(outcome)), Write.Delete(JobKeys.waiting(it.id)))
             }
             val result = cancellations.withPermit {
-                attempt(log) { store.commit(listOf(leaderLease.fence) + preconditions, writes, RequestPriority.HIGH) }
+                storeResultOrNull(log) { store.commit(listOf(leaderLease.fence) + preconditions, writes, RequestPriority.HIGH) }
             }
             settle(jobs, result) { log.info("{}: cancelled with a job that they need", jobs.map { it.id }) }
         }
@@ -163,8 +165,8 @@
 
     private fun readOutcome(id: String) {
         scope.launch {
-            val entry = attempt(log) { store.get(JobKeys.outcome(id)) } ?: return@launch
-            val outcome = attempt(log) { JobRecordCodec.decodeOutcome(entry.value).outcome } ?: return@launch
+            val entry = storeResultOrNull(log) { store.get(JobKeys.outcome(id)) } ?: return@launch
+            val outcome = storeResultOrNull(log) { JobRecordCodec.decodeOutcome(entry.value).outcome } ?: return@launch
             onLeaderLoop { over(id, outcome) }
         }
     }
--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -10,7 +10,7 @@
 import linemast.duties.Inheritance
 import linemast.duties.InheritanceEffects
 import linemast.scheduling.Cluster
-import linemast.store.attempt
+import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 
 /** Has a new leader's state know what earlier leaders have committed to do at the cloud, before anything is decided. */
@@ -27,7 +27,7 @@
 
     /** Returns once all is read and marked; what is left to be done goes on in the leader's scope. */
     suspend fun takeOver() {
-        while (attempt(log) { duties.load() } == null) delay(RETRY_MILLIS)
+        while (storeResultOrNull(log) { duties.load() } == null) delay(RETRY_MILLIS)
         val inheritance = Inheritance(duties, this, onLeaderLoop)
         cluster.markBeingReturned(inheritance.returningNames)
         fleet.markReturning(inheritance.returningNames)
--- a/src/main/kotlin/linemast/control/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -19,8 +19,8 @@
 import linemast.store.Precondition
 import linemast.store.RequestPriority
 import linemast.store.Write
-import linemast.store.attempt
 import linemast.store.listAll
+import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
@@ -47,10 +47,10 @@
         scope.launch {
             while (true) {
                 val revision = job.revision
-                val result = attempt(log) {
-                    val entry = store.get(JobKeys.open(job.id), RequestPriority.HIGH) ?: return@attempt null
+                val result = storeResultOrNull(log) {
+                    val entry = store.get(JobKeys.open(job.id), RequestPriority.HIGH) ?: return@storeResultOrNull null
                     val record = JobRecordCodec.decodeJob(entry.value)
-                    if (record.cancelled) return@attempt null
+                    if (record.cancelled) return@storeResultOrNull null
                     store.commit(
                         listOf(fence, Precondition(entry.key, entry.revision)),
                         listOf(Write.Put(entry.key, JobRecordCodec.encode(record.with(opened = true).within(cluster().types.values)))),
@@ -80,7 +80,7 @@
             val parts = job.dirtyParts.stream().limit(maxTxnOps.toLong()).toArray()
             val isDone = job.isDone
             val bits = parts.map { CompletedTasks.encodePart(job.done, it) }
-            val result = attempt(log) { if (isDone) commitDone(job) else commitParts(job, parts, bits) }
+            val result = storeResultOrNull(log) { if (isDone) commitDone(job) else commitParts(job, parts, bits) }
             onLeaderLoop {
                 job.writingDone = false
                 when (result) {
@@ -143,7 +143,7 @@
     fun dropParts(keys: List<String>) {
         if (keys.isEmpty()) return
         scope.launch {
-            for (some in keys.chunked(maxTxnOps)) attempt(log) { store.commit(listOf(fence), some.map { Write.Delete(it) }) }
+            for (some in keys.chunked(maxTxnOps)) storeResultOrNull(log) { store.commit(listOf(fence), some.map { Write.Delete(it) }) }
         }
     }
 
@@ -154,8 +154,8 @@
     private fun reread(job: Job) {
         scope.launch {
             val key = JobKeys.open(job.id)
-            val read = attempt(log) { Result.success(store.get(key)) } ?: return@launch
-            val parts = attempt(log) { store.listAll("${JobKeys.DONE_PREFIX}${job.id}/").entries } ?: return@launch
+            val read = storeResultOrNull(log) { Result.success(store.get(key)) } ?: return@launch
+            val parts = storeResultOrNull(log) { store.listAll("${JobKeys.DONE_PREFIX}${job.id}/").entries } ?: return@launch
             onLeaderLoop {
                 val entry = read.getOrNull()
                 onChange(KeyChange(key, entry?.value, entry?.revision ?: 0L))
@@ -167,7 +167,7 @@
     fun dropCancelled(job: Job) {
         job.writingDone = true
         scope.launch {
-            val result = attempt(log) { commitEnd(job, emptyList(), Precondition(JobKeys.open(job.id), job.revision)) }
+            val result = storeResultOrNull(log) { commitEnd(job, emptyList(), Precondition(JobKeys.open(job.id), job.revision)) }
             onLeaderLoop {
                 job.writingDone = false
                 when (result) {
--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -11,8 +11,8 @@
 import linemast.store.KeyValueStore
 import linemast.store.Precondition
 import linemast.store.Write
-import linemast.store.attempt
 import linemast.store.listAll
+import linemast.store.storeResultOrNull
 import linemast.workers.MachineRegistry
 import org.slf4j.LoggerFactory
 
@@ -55,11 +55,11 @@
     private suspend fun write(change: () -> Map<String, Map<String, Any?>>): Boolean = writes.withLock {
         for ((key, value) in change()) {
             val preconditions = listOf(leaderLease.fence, Precondition(key, record.revisionOf(key)))
-            val result = attempt(log) { store.commit(preconditions, listOf(Write.Put(key, value))) }
+            val result = storeResultOrNull(log) { store.commit(preconditions, listOf(Write.Put(key, value))) }
             if (result is CommitResult.Applied) {
                 record.written(key, result.revision)
             } else {
-                attempt(log) { load() }
+                storeResultOrNull(log) { load() }
                 return@withLock false
             }
         }
--- a/src/main/kotlin/linemast/control/PlanStore.kt
+++ b/src/main/kotlin/linemast/control/PlanStore.kt
@@ -9,7 +9,7 @@
 import linemast.store.KeyValueStore
 import linemast.store.RequestPriority
 import linemast.store.Write
-import linemast.store.attempt
+import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 
 /** Writes the plans as they stand to the store, for operators to read: as many jobs as fit a value. Nothing reads them back. */
@@ -30,7 +30,9 @@
             while (plans.isNotEmpty() && Cbor.jsonSize(value(plans)) > maxValueBytes) {
                 plans = plans.dropLast((plans.size + DROPPED_PARTS - 1) / DROPPED_PARTS)
             }
-            attempt(log) { store.commit(listOf(leaderLease.fence), listOf(Write.Put(KEY, value(plans))), RequestPriority.BACKGROUND) }
+            storeResultOrNull(log) {
+                store.commit(listOf(leaderLease.fence), listOf(Write.Put(KEY, value(plans))), RequestPriority.BACKGROUND)
+            }
         }
     }
 
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -11,8 +11,8 @@
 import linemast.store.RequestPriority
 import linemast.store.TransactionBatcher
 import linemast.store.Write
-import linemast.store.attempt
 import linemast.store.listAll
+import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 
 /** This controller does not hold the duties any more: whatever it wanted to do is for the next holder to decide. */
@@ -116,12 +116,14 @@
     private suspend fun commit(requests: List<Request>): CommitResult? {
         val slots = requests.map { it.slot }
         val preconditions = slots.map { Precondition(IntentCodec.key(it), log.revisionOf(it)) }
-        return attempt(logger) { store.commit(listOf(leaderLease.fence) + preconditions, requests.map(::writeOf), RequestPriority.HIGH) }
+        return storeResultOrNull(logger) {
+            store.commit(listOf(leaderLease.fence) + preconditions, requests.map(::writeOf), RequestPriority.HIGH)
+        }
     }
 
     /** A slot is not as it was taken to be: most likely an earlier copy of the same transaction was carried out. */
     private suspend fun notYetStored(batch: List<Request>): List<Request> {
-        if (attempt(logger) { load() } == null) {
+        if (storeResultOrNull(logger) { load() } == null) {
             delay(RETRY_MILLIS)
             return batch
         }
--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -1,12 +1,12 @@
 package linemast.leadership
 
 import kotlinx.coroutines.delay
-import linemast.serialization.MalformedException
 import linemast.store.CommitResult
 import linemast.store.Entry
 import linemast.store.KeyValueStore
 import linemast.store.Precondition
 import linemast.store.RequestPriority
+import linemast.store.RetryPolicy
 import linemast.store.StoreException
 import linemast.store.WatchResult
 import linemast.store.Write
@@ -48,23 +48,14 @@
     private val onLost: () -> Unit,
 ) {
     private val log = LoggerFactory.getLogger(Election::class.java)
+    private val retry = RetryPolicy(delayMillis = 300)
 
     /** Contends and leads, again and again, until it is cancelled. */
-    suspend fun run() {
-        while (true) {
-            try {
-                val leaderLease = contend()
-                if (leaderLease != null) {
-                    keep(leaderLease)
-                    if (leaderLease.hasSteppedDown) stepAside()
-                }
-            } catch (e: StoreException) {
-                log.debug("election: {}", e.message)
-                delay(RETRY_MILLIS)
-            } catch (e: MalformedException) {
-                log.error("election: malformed record: {}", e.message)
-                delay(RETRY_MILLIS)
-            }
+    suspend fun run(): Nothing = retry.repeatForever(log, "election") {
+        val leaderLease = contend()
+        if (leaderLease != null) {
+            keep(leaderLease)
+            if (leaderLease.hasSteppedDown) stepAside()
         }
     }
 
@@ -106,7 +97,7 @@
 
     private suspend fun awaitChange(revision: Long) {
         when (val result = store.watch(LeaderKeys.LEADER, revision, WATCH_MICROS)) {
-            is WatchResult.TooOld -> delay(RETRY_MILLIS)
+            is WatchResult.TooOld -> retry.pause()
             is WatchResult.Changes -> result.changes.lastOrNull { it.key == LeaderKeys.LEADER }?.let { change ->
                 if (change.value == null) view.leaderName = null
             }
@@ -154,7 +145,6 @@
 
     private companion object {
         const val RENEWALS_PER_LEASE = 5
-        const val RETRY_MILLIS = 300L
         const val ASIDE_MILLIS = 15_000L
         const val WATCH_MICROS = 8 * SECOND_MICROS
     }
--- a/src/main/kotlin/linemast/recovery/RecoveryStore.kt
+++ b/src/main/kotlin/linemast/recovery/RecoveryStore.kt
@@ -11,7 +11,7 @@
 import linemast.store.RequestPriority
 import linemast.store.StoreException
 import linemast.store.Write
-import linemast.store.attempt
+import linemast.store.storeResultOrNull
 import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
@@ -71,7 +71,7 @@
                     )
                 },
         )
-        attempt(logger) { store.commit(listOf(leaderLease.fence), listOf(Write.Put(KEY, value)), RequestPriority.BACKGROUND) }
+        storeResultOrNull(logger) { store.commit(listOf(leaderLease.fence), listOf(Write.Put(KEY, value)), RequestPriority.BACKGROUND) }
     }
 
     private companion object {
--- /dev/null
+++ b/src/main/kotlin/linemast/store/StoreResult.kt
@@ -0,0 +1,32 @@
+package linemast.store
+
+import linemast.serialization.MalformedException
+import org.slf4j.Logger
+
+/**
+ * The result of [call], or null if the key-value store gave none or holds a malformed record.
+ *
+ * The failure is logged: one of the store for debugging, as it is expected during outages, a malformed record as an error.
+ * [operation] precedes the message in the log; null leaves it out. Cancellation and other exceptions pass through.
+ */
+internal suspend fun <T> storeResultOrNull(log: Logger, operation: String? = null, call: suspend () -> T?): T? = try {
+    call()
+} catch (e: StoreException) {
+    logFailure(log, operation, e)
+    null
+} catch (e: MalformedException) {
+    logMalformed(log, operation, e)
+    null
+}
+
+internal fun logFailure(log: Logger, operation: String?, failure: StoreException) {
+    if (operation == null) log.debug("{}", failure.message) else log.debug("{}: {}", operation, failure.message)
+}
+
+internal fun logMalformed(log: Logger, operation: String?, failure: MalformedException) {
+    if (operation == null) {
+        log.error("malformed record: {}", failure.message)
+    } else {
+        log.error("{}: malformed record: {}", operation, failure.message)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/linemast/store/RetryPolicyTest.kt
@@ -0,0 +1,58 @@
+package linemast.store
+
+import kotlinx.coroutines.ExperimentalCoroutinesApi
+import kotlinx.coroutines.test.TestScope
+import kotlinx.coroutines.test.currentTime
+import kotlinx.coroutines.test.runTest
+import linemast.serialization.MalformedException
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.slf4j.LoggerFactory
+
+@OptIn(ExperimentalCoroutinesApi::class)
+class RetryPolicyTest {
+    private val log = LoggerFactory.getLogger(RetryPolicyTest::class.java)
+    private val retry = RetryPolicy(delayMillis = 250, malformedDelayMillis = 1_000)
+
+    /** Fails once in each way, then gives a result; notes when it is called. */
+    private class FailingCall(private val scope: TestScope) {
+        val calledAtMillis = ArrayList<Long>()
+
+        fun next(): String? {
+            calledAtMillis += scope.currentTime
+            return when (calledAtMillis.size) {
+                1 -> throw StoreException("refused", mayHaveExecuted = false)
+                2 -> null
+                3 -> throw MalformedException("no such field")
+                else -> "result"
+            }
+        }
+    }
+
+    @Test
+    fun `a call is repeated after the delay of its failure until it returns a value`() = runTest {
+        val call = FailingCall(this)
+        assertEquals("result", retry.untilResult(log) { call.next() })
+        assertEquals(listOf(0L, 250L, 500L, 1_500L), call.calledAtMillis)
+    }
+
+    @Test
+    fun `a loop waits after failures only, and ends when its condition no longer holds`() = runTest {
+        val calledAtMillis = ArrayList<Long>()
+        retry.repeatWhile({ calledAtMillis.size < 4 }, log, "test") {
+            calledAtMillis += currentTime
+            if (calledAtMillis.size == 2) throw StoreException("refused", mayHaveExecuted = false)
+        }
+        assertEquals(listOf(0L, 0L, 250L, 250L), calledAtMillis)
+    }
+
+    @Test
+    fun `other exceptions end the repetition`() {
+        val failure = assertThrows(IllegalStateException::class.java) {
+            runTest { retry.repeatForever(log) { error("a fault of the program") } }
+        }
+        assertTrue(failure.message == "a fault of the program", "$failure")
+    }
+}
