--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -5,6 +5,8 @@
 import linemast.domain.MachineType
 import linemast.settings.Policy
 import linemast.settings.Settings
+import linemast.settings.shortestFinishedMicros
+import linemast.settings.shortestWaitMicros
 
 /** One job's plan: tasks per interval on owned and on rented machines. */
 class JobPlan(
@@ -60,16 +62,13 @@
  * Plans each job over long intervals as the paper does: owned targets in proportion to forecast room, the rest
  * rented, backups for owned room that is not there yet, and a top-up for what fell short.
  */
-class Planner(private val settings: Settings, private val policy: Policy, private val times: TaskTimes) {
+class Planner(settings: Settings, private val policy: Policy, private val times: TaskTimes) {
     val objectives = ServiceLevelObjectives(settings.objectives, settings.teams, times)
     private val plans = HashMap<String, JobPlan>()
 
     /** By job class: the shortest time to the end and to the start that users aim at. */
-    private val finishedWithin = shortest("finished")
-    private val startedWithin = shortest("wait")
-
-    private fun shortest(kind: String): Map<String?, Long> = settings.objectives.filter { it.kind == kind && it.withinMicros != null }
-        .groupBy { it.jobClass }.mapValues { (_, objectives) -> objectives.mapNotNull { it.withinMicros }.min() }
+    private val finishedWithin = settings.objectives.shortestFinishedMicros()
+    private val startedWithin = settings.objectives.shortestWaitMicros()
 
     /** The plan of [job]; null if it has none yet. */
     fun planOf(job: Job): JobPlan? = plans[job.id]
--- a/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
@@ -20,19 +20,19 @@
         if (job.placements.any { !it.isAssigned }) return 0
         val age = wallMicros - job.readyWallMicros
         val run = times.estimateMicros(job)
-        val missed = objectives.count { aim -> latestStart(aim, job, run)?.let { age > it } ?: false }
+        val missed = objectives.count { objective -> latestStart(objective, job, run)?.let { age > it } ?: false }
         val patience = objectives.mapNotNull { latestStart(it, job, run) }.maxOrNull() ?: return missed
         return if (age > maxOf(patience, run) * PATIENCE) 0 else missed
     }
 
     /** How long after it was ready the job may start and still reach the aim. */
-    private fun latestStart(aim: Objective, job: Job, run: Long): Long? = when (aim.kind) {
-        "wait" -> aim.withinMicros
-        "finished" -> aim.withinMicros?.let { it - run }
-        "deadline" -> job.spec.deadlineMicros?.let {
-            (it * (aim.times ?: 1.0)).toLong() - run * rounds(job) - (job.readyWallMicros - job.acceptedWallMicros)
+    private fun latestStart(objective: Objective, job: Job, run: Long): Long? = when (objective) {
+        is Objective.Wait -> objective.withinMicros
+        is Objective.Finished -> objective.withinMicros - run
+        is Objective.Deadline -> job.spec.deadlineMicros?.let {
+            (it * objective.factor).toLong() - run * rounds(job) - (job.readyWallMicros - job.acceptedWallMicros)
         }
-        else -> null
+        is Objective.Guarantee, is Objective.Ignored -> null
     }
 
     /** How many times over its team's limit makes it use the same room: a job too large for its time is late from the start. */
--- a/src/main/kotlin/linemast/scheduling/Preemptor.kt
+++ b/src/main/kotlin/linemast/scheduling/Preemptor.kt
@@ -4,7 +4,9 @@
 import linemast.domain.Machine
 import linemast.domain.Placement
 import linemast.domain.StopReason
+import linemast.settings.Objective
 import linemast.settings.Settings
+import linemast.settings.shortestWaitMicros
 import org.slf4j.LoggerFactory
 
 /**
@@ -15,9 +17,8 @@
 internal class Preemptor(private val cluster: Cluster, private val settings: Settings) {
     private val log = LoggerFactory.getLogger(Preemptor::class.java)
     private val guaranteeMicros =
-        settings.objectives.filter { it.kind == "guarantee" }.mapNotNull { it.withinMicros }.minOrNull() ?: DEFAULT_GUARANTEE_MICROS
-    private val waitAims = settings.objectives.filter { it.kind == "wait" && it.withinMicros != null }
-        .groupBy { it.jobClass }.mapValues { (_, objectives) -> objectives.mapNotNull { it.withinMicros }.min() }
+        settings.objectives.filterIsInstance<Objective.Guarantee>().minOfOrNull { it.withinMicros } ?: DEFAULT_GUARANTEE_MICROS
+    private val shortestWaitMicros = settings.objectives.shortestWaitMicros()
     private val gracePeriodMicros = settings.workers.gangPeerMicros
 
     /** From the decision to stop a task until another runs in its place: two reports and an image. */
@@ -181,7 +182,7 @@
     /** How long [job] can wait for room and still start when its users expect it. */
     private fun patienceMicros(job: Job): Long {
         val age = cluster.wallMicros() - job.readyWallMicros
-        val aim = waitAims[job.spec.jobClass] ?: 0
+        val aim = shortestWaitMicros[job.spec.jobClass] ?: 0
         return (minOf(aim, MAX_PATIENCE_MICROS) - age - settings.workers.heartbeatIntervalMicros * 2 - IMAGE_MICROS).coerceAtLeast(0)
     }
 
--- a/src/main/kotlin/linemast/settings/Settings.kt
+++ b/src/main/kotlin/linemast/settings/Settings.kt
@@ -30,9 +30,6 @@
 /** A team with its guarantees and limits. */
 class Team(val name: String, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double)
 
-/** An aim the users state; only what planning and placement read of it. */
-class Objective(val kind: String, val jobClass: String?, val withinMicros: Long?, val share: Double?, val times: Double?)
-
 /** How workers report, and the durations they keep to. */
 class WorkerSettings(
     val heartbeatIntervalMicros: Long,
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -95,13 +95,21 @@
         return teams
     }
 
-    private fun objective(fields: Fields) = Objective(
-        kind = fields.text("kind"),
-        jobClass = fields.textOrNull("class"),
-        withinMicros = fields.microsOrNull("within_s") ?: fields.numberOrNull("within_ms")?.let { (it * 1_000).toLong() },
-        share = fields.numberOrNull("share"),
-        times = fields.numberOrNull("times"),
-    )
+    private fun objective(fields: Fields): Objective {
+        val kind = fields.text("kind")
+        val jobClass = fields.textOrNull("class")
+        val withinMicros = fields.microsOrNull("within_s") ?: fields.numberOrNull("within_ms")?.let { (it * 1_000).toLong() }
+        // Nothing depends on the share of jobs that an objective is for, but a malformed one is refused like any other field.
+        fields.numberOrNull("share")
+        val factor = fields.numberOrNull("times") ?: 1.0
+        return when (kind) {
+            "wait" -> withinMicros?.let { Objective.Wait(jobClass, it) }
+            "finished" -> withinMicros?.let { Objective.Finished(jobClass, it) }
+            "deadline" -> Objective.Deadline(jobClass, factor)
+            "guarantee" -> withinMicros?.let { Objective.Guarantee(jobClass, it) }
+            else -> null
+        } ?: Objective.Ignored(jobClass)
+    }
 
     private fun workers(fields: Fields): WorkerSettings {
         val workers = WorkerSettings(
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -122,7 +122,7 @@
     @Test
     fun `a flow's waiting job has its turn after a few of each other flow, however many wait there`() {
         val classes = listOf("match", "pull")
-        val turns = FlowRoundRobin(FlowClassifier(classes.map { Objective("wait", it, 1, 1.0, null) }))
+        val turns = FlowRoundRobin(FlowClassifier(classes.map { Objective.Wait(it, 1) }))
         val flood = List(3_000) { job(it, "north", "match") }
         val others = listOf(job(5_000, "north", "pull"), job(5_001, "south", "match"), job(5_002, "south", "unknown"))
         var waiting = flood + others
--- a/src/test/kotlin/linemast/settings/SettingsTest.kt
+++ b/src/test/kotlin/linemast/settings/SettingsTest.kt
@@ -60,7 +60,25 @@
         assertEquals(2, settings.controllers)
         assertEquals(11_000_000L, settings.workers.leaseMicros)
         assertEquals(16 * 1024, settings.stateLimits.valueBytes)
-        assertEquals(12_000_000L, settings.objectives.single().withinMicros)
+        assertEquals(Objective.Wait("lane", 12_000_000L), settings.objectives.single())
+    }
+
+    @Test
+    fun `objectives are read by kind, and one that bounds nothing is ignored but for its class`() {
+        fun read(objective: String) = SettingsReader.parse(
+            good.replace("kind = \"wait\"\nclass = \"lane\"\nwithin_s = 12.0\nshare = 0.78", objective),
+        ).objectives.single()
+        assertEquals(Objective.Wait("lane", 300_000), read("kind = \"wait\"\nclass = \"lane\"\nwithin_ms = 300"))
+        assertEquals(Objective.Finished("lane", 180_000_000), read("kind = \"finished\"\nclass = \"lane\"\nwithin_s = 180.0"))
+        assertEquals(Objective.Deadline("lane", 1.75), read("kind = \"deadline\"\nclass = \"lane\"\ntimes = 1.75"))
+        assertEquals(Objective.Deadline("lane", 1.0), read("kind = \"deadline\"\nclass = \"lane\""))
+        assertEquals(Objective.Guarantee(null, 5_000_000), read("kind = \"guarantee\"\nwithin_s = 5.0\nshare = 0.85"))
+        assertEquals(Objective.Ignored("lane"), read("kind = \"throughput\"\nclass = \"lane\"\nwithin_s = 5.0"))
+        assertEquals(Objective.Ignored("lane"), read("kind = \"wait\"\nclass = \"lane\""))
+        for (malformed in listOf("share = \"most\"", "times = true", "within_s = \"soon\"")) {
+            val error = assertThrows(MalformedException::class.java) { read("kind = \"throughput\"\n$malformed") }
+            assertTrue(error.message.orEmpty().startsWith("settings.objectives[0]."), "${error.message}")
+        }
     }
 
     @Test
