--- a/src/main/kotlin/linemast/app/InspectionCommand.kt
+++ b/src/main/kotlin/linemast/app/InspectionCommand.kt
@@ -1,7 +1,7 @@
 package linemast.app
 
-import linemast.duties.DutyInspection
-import linemast.duties.DutyReport
+import linemast.duties.IntentInspection
+import linemast.duties.IntentReport
 import linemast.serialization.MalformedException
 import linemast.settings.DutySettings
 import linemast.settings.Settings
@@ -17,12 +17,12 @@
 internal class InspectionCommand(private val settings: Settings, private val duties: DutySettings, private val htmlFile: Path?) {
     /** Prints the report and writes the page; the exit code of the process. */
     fun run(): Int {
-        var report: DutyReport? = null
+        var report: IntentReport? = null
         val loop = EventLoop()
         try {
             loop.run {
                 val store = KeyValueStoreClient(loop, settings.state, settings.stateLimits, settings.controllers, SteadyClock)
-                report = DutyInspection(store, duties) { System.currentTimeMillis() * MICROS_PER_MILLI }.report()
+                report = IntentInspection(store, duties) { System.currentTimeMillis() * MICROS_PER_MILLI }.report()
             }
             val found = checkNotNull(report)
             print(found.text())
--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory
 
 /** What the planning wants from the cloud now. */
-class ScalingActions(val rentals: List<ScaleOutRequest>, val returns: Map<String, ScaleInReason>)
+class ScalingActions(val scaleOuts: List<ScaleOutRequest>, val scaleIns: Map<String, ScaleInReason>)
 
 /**
  * Runs the plan: whole plans each long interval and for each new job at once, backups each short interval.
@@ -33,12 +33,12 @@
     private var plannedAheadIds: Set<String> = emptySet()
 
     /** True once after each whole plan, for the record in the store. */
-    var freshPlan = false
+    var hasNewPlan = false
 
     /** Plans if that is due, and says what to rent and return now. */
     fun step(wallMicros: Long, nowMicros: Long): ScalingActions {
         if (fleet.baselineMachines == null) return NOTHING
-        if (!cluster.isReconciled) return ScalingActions(emptyList(), absentAtTakeOver(nowMicros))
+        if (!cluster.isReconciled) return ScalingActions(emptyList(), machinesMissingAfterFailover(nowMicros))
         demand.watch(nowMicros)
         val arrived = cluster.jobs.values.count { it.id !in known && !it.cancelled && !it.finished }
         // New jobs are planned at once, but together: each plan takes stock of the whole fleet.
@@ -67,20 +67,20 @@
      * over. Owned ones are too hard to get back, and a zone may be cut off as a whole: then only those are asked about
      * that the cloud does not list, or lists as failed.
      */
-    private fun absentAtTakeOver(nowMicros: Long): Map<String, ScaleInReason> {
-        if (!fleet.isListed || !isDue(returnedAbsentMicros, RETURN_AGAIN_MICROS, nowMicros)) return emptyMap()
+    private fun machinesMissingAfterFailover(nowMicros: Long): Map<String, ScaleInReason> {
+        if (!fleet.hasMachineList || !isDue(missingScaleInMicros, RETURN_AGAIN_MICROS, nowMicros)) return emptyMap()
         val heard = cluster.failover.zonesMostlyReporting()
         val absent = cluster.failover.missingMachines(nowMicros).filter { fleet.isGone(it.name) || (!it.baseline && it.zone in heard) }
         if (absent.isEmpty()) return emptyMap()
-        returnedAbsentMicros = nowMicros
+        missingScaleInMicros = nowMicros
         log.info("returning {}: absent at the take-over", absent.map { it.name })
-        return absent.associate { it.name to ScaleInReason.ABSENT }
+        return absent.associate { it.name to ScaleInReason.MISSING_AFTER_FAILOVER }
     }
 
-    private var returnedAbsentMicros = Long.MIN_VALUE
+    private var missingScaleInMicros = Long.MIN_VALUE
 
     /** A rental was refused or filled in part: the next offer is asked for without waiting out the interval. */
-    fun adjustSoon() {
+    fun replanSoon() {
         adjustedMicros = Long.MIN_VALUE
     }
 
@@ -98,7 +98,7 @@
         cluster.dirty = true
         if (!whole) return
         plannedMicros = nowMicros
-        freshPlan = true
+        hasNewPlan = true
         for (job in jobs) {
             val plan = planner.planOf(job) ?: continue
             log.debug(
@@ -115,11 +115,11 @@
 
     private fun adjustRentals(jobs: List<Job>, nowMicros: Long): ScalingActions {
         val wishes = planner.wishes(jobs, { it.baseline }, nowMicros)
-        val rentals = fleet.toRent(wishes, cluster.types.values, cluster.machines, ::allowance, cluster::isClosedTo, nowMicros)
+        val scaleOuts = fleet.planScaleOut(wishes, cluster.types.values, cluster.machines, ::allowance, cluster::isClosedTo, nowMicros)
         val wanted = wishes.filter { it.slots >= 1.0 }
-        val returns = fleet.toReturn(cluster.machines, planned(wanted.map { it.job }, jobs), demand.hasCeased(), nowMicros)
-        for ((reason, names) in returns.entries.groupBy({ it.value }, { it.key })) log.info("returning {}: {}", names, reason)
-        return ScalingActions(rentals, returns)
+        val scaleIns = fleet.planScaleIn(cluster.machines, planned(wanted.map { it.job }, jobs), demand.hasCeased(), nowMicros)
+        for ((reason, names) in scaleIns.entries.groupBy({ it.value }, { it.key })) log.info("returning {}: {}", names, reason)
+        return ScalingActions(scaleOuts, scaleIns)
     }
 
     /** Tells machines that waiting jobs could still use: rented ones if a plan rents for such a job, owned ones for any. */
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -18,10 +18,10 @@
 import linemast.transport.NoAnswerException
 
 /** As many machines as the cloud lists in one call. */
-const val MACHINES_A_LIST_CALL = 500
+const val MAX_MACHINES_PER_LIST_CALL = 500
 
 /** As many machines as the cloud takes back in one call. */
-const val MACHINES_A_RETURN_CALL = 100
+const val MAX_MACHINES_PER_SCALE_IN_CALL = 100
 
 /** A machine as the cloud lists it; the list lags behind. */
 class ListedMachine(
@@ -40,7 +40,7 @@
 /** What became of a rental request. */
 sealed interface ScaleOutResult {
     /** Machines were rented, possibly fewer than requested. */
-    class Rented(val names: List<String>) : ScaleOutResult
+    class Granted(val names: List<String>) : ScaleOutResult
 
     /** The cloud has none to give now. */
     data object NoCapacity : ScaleOutResult
@@ -80,7 +80,7 @@
         val all = ArrayList<ListedMachine>()
         var after = ""
         while (true) {
-            val path = "/machines?limit=$MACHINES_A_LIST_CALL" + if (after.isEmpty()) "" else "&after=$after"
+            val path = "/machines?limit=$MAX_MACHINES_PER_LIST_CALL" + if (after.isEmpty()) "" else "&after=$after"
             val truncated = read(call("GET", path, null, RequestPriority.NORMAL)) { page ->
                 page.children("rigs").mapTo(all, ::machine)
                 page.flagOrNull("truncated") ?: false
@@ -104,7 +104,7 @@
             return ScaleOutResult.Unknown
         }
         return when (reply.status) {
-            HttpStatus.OK -> read(reply) { ScaleOutResult.Rented(it.textsOrNull("rigs") ?: emptyList()) }
+            HttpStatus.OK -> read(reply) { ScaleOutResult.Granted(it.textsOrNull("rigs") ?: emptyList()) }
             HttpStatus.SERVICE_UNAVAILABLE -> {
                 val reason = runCatching { reply.fields().textOrNull("error") }.getOrNull()
                 if (reason == "no capacity") ScaleOutResult.NoCapacity else ScaleOutResult.Unknown
@@ -115,7 +115,7 @@
     }
 
     override suspend fun scaleIn(names: List<String>) {
-        for (part in names.chunked(MACHINES_A_RETURN_CALL)) {
+        for (part in names.chunked(MAX_MACHINES_PER_SCALE_IN_CALL)) {
             val reply = call("POST", "/machines/return", Cbor.encode(mapOf("rigs" to part)), RequestPriority.CRITICAL)
             if (reply.status != HttpStatus.OK) throw CloudException("the cloud answered ${reply.status} to a return")
         }
--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -10,11 +10,11 @@
 import org.slf4j.LoggerFactory
 
 /** A machine of the cloud's list, or of a rental that the list does not show yet. */
-class CloudMachine(val name: String, val type: MachineType, val zone: String, val spot: Boolean, val rentedMicros: Long) {
+class CloudMachine(val name: String, val type: MachineType, val zone: String, val spot: Boolean, val createdMicros: Long) {
     val shape = MachineShape(type, zone, spot)
-    var listedMicros = 0L
+    var lastListedMicros = 0L
     var status = STARTING
-    var returning = false
+    var scalingIn = false
 
     companion object {
         /** The cloud's name of a machine that is not up yet. */
@@ -39,54 +39,54 @@
     /** Names of the standing fleet; null until they are known. */
     var baselineMachines: Set<String>? = null
     private val refusals = HashMap<MachineShape, Refusal>()
-    private val pendingRents = LinkedHashMap<String, ScaleOutRequest>()
+    private val pendingScaleOuts = LinkedHashMap<String, ScaleOutRequest>()
     private var requestCount = 0L
 
     /** Requests under way at once, so that a call is made by what is known when it leaves, not by what was known a queue ago. */
     private val maxRequests = Math.ceil(settings.cloudLimits.rps).toInt().coerceAtLeast(MIN_REQUESTS)
 
     /** Whether wishes are left that a request under way keeps from being asked for. */
-    var hasWaitingWishes = false
+    var hasDeferredDemand = false
         private set
 
     /** Machines whose return an earlier leader has asked for: it may be carried out at any moment. */
-    private val returning = HashSet<String>()
+    private val scalingIn = HashSet<String>()
 
     private class Refusal(var untilMicros: Long, var times: Int)
 
     /** Whether the cloud's list has been seen. */
-    var isListed = false
+    var hasMachineList = false
         private set
 
     /** Takes the cloud's machine list. */
-    fun listed(list: List<ListedMachine>, types: Map<String, MachineType>, nowMicros: Long) {
-        isListed = true
+    fun updateFromList(list: List<ListedMachine>, types: Map<String, MachineType>, nowMicros: Long) {
+        hasMachineList = true
         for (item in list) {
             val type = types[item.machineType] ?: continue
             val machine = machines.getOrPut(item.name) {
-                CloudMachine(item.name, type, item.zone, item.spot, nowMicros - item.ageMicros).also { it.returning = it.name in returning }
+                CloudMachine(item.name, type, item.zone, item.spot, nowMicros - item.ageMicros).also { it.scalingIn = it.name in scalingIn }
             }
-            machine.listedMicros = nowMicros
+            machine.lastListedMicros = nowMicros
             machine.status = item.status
         }
         val absentSince = nowMicros - ABSENCE_LAGS * settings.cloudLimits.listLagMicros - ABSENCE_MICROS
-        machines.values.removeIf { maxOf(it.listedMicros, it.rentedMicros) < absentSince }
+        machines.values.removeIf { maxOf(it.lastListedMicros, it.createdMicros) < absentSince }
     }
 
     /** An earlier leader has asked for [request], and its answer is not known yet. */
-    fun adopt(request: ScaleOutRequest) {
-        pendingRents[request.requestId] = request
+    fun addPendingScaleOut(request: ScaleOutRequest) {
+        pendingScaleOuts[request.requestId] = request
     }
 
     /** Machines of which an earlier leader has decided the return. */
-    fun markReturning(names: Collection<String>) {
-        returning += names
-        names.forEach { machines[it]?.returning = true }
+    fun markScalingIn(names: Collection<String>) {
+        scalingIn += names
+        names.forEach { machines[it]?.scalingIn = true }
     }
 
     /** The cloud has granted [names] for [request]. */
-    fun rented(request: ScaleOutRequest, names: List<String>, types: Map<String, MachineType>, nowMicros: Long) {
-        pendingRents.remove(request.requestId)
+    fun scaleOutGranted(request: ScaleOutRequest, names: List<String>, types: Map<String, MachineType>, nowMicros: Long) {
+        pendingScaleOuts.remove(request.requestId)
         val type = types[request.machineType] ?: return
         for (name in names) {
             machines.getOrPut(name) { CloudMachine(name, type, request.zone, request.spot, nowMicros) }
@@ -97,21 +97,21 @@
     }
 
     /** The cloud has no capacity for [request]; its offer is not asked for again for a while. */
-    fun refused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
-        pendingRents.remove(request.requestId)
+    fun scaleOutRefused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
+        pendingScaleOuts.remove(request.requestId)
         log.debug("no {} in {}{}", request.machineType, request.zone, kind(request.spot))
         types[request.machineType]?.let { refuse(MachineShape(it, request.zone, request.spot), nowMicros) }
     }
 
     /** The rental may or may not have happened; what it brought will show in the list. */
-    fun gaveUp(request: ScaleOutRequest) {
-        pendingRents.remove(request.requestId)
+    fun scaleOutAbandoned(request: ScaleOutRequest) {
+        pendingScaleOuts.remove(request.requestId)
     }
 
     /** The cloud has confirmed the return of [names]. */
-    fun gone(names: Collection<String>) {
+    fun scaleInConfirmed(names: Collection<String>) {
         names.forEach(machines::remove)
-        returning -= names.toSet()
+        scalingIn -= names.toSet()
     }
 
     private fun refuse(offer: MachineShape, nowMicros: Long) {
@@ -125,7 +125,7 @@
     private fun kind(spot: Boolean) = if (spot) " (spot)" else ""
 
     /** Rentals that would meet [wishes], given what is there or on its way. */
-    fun toRent(
+    fun planScaleOut(
         wishes: List<ScaleOutDemand>,
         types: Collection<MachineType>,
         workers: Map<String, Machine>,
@@ -135,7 +135,7 @@
     ): List<ScaleOutRequest> {
         val supply = supply(types, workers, nowMicros)
         val requests = LinkedHashMap<MachineShape, Int>()
-        var rentedVcpus = supply.sumOf { it.machines * it.shape.type.vcpus }
+        var scaledOutVcpus = supply.sumOf { it.machines * it.shape.type.vcpus }
         for (wish in wishes) {
             var left = minOf(wish.slots, allowance(wish.job))
             if (left < MIN_WISH) continue
@@ -144,20 +144,20 @@
             val offer = offers(wish.job, types, nowMicros).firstOrNull { !closed(it.type, it.spot, wish.job) } ?: continue
             val perMachine = Math.floor(offer.type.vcpus / wish.job.spec.vcpus + EPSILON)
             val wanted =
-                minOf(Math.ceil(left / perMachine - EPSILON).toInt(), ((policy.maxRentedVcpus - rentedVcpus) / offer.type.vcpus).toInt())
+                minOf(Math.ceil(left / perMachine - EPSILON).toInt(), ((policy.maxRentedVcpus - scaledOutVcpus) / offer.type.vcpus).toInt())
             if (wanted <= 0) continue
             // Only what the cloud grants counts; a refusal brings the next offer into play soon.
             requests.merge(offer, wanted, Int::plus)
-            rentedVcpus += wanted * offer.type.vcpus
+            scaledOutVcpus += wanted * offer.type.vcpus
             supply += Supply(offer).also {
                 it.add(wanted)
                 it.take(wish.job, left)
             }
         }
         val calls = requests.flatMap { (offer, number) -> callSizes(number).map { offer to it } }
-        val free = (maxRequests - pendingRents.size).coerceAtLeast(0)
-        hasWaitingWishes = calls.size > free
-        return calls.take(free).map { (offer, number) -> request(offer, number) }.onEach { pendingRents[it.requestId] = it }
+        val free = (maxRequests - pendingScaleOuts.size).coerceAtLeast(0)
+        hasDeferredDemand = calls.size > free
+        return calls.take(free).map { (offer, number) -> request(offer, number) }.onEach { pendingScaleOuts[it.requestId] = it }
     }
 
     /** [number] in parts that the cloud takes in one request. */
@@ -198,13 +198,13 @@
     private fun supply(types: Collection<MachineType>, workers: Map<String, Machine>, nowMicros: Long): MutableList<Supply> {
         val supply = LinkedHashMap<MachineShape, Supply>()
         for (machine in machines.values) {
-            if (isBaseline(machine.name) || machine.returning || machine.status == CloudMachine.FAILED) continue
+            if (isBaseline(machine.name) || machine.scalingIn || machine.status == CloudMachine.FAILED) continue
             val worker = workers[machine.name]
-            val overdue = worker == null && nowMicros - machine.rentedMicros > OVERDUE_BOOTS * machine.type.startupMicros
+            val overdue = worker == null && nowMicros - machine.createdMicros > OVERDUE_BOOTS * machine.type.startupMicros
             if (overdue || worker?.draining == true || (worker != null && worker.unacknowledgedSinceMicros > 0)) continue
             supply.getOrPut(machine.shape) { Supply(machine.shape) }.add(1)
         }
-        for (request in pendingRents.values) {
+        for (request in pendingScaleOuts.values) {
             val type = types.firstOrNull { it.name == request.machineType } ?: continue
             val shape = MachineShape(type, request.zone, request.spot)
             supply.getOrPut(shape) { Supply(shape) }.add(request.number)
@@ -235,17 +235,17 @@
     fun isBaseline(name: String): Boolean = baselineMachines?.contains(name) ?: true
 
     /** Machines to be given back now, with the reason. */
-    fun toReturn(
+    fun planScaleIn(
         workers: Map<String, Machine>,
         planned: (Machine) -> Boolean,
         demandCeased: Boolean,
         nowMicros: Long,
     ): Map<String, ScaleInReason> {
-        val heardZones = scaleInPolicy.heardZones(workers, nowMicros)
-        val situation = ScaleInPolicy.Situation(planned, demandCeased, heardZones, nowMicros)
+        val reportingZones = scaleInPolicy.reportingZones(workers, nowMicros)
+        val situation = ScaleInPolicy.Situation(planned, demandCeased, reportingZones, nowMicros)
         val reasons = LinkedHashMap<String, ScaleInReason>()
         for (machine in machines.values) {
-            if (machine.returning) continue
+            if (machine.scalingIn) continue
             val reason = scaleInPolicy.reason(machine, workers[machine.name], isBaseline(machine.name), situation) ?: continue
             reasons[machine.name] = reason
         }
--- a/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
@@ -14,12 +14,12 @@
         val isNeeded: (Machine) -> Boolean,
         val demandCeased: Boolean,
         /** Zones from which workers report: one that is silent as a whole is more likely cut off than gone. */
-        val heardZones: Set<String>,
+        val reportingZones: Set<String>,
         val nowMicros: Long,
     )
 
     /** Zones from which a worker has reported lately. */
-    fun heardZones(workersByName: Map<String, Machine>, nowMicros: Long): Set<String> {
+    fun reportingZones(workersByName: Map<String, Machine>, nowMicros: Long): Set<String> {
         val freshMicros = QUIET_MICROS + workers.heartbeatIntervalMicros
         return workersByName.values.filter { nowMicros - it.lastHeartbeatMicros < freshMicros }.mapTo(HashSet()) { it.zone }
     }
@@ -32,22 +32,22 @@
     }
 
     private fun neverReported(machine: CloudMachine, nowMicros: Long): ScaleInReason? {
-        val age = nowMicros - machine.rentedMicros
+        val age = nowMicros - machine.createdMicros
         val limit = NEVER_BOOTS * machine.type.startupMicros + NEVER_MICROS
-        return if (machine.status == CloudMachine.STARTING && age > limit) ScaleInReason.NEVER_UP else null
+        return if (machine.status == CloudMachine.STARTING && age > limit) ScaleInReason.NEVER_STARTED else null
     }
 
     private fun faulty(machine: CloudMachine, worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
         val silentMicros = situation.nowMicros - worker.lastHeartbeatMicros
-        val isHeardZone = worker.zone in situation.heardZones
+        val isReportingZone = worker.zone in situation.reportingZones
         val noticeMicros = worker.preemptionNoticeMicros
         val maxSilentMicros = if (isBaseline) BASELINE_SILENT_MICROS else SILENT_MICROS
         return when {
-            worker.failedJobs.size >= FAILED_JOBS && worker.draining -> ScaleInReason.FAULTY
+            worker.failedJobs.size >= FAILED_JOBS && worker.draining -> ScaleInReason.QUARANTINED
             noticeMicros != null && silentMicros >= noticeMicros - PREEMPTION_MARGIN_MICROS -> ScaleInReason.PREEMPTED
-            machine.spot && silentMicros > quietMicros && isHeardZone -> ScaleInReason.TAKEN
-            silentMicros > maxSilentMicros && isHeardZone -> ScaleInReason.SILENT
-            isUnreachable(worker, situation.nowMicros) -> ScaleInReason.DEAF
+            machine.spot && silentMicros > quietMicros && isReportingZone -> ScaleInReason.PREEMPTED_WITHOUT_NOTICE
+            silentMicros > maxSilentMicros && isReportingZone -> ScaleInReason.MISSING_HEARTBEAT
+            isUnreachable(worker, situation.nowMicros) -> ScaleInReason.UNREACHABLE
             else -> null
         }
     }
--- a/src/main/kotlin/linemast/cloud/ScaleInReason.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInReason.kt
@@ -3,13 +3,13 @@
 /** Why a machine is given back to the cloud; [text] is what the log says. */
 enum class ScaleInReason(val text: String) {
     FAILED("has stopped by itself"),
-    NEVER_UP("does not come up"),
-    FAULTY("fails what it starts"),
+    NEVER_STARTED("does not come up"),
+    QUARANTINED("fails what it starts"),
     PREEMPTED("preempted"),
-    TAKEN("taken without notice"),
-    SILENT("silent"),
-    DEAF("does not hear"),
-    ABSENT("absent at the take-over"),
+    PREEMPTED_WITHOUT_NOTICE("taken without notice"),
+    MISSING_HEARTBEAT("silent"),
+    UNREACHABLE("does not hear"),
+    MISSING_AFTER_FAILOVER("absent at the take-over"),
     IDLE("idle"),
     BASELINE_IDLE("owned, long idle"),
     ;
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -9,7 +9,7 @@
 import linemast.cloud.CloudActionExecutor
 import linemast.cloud.CloudException
 import linemast.cloud.Fleet
-import linemast.cloud.MACHINES_A_LIST_CALL
+import linemast.cloud.MAX_MACHINES_PER_LIST_CALL
 import linemast.cloud.ScaleInBatch
 import linemast.cloud.ScaleOutRequest
 import linemast.cloud.ScaleOutResult
@@ -49,7 +49,7 @@
                 val list = cloud.machines()
                 onLeaderLoop {
                     val now = clock.nowMicros()
-                    fleet.listed(list, cluster.types, now)
+                    fleet.updateFromList(list, cluster.types, now)
                     val absent = cluster.forgetAbsent(fleet.machines.keys, now)
                     if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
                 }
@@ -64,7 +64,7 @@
 
     /** Listing a large fleet takes several calls: so many that rentals and returns keep the greater part of what the cloud takes. */
     private fun listPeriodMillis(machines: Int): Long {
-        val calls = machines / MACHINES_A_LIST_CALL + 1
+        val calls = machines / MAX_MACHINES_PER_LIST_CALL + 1
         return maxOf(LIST_MILLIS, (calls * SECOND_MILLIS / (callsPerSecond * LIST_SHARE)).toLong())
     }
 
@@ -78,25 +78,25 @@
 
     /** Starts the rentals and returns of [actions]. */
     fun run(actions: ScalingActions) {
-        actions.rentals.forEach { request -> scope.launch { scaleOut(request) } }
-        if (actions.returns.isNotEmpty()) executor.parts(actions.returns).forEach(::scaleIn)
+        actions.scaleOuts.forEach { request -> scope.launch { scaleOut(request) } }
+        if (actions.scaleIns.isNotEmpty()) executor.parts(actions.scaleIns).forEach(::scaleIn)
     }
 
     /** A request without an answer is repeated under the same id, which rents at most once. */
     private suspend fun scaleOut(request: ScaleOutRequest) {
-        repeat(RENT_TRIES) {
+        repeat(MAX_SCALE_OUT_ATTEMPTS) {
             if (!leaderLease.mayIssueCommands(clock.nowMicros())) return@repeat
-            val result = tryRent(request)
-            if (result != ScaleOutResult.Unknown) return onLeaderLoop { rented(request, result) }
+            val result = tryScaleOut(request)
+            if (result != ScaleOutResult.Unknown) return onLeaderLoop { scaleOutFinished(request, result) }
             delay(RETRY_MILLIS)
         }
         onLeaderLoop {
-            fleet.gaveUp(request)
-            autoscaler.adjustSoon()
+            fleet.scaleOutAbandoned(request)
+            autoscaler.replanSoon()
         }
     }
 
-    private suspend fun tryRent(request: ScaleOutRequest): ScaleOutResult = try {
+    private suspend fun tryScaleOut(request: ScaleOutRequest): ScaleOutResult = try {
         executor.scaleOut(request)
     } catch (e: CloudException) {
         log.error("rental {}: {}", request.requestId, e.message)
@@ -104,27 +104,27 @@
     }
 
     /** Takes what became of a rental. */
-    fun rented(request: ScaleOutRequest, result: ScaleOutResult) {
+    fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult) {
         val now = clock.nowMicros()
-        if (result == ScaleOutResult.Unknown) return fleet.gaveUp(request)
-        val granted = (result as? ScaleOutResult.Rented)?.names
-        if (granted == null) fleet.refused(request, cluster.types, now) else fleet.rented(request, granted, cluster.types, now)
-        if ((granted?.size ?: 0) < request.number || fleet.hasWaitingWishes) autoscaler.adjustSoon()
+        if (result == ScaleOutResult.Unknown) return fleet.scaleOutAbandoned(request)
+        val granted = (result as? ScaleOutResult.Granted)?.names
+        if (granted == null) fleet.scaleOutRefused(request, cluster.types, now) else fleet.scaleOutGranted(request, granted, cluster.types, now)
+        if ((granted?.size ?: 0) < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
     }
 
     private fun scaleIn(returns: ScaleInBatch) {
         val names = returns.keys.toList()
         for (name in names) {
-            fleet.machines[name]?.returning = true
+            fleet.machines[name]?.scalingIn = true
             cluster.machines[name]?.draining = true
         }
         scope.launch {
-            val isConfirmed = tryGiveBack(returns)
-            onLeaderLoop { if (isConfirmed) returned(names) else names.forEach { fleet.machines[it]?.returning = false } }
+            val isConfirmed = tryScaleIn(returns)
+            onLeaderLoop { if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.scalingIn = false } }
         }
     }
 
-    private suspend fun tryGiveBack(returns: ScaleInBatch): Boolean = try {
+    private suspend fun tryScaleIn(returns: ScaleInBatch): Boolean = try {
         executor.scaleIn(returns)
         true
     } catch (e: CloudException) {
@@ -133,8 +133,8 @@
     }
 
     /** The cloud has confirmed that the machines are gone. */
-    fun returned(names: List<String>) {
-        fleet.gone(names)
+    fun scaleInConfirmed(names: List<String>) {
+        fleet.scaleInConfirmed(names)
         cluster.returned(names)
         machineRegistryStore.remove(names)
     }
@@ -146,6 +146,6 @@
         /** Of the calls that the cloud takes, for its list. */
         const val LIST_SHARE = 0.25
         const val RETRY_MILLIS = 1_000L
-        const val RENT_TRIES = 5
+        const val MAX_SCALE_OUT_ATTEMPTS = 5
     }
 }
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -19,7 +19,7 @@
 import linemast.domain.JobProgress
 import linemast.domain.Machine
 import linemast.domain.MachineType
-import linemast.duties.DutyHolder
+import linemast.duties.WriteAheadCloudActionExecutor
 import linemast.leadership.CancellationFreshness
 import linemast.leadership.LeaderLease
 import linemast.peers.PeerView
@@ -116,7 +116,7 @@
         limits.maxTxnOps,
         settings.cloudLimits.listLagMicros,
     )
-    private val duties = features.duties?.let { DutyHolder(it, store, cloud, clock, wallMicros, leaderLease, limits) }
+    private val duties = features.duties?.let { WriteAheadCloudActionExecutor(it, store, cloud, clock, wallMicros, leaderLease, limits) }
     private val cloudOperations =
         CloudOperations(
             cloud,
@@ -244,8 +244,8 @@
         cluster.tick(now)
         utilizationLog.step(now)
         cloudOperations.run(autoscaler.step(wallMicros(), now))
-        if (autoscaler.freshPlan) {
-            autoscaler.freshPlan = false
+        if (autoscaler.hasNewPlan) {
+            autoscaler.hasNewPlan = false
             planStore.write(cluster.jobs.values)
         }
     }
--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -15,12 +15,12 @@
     val duty: Duty
 
     /** Rents machines; the request's id makes a repetition rent nothing more. */
-    data class Rental(val request: ScaleOutRequest) : CloudAction {
-        override val duty get() = Duty.RENT
+    data class ScaleOut(val request: ScaleOutRequest) : CloudAction {
+        override val duty get() = Duty.SCALE_OUT
     }
 
     /** Gives machines back; names that are gone already are ignored by the cloud, and no name is ever used again. */
-    data class Return(val names: List<String>, override val duty: Duty) : CloudAction
+    data class ScaleIn(val names: List<String>, override val duty: Duty) : CloudAction
 }
 
 /** How far an intent has come; all but [OPEN] are final. */
--- a/src/main/kotlin/linemast/duties/IntentAudit.kt
+++ b/src/main/kotlin/linemast/duties/IntentAudit.kt
@@ -23,7 +23,7 @@
 }
 
 /** Checks the stored intents against the rules of single-holder duties; pure. */
-class IntentAudit(private val adoptMicros: Long) {
+class IntentAudit(private val scaleOutRetryMicros: Long) {
     /** All that is to be said of [intents], the violations first. */
     fun check(intents: List<Intent>, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
         val findings = intents.flatMap { tokens(it, leadership) + rental(it) + age(it, leadership, wallMicros) } +
@@ -44,7 +44,7 @@
 
     /** The ids of rental requests begin with the fencing token of the leader that asks. */
     private fun rental(intent: Intent): List<AuditFinding> {
-        val rental = intent.action as? CloudAction.Rental ?: return emptyList()
+        val rental = intent.action as? CloudAction.ScaleOut ?: return emptyList()
         val token = rental.request.requestId.split('-').getOrNull(1)?.toLongOrNull()
         return if (token == intent.id.fencingToken) emptyList() else listOf(violation(intent, "asks under another term's request id"))
     }
@@ -52,7 +52,7 @@
     /** What earlier leaders left open the present one carries out, once it can. */
     private fun age(intent: Intent, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
         val isLeft = !intent.state.isTerminal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
-        val isOld = wallMicros - intent.decidedWallMicros > adoptMicros * OLD_ADOPTIONS
+        val isOld = wallMicros - intent.decidedWallMicros > scaleOutRetryMicros * OLD_ADOPTIONS
         val message = "was left open by an earlier leader, and the present one has not ended it"
         return if (isLeft && isOld) listOf(AuditFinding(AuditFinding.Severity.WARNING, intent.id, message)) else emptyList()
     }
@@ -61,14 +61,14 @@
         intents.groupBy { it.id }.values.filter { it.size > 1 }.map { violation(it.first(), "is held by ${it.size} slots") }
 
     private fun repeatedRequests(intents: List<Intent>): List<AuditFinding> = intents
-        .mapNotNull { intent -> (intent.action as? CloudAction.Rental)?.let { it.request.requestId to intent } }
+        .mapNotNull { intent -> (intent.action as? CloudAction.ScaleOut)?.let { it.request.requestId to intent } }
         .groupBy({ it.first }, { it.second }).values
         .filter { it.size > 1 }.map { violation(it.last(), "repeats the rental request of ${it.first().id}") }
 
     private fun machinesReturnedTwice(intents: List<Intent>): List<AuditFinding> {
         val byMachine = LinkedHashMap<String, ArrayList<Intent>>()
         for (intent in intents) {
-            (intent.action as? CloudAction.Return)?.names?.forEach { byMachine.getOrPut(it) { ArrayList() } += intent }
+            (intent.action as? CloudAction.ScaleIn)?.names?.forEach { byMachine.getOrPut(it) { ArrayList() } += intent }
         }
         return byMachine.filter { (_, returns) -> returns.count { !it.state.isTerminal } > 1 }.map { (name, returns) ->
             val message = "$name is being returned by ${returns.map { it.id }}"
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -25,8 +25,8 @@
         put("count", intent.machineCount)
         intent.closedByToken?.let { put("closed_by", it) }
         when (val action = intent.action) {
-            is CloudAction.Rental -> put("rental", encode(action.request))
-            is CloudAction.Return -> put("rigs", action.names)
+            is CloudAction.ScaleOut -> put("rental", encode(action.request))
+            is CloudAction.ScaleIn -> put("rigs", action.names)
         }
     }
 
@@ -52,9 +52,9 @@
     }
 
     private fun action(duty: Duty, fields: Fields): CloudAction {
-        if (duty == Duty.RENT) return CloudAction.Rental(request(fields.child("rental")))
+        if (duty == Duty.SCALE_OUT) return CloudAction.ScaleOut(request(fields.child("rental")))
         val names = fields.textsOrNull("rigs") ?: fields.fail("rigs", "is missing")
-        return CloudAction.Return(names, duty)
+        return CloudAction.ScaleIn(names, duty)
     }
 
     private fun request(fields: Fields) = ScaleOutRequest(
--- a/src/main/kotlin/linemast/duties/DutyInspection.kt
+++ b/src/main/kotlin/linemast/duties/IntentInspection.kt
@@ -6,9 +6,9 @@
 import linemast.store.listAll
 
 /** Reads what the store holds of single-holder duties, and reports on it. Changes nothing. */
-class DutyInspection(private val store: KeyValueStore, private val settings: DutySettings, private val wallMicros: () -> Long) {
+class IntentInspection(private val store: KeyValueStore, private val settings: DutySettings, private val wallMicros: () -> Long) {
     /** The report as of now. */
-    suspend fun report(): DutyReport {
+    suspend fun report(): IntentReport {
         // The counter is read last: no intent that was read before it can be of a token that was not given out.
         val log = IntentLog.empty(settings.slots).reload(store.listAll(IntentCodec.PREFIX).entries)
         val leader = store.get(LeaderKeys.LEADER)
@@ -19,6 +19,6 @@
             highestToken = highest?.value?.long("n") ?: 0L,
         )
         val intents = log.intents.map { it.intent }
-        return DutyReport(intents, leadership, IntentAudit(settings.adoptMicros).check(intents, leadership, wallMicros()))
+        return IntentReport(intents, leadership, IntentAudit(settings.scaleOutRetryMicros).check(intents, leadership, wallMicros()))
     }
 }
--- a/src/main/kotlin/linemast/duties/DutyReport.kt
+++ b/src/main/kotlin/linemast/duties/IntentReport.kt
@@ -19,7 +19,7 @@
 import java.time.temporal.ChronoUnit
 
 /** The latest actions at the cloud with the findings of the audit, for operators to read. */
-class DutyReport(private val intents: List<Intent>, private val leadership: LeadershipRecord, private val findings: List<AuditFinding>) {
+class IntentReport(private val intents: List<Intent>, private val leadership: LeadershipRecord, private val findings: List<AuditFinding>) {
     /** Whether a rule is broken. */
     val hasViolations: Boolean get() = findings.any { it.severity == AuditFinding.Severity.VIOLATION }
 
@@ -41,8 +41,8 @@
     )
 
     private fun describe(action: CloudAction): String = when (action) {
-        is CloudAction.Return -> action.names.joinToString(" ")
-        is CloudAction.Rental -> action.request.let {
+        is CloudAction.ScaleIn -> action.names.joinToString(" ")
+        is CloudAction.ScaleOut -> action.request.let {
             "${it.requestId}: ${it.number} ${it.machineType} in ${it.zone}${if (it.spot) " (spot)" else ""}"
         }
     }
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -21,16 +21,16 @@
     private val wallMicros: () -> Long,
     private val leaderLease: LeaderLease,
     private val writer: IntentWriter,
-    private val adoptMicros: Long,
+    private val scaleOutRetryMicros: Long,
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
     /** Repeats the rental until the cloud has answered or it is too old; [ScaleOutResult.Unknown] in the latter case. */
-    suspend fun scaleOut(open: StoredIntent, rental: CloudAction.Rental): ScaleOutResult {
+    suspend fun scaleOut(open: StoredIntent, rental: CloudAction.ScaleOut): ScaleOutResult {
         while (isYoung(open.intent)) {
             awaitAuthority()
-            when (val result = tryRent(rental)) {
-                is ScaleOutResult.Rented -> {
+            when (val result = tryScaleOut(rental)) {
+                is ScaleOutResult.Granted -> {
                     writer.close(open, IntentState.CARRIED_OUT, result.names.size)
                     return result
                 }
@@ -46,10 +46,10 @@
         return ScaleOutResult.Unknown
     }
 
-    private fun isYoung(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < adoptMicros
+    private fun isYoung(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryMicros
 
     /** A request that the cloud takes to be malformed will never be carried out. */
-    private suspend fun tryRent(rental: CloudAction.Rental): ScaleOutResult = try {
+    private suspend fun tryScaleOut(rental: CloudAction.ScaleOut): ScaleOutResult = try {
         cloud.scaleOut(rental.request)
     } catch (e: CloudException) {
         logger.error("rental {}: {}", rental.request.requestId, e.message)
@@ -76,7 +76,7 @@
 
     private suspend fun awaitAuthority() {
         while (!leaderLease.mayIssueCommands(clock.nowMicros())) {
-            if (leaderLease.ended) throw DutyLostException(leaderLease.fencingToken)
+            if (leaderLease.ended) throw LeadershipLostException(leaderLease.fencingToken)
             delay(AUTHORITY_MILLIS)
         }
     }
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory
 
 /** This controller does not hold the duties any more: whatever it wanted to do is for the next holder to decide. */
-class DutyLostException(fencingToken: Long) : CloudException("the term with fencing token $fencingToken has ended")
+class LeadershipLostException(fencingToken: Long) : CloudException("the term with fencing token $fencingToken has ended")
 
 /** As many intents are open as there are slots: nothing new can be begun until one of them has ended. */
-class NoFreeSlotException : CloudException("all slots hold open intents")
+class IntentLogFullException : CloudException("all slots hold open intents")
 
 /**
  * Writes intents, and their ends, to the store: one transaction at a time, which takes all that wait.
@@ -64,7 +64,7 @@
 
     /** Commits that [action] is to be done, and returns once the store holds it. */
     suspend fun begin(action: CloudAction): StoredIntent {
-        val slot = log.freeSlot() ?: throw NoFreeSlotException()
+        val slot = log.freeSlot() ?: throw IntentLogFullException()
         log = log.reserve(slot)
         val intent = Intent(IntentId(leaderLease.fencingToken, ++lastNumber), action, wallMicros())
         val stored = CompletableDeferred<StoredIntent>()
@@ -143,7 +143,7 @@
         log = log.release(request.slot)
         val slot = log.freeSlot()
         if (slot == null) {
-            request.stored.completeExceptionally(NoFreeSlotException())
+            request.stored.completeExceptionally(IntentLogFullException())
             return null
         }
         log = log.reserve(slot)
@@ -157,7 +157,7 @@
     }
 
     private fun abandon(waiting: List<Request>) {
-        val lost = DutyLostException(leaderLease.fencingToken)
+        val lost = LeadershipLostException(leaderLease.fencingToken)
         requests.close(lost)
         val unanswered = waiting + generateSequence { requests.tryReceive().getOrNull() }
         unanswered.filterIsInstance<Request.Begin>().forEach { it.stored.completeExceptionally(lost) }
--- a/src/main/kotlin/linemast/duties/InheritedReturns.kt
+++ b/src/main/kotlin/linemast/duties/PendingScaleIns.kt
@@ -6,11 +6,11 @@
  * The cloud may have carried them out, may do so at any moment, or may never have been asked. So their machines get no
  * new work, and are given back as soon as no work is on them.
  */
-class InheritedReturns(inherited: List<StoredIntent>) {
+class PendingScaleIns(inherited: List<StoredIntent>) {
     private class Pending(val stored: StoredIntent, val names: LinkedHashSet<String>)
 
     private val pending = inherited.mapNotNull { stored ->
-        (stored.intent.action as? CloudAction.Return)?.let { Pending(stored, LinkedHashSet(it.names)) }
+        (stored.intent.action as? CloudAction.ScaleIn)?.let { Pending(stored, LinkedHashSet(it.names)) }
     }.toMutableList()
     private val underWay = HashSet<String>()
 
--- a/src/main/kotlin/linemast/duties/DutyOfReturn.kt
+++ b/src/main/kotlin/linemast/duties/ScaleInDuty.kt
@@ -6,7 +6,7 @@
 /** The duty that giving a machine back for this reason belongs to. */
 internal val ScaleInReason.duty: Duty
     get() = when (this) {
-        ScaleInReason.IDLE, ScaleInReason.BASELINE_IDLE -> Duty.RETURN
-        ScaleInReason.FAILED, ScaleInReason.NEVER_UP, ScaleInReason.TAKEN -> Duty.CLEAN_UP
-        ScaleInReason.FAULTY, ScaleInReason.PREEMPTED, ScaleInReason.SILENT, ScaleInReason.DEAF, ScaleInReason.ABSENT -> Duty.RECLAIM
+        ScaleInReason.IDLE, ScaleInReason.BASELINE_IDLE -> Duty.SCALE_IN
+        ScaleInReason.FAILED, ScaleInReason.NEVER_STARTED, ScaleInReason.PREEMPTED_WITHOUT_NOTICE -> Duty.CLEAN_UP
+        ScaleInReason.QUARANTINED, ScaleInReason.PREEMPTED, ScaleInReason.MISSING_HEARTBEAT, ScaleInReason.UNREACHABLE, ScaleInReason.MISSING_AFTER_FAILOVER -> Duty.RECLAIM
     }
--- a/src/main/kotlin/linemast/duties/DutyHolder.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -3,7 +3,7 @@
 import linemast.cloud.Cloud
 import linemast.cloud.CloudActionExecutor
 import linemast.cloud.CloudException
-import linemast.cloud.MACHINES_A_RETURN_CALL
+import linemast.cloud.MAX_MACHINES_PER_SCALE_IN_CALL
 import linemast.cloud.ScaleInBatch
 import linemast.cloud.ScaleOutRequest
 import linemast.cloud.ScaleOutResult
@@ -22,7 +22,7 @@
  * controller that has been replaced can begin nothing, whatever its clock says, and a call of it that comes late does
  * only what its successor has read in the store and takes as done.
  */
-internal class DutyHolder(
+internal class WriteAheadCloudActionExecutor(
     private val settings: DutySettings,
     store: KeyValueStore,
     cloud: Cloud,
@@ -34,7 +34,7 @@
     private val writer = IntentWriter(store, leaderLease, settings.slots, limits.maxTxnOps, wallMicros)
 
     /** Carries out what this term, or an earlier one, has committed. */
-    val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.adoptMicros)
+    val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.scaleOutRetryMicros)
 
     /** Intents of earlier terms that have not ended, as [load] has read them. */
     val inherited: List<StoredIntent> get() = writer.log.open.filter { it.intent.id.fencingToken < leaderLease.fencingToken }
@@ -46,11 +46,11 @@
     suspend fun run() = writer.run()
 
     override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
-        if (Duty.RENT in settings.suspended) return ScaleOutResult.NoCapacity
-        val rental = CloudAction.Rental(request)
+        if (Duty.SCALE_OUT in settings.suspended) return ScaleOutResult.NoCapacity
+        val rental = CloudAction.ScaleOut(request)
         val result = try {
             runner.scaleOut(writer.begin(rental), rental)
-        } catch (e: DutyLostException) {
+        } catch (e: LeadershipLostException) {
             // It is for the next holder to carry on with.
             return ScaleOutResult.Unknown
         }
@@ -60,20 +60,20 @@
 
     override fun parts(returns: ScaleInBatch): List<ScaleInBatch> = returns.entries.groupBy { it.value.duty }.flatMap { (duty, group) ->
         if (duty in settings.suspended) return@flatMap emptyList()
-        group.chunked(namesInValue(group.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
+        group.chunked(maxMachinesPerIntent(group.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
     }
 
     override suspend fun scaleIn(returns: ScaleInBatch) {
         val names = returns.keys.toList()
-        val open = writer.begin(CloudAction.Return(names, returns.values.first().duty))
+        val open = writer.begin(CloudAction.ScaleIn(names, returns.values.first().duty))
         runner.scaleIn(names)
         runner.closeReturn(open, names.size)
     }
 
     /** As many names as fit the value of an intent, whatever else it holds. */
-    private fun namesInValue(names: List<String>): Int {
+    private fun maxMachinesPerIntent(names: List<String>): Int {
         val longest = names.maxOf { Cbor.jsonSize(it) + 1 }
-        return ((limits.maxValueBytes - FRAME_BYTES) / longest).coerceIn(1, MACHINES_A_RETURN_CALL)
+        return ((limits.maxValueBytes - FRAME_BYTES) / longest).coerceIn(1, MAX_MACHINES_PER_SCALE_IN_CALL)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/settings/Duty.kt
+++ b/src/main/kotlin/linemast/settings/Duty.kt
@@ -3,10 +3,10 @@
 /** A kind of action at the cloud that only the current leader may take; [stored] is its name in the store and in settings. */
 enum class Duty(val stored: String) {
     /** Renting machines. */
-    RENT("rent"),
+    SCALE_OUT("rent"),
 
     /** Giving back machines that nobody needs any more. */
-    RETURN("return"),
+    SCALE_IN("return"),
 
     /** Taking machines out of the fleet that are lost to it: silent, deaf, faulty, preempted or absent ones. */
     RECLAIM("reclaim"),
--- a/src/main/kotlin/linemast/settings/DutySettings.kt
+++ b/src/main/kotlin/linemast/settings/DutySettings.kt
@@ -9,7 +9,7 @@
     /** Intents that are kept in the store at most, ended ones included. */
     val slots: Int = DEFAULT_SLOTS,
     /** For how long a rental without an answer is repeated, also by the next leader. */
-    val adoptMicros: Long = DEFAULT_ADOPT_MICROS,
+    val scaleOutRetryMicros: Long = DEFAULT_ADOPT_MICROS,
     /** Duties that nobody carries out for now. */
     val suspended: Set<Duty> = emptySet(),
 ) {
@@ -29,7 +29,7 @@
             FeatureFile.refuseUnknown(fields, setOf("slots", "adopt_within_s", "suspended"))
             return DutySettings(
                 slots = FeatureFile.count(fields, "slots", MIN_SLOTS..MAX_SLOTS) ?: DEFAULT_SLOTS,
-                adoptMicros = FeatureFile.seconds(fields, "adopt_within_s", MIN_ADOPT_SECONDS, MAX_ADOPT_SECONDS)
+                scaleOutRetryMicros = FeatureFile.seconds(fields, "adopt_within_s", MIN_ADOPT_SECONDS, MAX_ADOPT_SECONDS)
                     ?: DEFAULT_ADOPT_MICROS,
                 suspended = (fields.textsOrNull("suspended") ?: emptyList()).mapTo(LinkedHashSet()) { name ->
                     Duty.of(name) ?: fields.fail("suspended", "$name is not a duty")
--- a/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
@@ -18,7 +18,7 @@
         val worker = Machine("host-000001", type, "z", false)
         worker.lastHeartbeatMicros = nowMicros - 500_000
         worker.idleSinceMicros = nowMicros - idleMicros
-        val listed = CloudMachine(worker.name, type, "z", false, rentedMicros = 0)
+        val listed = CloudMachine(worker.name, type, "z", false, createdMicros = 0)
         val situation = ScaleInPolicy.Situation({ isNeeded }, demandCeased, setOf("z"), nowMicros)
         return rules.reason(listed, worker, isBaseline, situation)
     }
--- a/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
@@ -27,23 +27,23 @@
 
     private fun rentFor(machines: Int, nowMicros: Long = 0L): List<ScaleOutRequest> {
         val wishes = listOf(ScaleOutDemand(job, machines * 4.0))
-        return fleet.toRent(wishes, types.values, emptyMap(), { Double.MAX_VALUE }, { _, _, _ -> false }, nowMicros)
+        return fleet.planScaleOut(wishes, types.values, emptyMap(), { Double.MAX_VALUE }, { _, _, _ -> false }, nowMicros)
     }
 
     @Test
     fun `no more requests are under way than the cloud takes in a second`() {
         val first = rentFor(400)
         assertEquals(List(5) { 50 }, first.map { it.number })
-        assertTrue(fleet.hasWaitingWishes)
+        assertTrue(fleet.hasDeferredDemand)
         assertEquals(0, rentFor(400).size)
-        fleet.rented(first[0], List(50) { "host-%06d".format(it) }, types, 0L)
+        fleet.scaleOutGranted(first[0], List(50) { "host-%06d".format(it) }, types, 0L)
         assertEquals(listOf(50), rentFor(400).map { it.number })
     }
 
     @Test
     fun `what is left is asked of another offer once the first one is refused`() {
         val first = rentFor(400)
-        fleet.refused(first[0], types, 0L)
+        fleet.scaleOutRefused(first[0], types, 0L)
         assertEquals(listOf("a" to true), first.map { it.zone to it.spot }.distinct())
         assertEquals(listOf("b" to true), rentFor(400).map { it.zone to it.spot })
     }
@@ -51,7 +51,7 @@
     @Test
     fun `a wish that fits in what is under way asks for nothing more`() {
         assertEquals(listOf(50, 50), rentFor(100).map { it.number })
-        assertFalse(fleet.hasWaitingWishes)
+        assertFalse(fleet.hasDeferredDemand)
         assertEquals(0, rentFor(100).size)
     }
 }
--- a/src/test/kotlin/linemast/duties/OrderHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -4,7 +4,7 @@
 import linemast.simulation.SimWorld
 
 /** What is wrong with an order that the cloud carried out. */
-enum class OrderFault {
+enum class CloudActionFault {
     /** No intent for it was committed before it. */
     NO_INTENT,
 
@@ -16,13 +16,13 @@
 }
 
 /** Checks each order that the stand-in of the cloud has carried out against the history of the stand-in of the store. */
-class OrderHistoryAudit(private val world: SimWorld) {
+class CloudActionHistoryAudit(private val world: SimWorld) {
     private class Decision(val intent: Intent, val revision: Long, val leaderToken: Long?)
 
     private val decisions = decisions()
 
     /** Orders with a fault. */
-    fun faults(): List<Pair<SimOrder, OrderFault>> = world.cloud.orders.mapNotNull { order -> faultOf(order)?.let { order to it } }
+    fun faults(): List<Pair<SimOrder, CloudActionFault>> = world.cloud.orders.mapNotNull { order -> faultOf(order)?.let { order to it } }
 
     /** Orders that were carried out after the term that had decided them was over: late, and allowed. */
     fun lateOrders(): Int = world.cloud.orders.count { order ->
@@ -42,18 +42,18 @@
 
     private fun decisionsOf(order: SimOrder): List<Decision> = decisions.filter { decision ->
         when (val action = decision.intent.action) {
-            is CloudAction.Rental -> action.request == order.rental
-            is CloudAction.Return -> order.returned.any(action.names::contains)
+            is CloudAction.ScaleOut -> action.request == order.rental
+            is CloudAction.ScaleIn -> order.returned.any(action.names::contains)
         }
     }
 
-    private fun faultOf(order: SimOrder): OrderFault? {
+    private fun faultOf(order: SimOrder): CloudActionFault? {
         val earlier = decisionsOf(order).filter { it.revision <= order.revision }
-        val covered = earlier.flatMap { (it.intent.action as? CloudAction.Return)?.names ?: emptyList() }
+        val covered = earlier.flatMap { (it.intent.action as? CloudAction.ScaleIn)?.names ?: emptyList() }
         return when {
-            earlier.isEmpty() || !covered.containsAll(order.returned) -> OrderFault.NO_INTENT
-            earlier.any { it.intent.id.fencingToken != it.leaderToken } -> OrderFault.STALE_INTENT
-            order.interrupted.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> OrderFault.INTERRUPTED_WORK
+            earlier.isEmpty() || !covered.containsAll(order.returned) -> CloudActionFault.NO_INTENT
+            earlier.any { it.intent.id.fencingToken != it.leaderToken } -> CloudActionFault.STALE_INTENT
+            order.interrupted.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_WORK
             else -> null
         }
     }
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -68,7 +68,7 @@
     }
 
     private fun assertOnlyHoldersActed(world: SimWorld, minOrders: Int) {
-        val audit = OrderHistoryAudit(world)
+        val audit = CloudActionHistoryAudit(world)
         val orders = world.cloud.orders
         println("${orders.size} orders, ${audit.lateOrders()} of them after the term that decided them, ${world.starts} starts")
         assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.rental ?: order.returned}" })
@@ -203,7 +203,7 @@
     fun `a machine whose return is on its way gets no work from the next holder`() {
         val world = returnThatComesLate(enabled = true)
         assertOnlyHoldersActed(world, minOrders = 2)
-        assertTrue(OrderHistoryAudit(world).lateOrders() > 0)
+        assertTrue(CloudActionHistoryAudit(world).lateOrders() > 0)
     }
 
     /** The same play without the subsystem: the fault that it is for occurs, so that the test above can fail. */
@@ -212,7 +212,7 @@
         val world = returnThatComesLate(enabled = false)
         println("${interruptedReturns(world)} returns ended running work")
         assertTrue(interruptedReturns(world) > 0)
-        assertTrue(OrderHistoryAudit(world).faults().all { it.second == OrderFault.NO_INTENT })
+        assertTrue(CloudActionHistoryAudit(world).faults().all { it.second == CloudActionFault.NO_INTENT })
     }
 
     companion object {
--- a/src/test/kotlin/linemast/duties/IntentAuditTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentAuditTest.kt
@@ -12,10 +12,10 @@
     private val leadership = LeadershipRecord("mast-1", leaderToken = 7, highestToken = 7)
 
     private fun returned(token: Long, number: Long, vararg names: String) =
-        Intent(IntentId(token, number), CloudAction.Return(names.toList(), Duty.RETURN), 0)
+        Intent(IntentId(token, number), CloudAction.ScaleIn(names.toList(), Duty.SCALE_IN), 0)
 
     private fun rented(token: Long, number: Long, requestId: String) =
-        Intent(IntentId(token, number), CloudAction.Rental(ScaleOutRequest(requestId, "type", "zone", false, 1)), 0)
+        Intent(IntentId(token, number), CloudAction.ScaleOut(ScaleOutRequest(requestId, "type", "zone", false, 1)), 0)
 
     private fun check(vararg intents: Intent, wallMicros: Long = 0) =
         IntentAudit(30_000_000).check(intents.toList(), leadership, wallMicros).map { it.severity to it.message }
@@ -52,7 +52,7 @@
     @Test
     fun `the reports hold every action and finding, and markup in names is text`() {
         val intents = listOf(returned(7, 1, "host-<1>"), rented(6, 1, "r-7-1"))
-        val report = DutyReport(intents, leadership, IntentAudit(1).check(intents, leadership, 0))
+        val report = IntentReport(intents, leadership, IntentAudit(1).check(intents, leadership, 0))
         assertTrue(report.hasViolations)
         assertTrue("violation: 6-1 asks under another term's request id" in report.text())
         assertTrue("2 actions, 2 open, 1 findings" in report.text())
--- a/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
@@ -21,10 +21,10 @@
 internal fun generatedIntent(random: Random, token: Long = random.nextLong(1, 1_000), number: Long = random.nextLong(1, 9_999)): Intent {
     val action = if (random.nextBoolean()) {
         val request = ScaleOutRequest("r-$token-$number", "type-${random.nextInt(9)}", "zone", random.nextBoolean(), random.nextInt(1, 51))
-        CloudAction.Rental(request)
+        CloudAction.ScaleOut(request)
     } else {
-        val duty = listOf(Duty.RETURN, Duty.RECLAIM, Duty.CLEAN_UP).random(random)
-        CloudAction.Return(List(random.nextInt(1, 101)) { "host-%06d".format(random.nextInt(1_000_000)) }, duty)
+        val duty = listOf(Duty.SCALE_IN, Duty.RECLAIM, Duty.CLEAN_UP).random(random)
+        CloudAction.ScaleIn(List(random.nextInt(1, 101)) { "host-%06d".format(random.nextInt(1_000_000)) }, duty)
     }
     val open = Intent(IntentId(token, number), action, random.nextLong(1L shl 50))
     return if (random.nextBoolean()) open else open.closed(IntentState.entries.drop(1).random(random), random.nextInt(101), token)
@@ -70,8 +70,8 @@
     @Test
     fun `settings are checked, and the file in deploy is fine`() {
         val shipped = DutySettings.read(Path.of("deploy/duties.toml"))
-        assertEquals(listOf(128, 30_000_000L, emptySet<Duty>()), listOf(shipped.slots, shipped.adoptMicros, shipped.suspended))
-        assertEquals(setOf(Duty.RENT, Duty.CLEAN_UP), read("suspended = [\"rent\", \"clean-up\"]").suspended)
+        assertEquals(listOf(128, 30_000_000L, emptySet<Duty>()), listOf(shipped.slots, shipped.scaleOutRetryMicros, shipped.suspended))
+        assertEquals(setOf(Duty.SCALE_OUT, Duty.CLEAN_UP), read("suspended = [\"rent\", \"clean-up\"]").suspended)
         for (wrong in listOf(
             "slots = 15",
             "slots = 1001",
--- a/src/test/kotlin/linemast/duties/IntentLogTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentLogTest.kt
@@ -49,10 +49,10 @@
         repeat(100) { round ->
             val intents = List(3) { at ->
                 val names = List(random.nextInt(1, 5)) { "host-$at-$it" }
-                StoredIntent(at, Intent(IntentId(1, at + 1L), CloudAction.Return(names, Duty.RETURN), 0), 1)
+                StoredIntent(at, Intent(IntentId(1, at + 1L), CloudAction.ScaleIn(names, Duty.SCALE_IN), 0), 1)
             }
-            val all = intents.flatMap { (it.intent.action as CloudAction.Return).names }
-            val returns = InheritedReturns(intents)
+            val all = intents.flatMap { (it.intent.action as CloudAction.ScaleIn).names }
+            val returns = PendingScaleIns(intents)
             val ended = ArrayList<StoredIntent>()
             val returned = ArrayList<String>()
             while (!returns.isOver) {
@@ -62,7 +62,7 @@
                 assertTrue(returns.next(10) { it in names }.isEmpty(), "what is under way is not given back twice")
                 returned += names
                 for (over in returns.confirmed(names)) {
-                    assertTrue(returned.containsAll((over.intent.action as CloudAction.Return).names))
+                    assertTrue(returned.containsAll((over.intent.action as CloudAction.ScaleIn).names))
                     ended += over
                 }
             }
--- a/src/test/kotlin/linemast/duties/IntentWriterTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentWriterTest.kt
@@ -46,7 +46,7 @@
         return writer to leaderLease
     }
 
-    private fun returnOf(number: Int) = CloudAction.Return(listOf("host-$number"), Duty.RETURN)
+    private fun returnOf(number: Int) = CloudAction.ScaleIn(listOf("host-$number"), Duty.SCALE_IN)
 
     private fun stored(store: SimStore) = store.keysUnder(IntentCodec.PREFIX).map { IntentCodec.decode(store.valueOf(it)!!) }
 
@@ -86,9 +86,9 @@
         delay(120_000)
         assertEquals(atTakeOver, stored(store).toSet(), "nothing was written after the take-over")
         assertEquals(atTakeOver, successor.log.open.map { it.intent }.toSet(), "the successor has read all that was")
-        assertTrue(outcomes.all { it.isSuccess || it.exceptionOrNull() is DutyLostException })
+        assertTrue(outcomes.all { it.isSuccess || it.exceptionOrNull() is LeadershipLostException })
         assertTrue(outcomes.filter { it.isSuccess }.all { it.getOrThrow().intent in atTakeOver })
-        assertTrue(refused.exceptionOrNull() is DutyLostException, "$refused")
+        assertTrue(refused.exceptionOrNull() is LeadershipLostException, "$refused")
         assertTrue(leaderLease.ended)
     }
 
@@ -97,7 +97,7 @@
         val store = SimStore(backgroundScope, clock(), Random(1))
         val (writer, _) = runningWriter(store, slots = 3)
         val begun = List(3) { writer.begin(returnOf(it)) }
-        assertThrows(NoFreeSlotException::class.java) { kotlinx.coroutines.runBlocking { writer.begin(returnOf(3)) } }
+        assertThrows(IntentLogFullException::class.java) { kotlinx.coroutines.runBlocking { writer.begin(returnOf(3)) } }
         writer.close(begun[1], IntentState.CARRIED_OUT, 1)
         delay(1_000)
         assertEquals(begun[1].slot, writer.begin(returnOf(4)).slot)
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import linemast.duties.CloudActionHistoryAudit
 import linemast.duties.IntentCodec
-import linemast.duties.OrderHistoryAudit
 import linemast.serialization.Fields
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
@@ -69,7 +69,7 @@
             delay(20_000)
         }
         val world = cluster.world
-        val audit = OrderHistoryAudit(world)
+        val audit = CloudActionHistoryAudit(world)
         val orders = world.cloud.orders
         println(
             "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${orders.size} orders " +
--- a/src/test/kotlin/linemast/loopback/StandInServers.kt
+++ b/src/test/kotlin/linemast/loopback/StandInServers.kt
@@ -110,7 +110,7 @@
         val request =
             ScaleOutRequest(body.text("charter"), body.text("build"), body.text("yard"), body.flag("loaners"), body.long("number").toInt())
         return when (val result = cloud.scaleOut(request)) {
-            is ScaleOutResult.Rented -> HttpResponse.of(200, "rigs" to result.names)
+            is ScaleOutResult.Granted -> HttpResponse.of(200, "rigs" to result.names)
             ScaleOutResult.NoCapacity -> HttpResponse.of(503, "error" to "no capacity")
             ScaleOutResult.Unknown -> HttpResponse.of(503, "error" to "trouble")
         }
--- a/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.test.TestScope
-import linemast.duties.OrderHistoryAudit
+import linemast.duties.CloudActionHistoryAudit
 import linemast.settings.AdmissionSettings
 import linemast.settings.DutySettings
 import linemast.settings.Features
@@ -32,7 +32,7 @@
         assertAllWell(world, seed)
         assertEquals(
             emptyList<Any>(),
-            OrderHistoryAudit(world).faults().map { (order, fault) ->
+            CloudActionHistoryAudit(world).faults().map { (order, fault) ->
                 "$fault: ${order.rental ?: order.returned}"
             },
         )
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -49,14 +49,14 @@
     }
 
     private fun scaleOut(node: Int, request: ScaleOutRequest): ScaleOutResult {
-        requestCount[request.requestId]?.let { return ScaleOutResult.Rented(it) }
+        requestCount[request.requestId]?.let { return ScaleOutResult.Granted(it) }
         val room = world.maxMachines - world.workers.size
         if (room <= 0) return ScaleOutResult.NoCapacity
         val type = types.first { it.name == request.machineType }
         val names = List(minOf(room, request.number)) { world.addMachine(type, request.zone, request.spot).name }
         requestCount[request.requestId] = names
         orders += SimOrder(node, request, emptyList(), world.store.revision, emptyList())
-        return ScaleOutResult.Rented(names)
+        return ScaleOutResult.Granted(names)
     }
 
     private fun scaleIn(node: Int, names: List<String>) {
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -152,25 +152,25 @@
     private fun tick() {
         measured("tick") { cluster.tick(now) }
         val actions = measured("steward") { autoscaler.step(now, now) }
-        for (request in actions.rentals) {
+        for (request in actions.scaleOuts) {
             at(120_000) {
                 val type = types.first { it.name == request.machineType }
                 val names = List(minOf(request.number, maxMachines - workers.size).coerceAtLeast(0)) {
                     addWorker(type, request.zone, request.spot, (type.startupMicros * (0.6 + 0.9 * random.nextDouble())).toLong())
                 }
-                if (names.isEmpty()) fleet.refused(request, cluster.types, now) else fleet.rented(request, names, cluster.types, now)
-                if (names.size < request.number || fleet.hasWaitingWishes) autoscaler.adjustSoon()
+                if (names.isEmpty()) fleet.scaleOutRefused(request, cluster.types, now) else fleet.scaleOutGranted(request, names, cluster.types, now)
+                if (names.size < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
             }
         }
-        if (actions.returns.isNotEmpty()) {
-            val names = actions.returns.keys.toList()
+        if (actions.scaleIns.isNotEmpty()) {
+            val names = actions.scaleIns.keys.toList()
             names.forEach {
-                fleet.machines[it]?.returning = true
+                fleet.machines[it]?.scalingIn = true
                 cluster.machines[it]?.draining = true
             }
             at(120_000) {
                 names.forEach(::removeWorker)
-                fleet.gone(names)
+                fleet.scaleInConfirmed(names)
                 cluster.returned(names)
             }
         }
@@ -180,7 +180,7 @@
     private fun list() {
         val list = workers.values.map { ListedMachine(it.name, "", it.type.name, it.zone, it.spot, "running", now - it.bornMicros) }
         measured("list") {
-            fleet.listed(list, cluster.types, now)
+            fleet.updateFromList(list, cluster.types, now)
             cluster.forgetAbsent(fleet.machines.keys, now)
         }
         at(3_000_000, ::list)
