--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -108,7 +108,13 @@
         val now = clock.nowMicros()
         if (result == ScaleOutResult.Unknown) return fleet.scaleOutAbandoned(request)
         val granted = (result as? ScaleOutResult.Granted)?.names
-        if (granted == null) fleet.scaleOutRefused(request, cluster.types, now) else fleet.scaleOutGranted(request, granted, cluster.types, now)
+        if (granted ==
+            null
+        ) {
+            fleet.scaleOutRefused(request, cluster.types, now)
+        } else {
+            fleet.scaleOutGranted(request, granted, cluster.types, now)
+        }
         if ((granted?.size ?: 0) < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
     }
 
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -158,7 +158,15 @@
                 val names = List(minOf(request.number, maxMachines - workers.size).coerceAtLeast(0)) {
                     addWorker(type, request.zone, request.spot, (type.startupMicros * (0.6 + 0.9 * random.nextDouble())).toLong())
                 }
-                if (names.isEmpty()) fleet.scaleOutRefused(request, cluster.types, now) else fleet.scaleOutGranted(request, names, cluster.types, now)
+                if (names.isEmpty()) {
+                    fleet.scaleOutRefused(
+                        request,
+                        cluster.types,
+                        now,
+                    )
+                } else {
+                    fleet.scaleOutGranted(request, names, cluster.types, now)
+                }
                 if (names.size < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
             }
         }
