--- a/src/main/kotlin/linemast/jobs/DependencyCheck.kt
+++ b/src/main/kotlin/linemast/jobs/DependencyCheck.kt
@@ -31,7 +31,7 @@
         val key = dependencies.toSet()
         val check = running[key] ?: start(key)
         val result = withTimeoutOrNull(CALLER_PATIENCE_MILLIS) { check.await() }
-        return result?.getOrThrow() ?: throw StoreException("the dependencies are still being read", mayHaveExecuted = false)
+        return result?.getOrThrow() ?: throw StoreException.ReadAborted("the dependencies are still being read")
     }
 
     private fun start(dependencies: Set<String>): CompletableDeferred<Result<Boolean>> {
@@ -44,7 +44,7 @@
                 Result.failure(e)
             } catch (e: CancellationException) {
                 // The controller stops; that must not cancel those who only wait for this check.
-                Result.failure(StoreException("stopping", mayHaveExecuted = false))
+                Result.failure(StoreException.ReadAborted("stopping"))
             }
             running.remove(dependencies)
             check.complete(result)
@@ -55,7 +55,7 @@
     private suspend fun walk(dependencies: Collection<String>): Boolean = try {
         withTimeout(timeoutMicros / MICROS_PER_MILLI) { findCancelled(dependencies) }
     } catch (e: TimeoutCancellationException) {
-        throw StoreException("the dependencies could not be read in time", mayHaveExecuted = false)
+        throw StoreException.ReadAborted("the dependencies could not be read in time")
     }
 
     private suspend fun findCancelled(dependencies: Collection<String>): Boolean {
--- a/src/main/kotlin/linemast/jobs/OutcomeReader.kt
+++ b/src/main/kotlin/linemast/jobs/OutcomeReader.kt
@@ -113,7 +113,7 @@
         Result.failure(e)
     } catch (e: CancellationException) {
         // The controller stops; that must not cancel those who only wait for this listing.
-        Result.failure(StoreException("stopping", mayHaveExecuted = false))
+        Result.failure(StoreException.ReadAborted("stopping"))
     }
 
     private fun cached(id: String): OutcomeRecord? {
@@ -145,7 +145,7 @@
         Result.failure(e)
     } catch (e: CancellationException) {
         // The controller stops; that must not cancel those who only wait for this read.
-        Result.failure(StoreException("stopping", mayHaveExecuted = false))
+        Result.failure(StoreException.ReadAborted("stopping"))
     }
 
     /** A stored record that cannot be read is the store's fault: the user who asks must not be told 400 for it. */
@@ -153,7 +153,7 @@
         read()
     } catch (e: MalformedException) {
         logMalformed(e)
-        throw StoreException("malformed record", mayHaveExecuted = false)
+        throw StoreException.MalformedRecord()
     }
 
     fun logMalformed(cause: MalformedException) = log.error("malformed record in the store: {}", cause.message)
--- a/src/main/kotlin/linemast/store/KeyValueStore.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStore.kt
@@ -47,14 +47,6 @@
     data object TooOld : WatchResult
 }
 
-/**
- * A call to the state service that gave no result.
- *
- * [mayHaveExecuted] tells refusals, which surely were not executed, from silence, after which the request may
- * have been executed or may still be.
- */
-class StoreException(message: String, val mayHaveExecuted: Boolean) : Exception(message)
-
 /**
  * How urgently a call needs its token: it leaves [reservedShare] of the tokens to more urgent ones, and gives up when
  * it would have to wait for longer than [queueTimeoutMicros].
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -122,7 +122,7 @@
         val reply = try {
             client.call(method, path, body, timeoutMicros)
         } catch (e: NoAnswerException) {
-            throw StoreException(e.message ?: "no answer", mayHaveExecuted = true)
+            throw StoreException.NoAnswer(e.message ?: "no answer")
         }
         if (reply.status == HttpStatus.TOO_MANY_REQUESTS) refusedForRate(isCommit = path == COMMIT_PATH)
         if (reply.status == HttpStatus.SERVICE_UNAVAILABLE || reply.status == HttpStatus.TOO_MANY_REQUESTS) refuse(reply)
@@ -133,20 +133,19 @@
         val deadline = clock.nowMicros() + priority.queueTimeoutMicros
         while (!bucket.tryTake(count, priority, clock.nowMicros())) {
             val wait = bucket.waitMicros(count, priority, clock.nowMicros())
-            if (clock.nowMicros() + wait > deadline) throw StoreException("no token within the wait", mayHaveExecuted = false)
+            if (clock.nowMicros() + wait > deadline) throw StoreException.RateLimited()
             delay(wait / 1_000 + 1)
         }
     }
 
-    private fun refuse(reply: HttpReply): Nothing =
-        throw StoreException("the state service answered ${reply.status}", mayHaveExecuted = false)
+    private fun refuse(reply: HttpReply): Nothing = throw StoreException.Refused(reply.status)
 
     private inline fun <T> read(reply: HttpReply, decode: (Fields) -> T): T {
         if (reply.status != HttpStatus.OK) refuse(reply)
         return try {
             decode(reply.fields())
         } catch (e: MalformedException) {
-            throw StoreException("malformed answer from the state service: ${e.message}", mayHaveExecuted = true)
+            throw StoreException.MalformedAnswer(e)
         }
     }
 
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -148,7 +148,7 @@
             val deadline = clock.nowMicros() + priority.queueTimeoutMicros
             while (!requests.tryTake(1, priority, clock.nowMicros())) {
                 val wait = requests.waitMicros(1, priority, clock.nowMicros())
-                if (clock.nowMicros() + wait > deadline) throw StoreException("no token within the wait", mayHaveExecuted = false)
+                if (clock.nowMicros() + wait > deadline) throw StoreException.RateLimited()
                 delay(wait / 1_000 + 1)
             }
         }
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -65,7 +65,7 @@
         val bytes = writes.sumOf { it.key.length + if (it is Write.Put) Cbor.jsonSize(it.value) else 0 }
         if (large.isEmpty() && writes.size <= txnOps && bytes <= MAX_TRANSACTION_BYTES) return
         tooLarge += "$large, ${writes.size} operations, $bytes bytes"
-        throw StoreException("400", mayHaveExecuted = false)
+        throw StoreException.Refused(400)
     }
 
     fun startOutage() {
@@ -128,7 +128,7 @@
         private suspend fun enter() {
             awaitThaw(node)
             delay(random.nextLong(1, maxLatencyMillis))
-            if (outage || node in refused) throw StoreException("503", mayHaveExecuted = false)
+            if (outage || node in refused) throw StoreException.Refused(503)
             expire()
         }
 
@@ -155,7 +155,7 @@
                     apply(preconditions, writes)
                 }
                 delay(2_000)
-                throw StoreException("no answer", mayHaveExecuted = true)
+                throw StoreException.NoAnswer("no answer")
             }
             val result = apply(preconditions, writes)
             if (result is CommitResult.Applied) onApplied(node, writes)
@@ -173,7 +173,7 @@
             enter()
             val end = clock.nowMicros() + waitMicros
             while (true) {
-                if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException("no answer", mayHaveExecuted = true)
+                if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException.NoAnswer("no answer")
                 expire()
                 val matching = changes.filter { it.revision > afterRevision && it.key.startsWith(under) }
                 if (!outage && node !in refused && node !in watchesHang && (matching.isNotEmpty() || clock.nowMicros() >= end)) {
--- a/src/test/kotlin/linemast/store/RetryPolicyTest.kt
+++ b/src/test/kotlin/linemast/store/RetryPolicyTest.kt
@@ -23,7 +23,7 @@
         fun next(): String? {
             calledAtMillis += scope.currentTime
             return when (calledAtMillis.size) {
-                1 -> throw StoreException("refused", mayHaveExecuted = false)
+                1 -> throw StoreException.Refused(503)
                 2 -> null
                 3 -> throw MalformedException("no such field")
                 else -> "result"
@@ -43,7 +43,7 @@
         val calledAtMillis = ArrayList<Long>()
         retry.repeatWhile({ calledAtMillis.size < 4 }, log, "test") {
             calledAtMillis += currentTime
-            if (calledAtMillis.size == 2) throw StoreException("refused", mayHaveExecuted = false)
+            if (calledAtMillis.size == 2) throw StoreException.Refused(503)
         }
         assertEquals(listOf(0L, 0L, 250L, 250L), calledAtMillis)
     }
