--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/CompletionEstimates.kt
@@ -0,0 +1,21 @@
+package linemast.scheduling
+
+import linemast.domain.Machine
+import linemast.domain.Placement
+import linemast.planning.TaskTimes
+
+/** Estimates when running tasks complete and machines become free, from the measured run times of their jobs. */
+internal class CompletionEstimates(private val times: TaskTimes) {
+    /** Whether [placement] is expected to end by itself within [windowMicros]; false once it has run longer than estimated. */
+    fun endsWithin(placement: Placement, nowMicros: Long, windowMicros: Long): Boolean {
+        val job = placement.job ?: return false
+        return placement.isRunning && placement.runningSinceMicros + times.estimateMicros(job) - nowMicros in 0..windowMicros
+    }
+
+    /** Microseconds until the last task of [machine] is expected to end; [Long.MAX_VALUE] if a task's job is unknown. */
+    fun freeAfterMicros(machine: Machine, nowMicros: Long): Long = machine.placements.values.maxOfOrNull { placement ->
+        val job = placement.job ?: return Long.MAX_VALUE
+        val startMicros = if (placement.isRunning) placement.runningSinceMicros else nowMicros
+        (startMicros + times.estimateMicros(job) - nowMicros).coerceAtLeast(0)
+    } ?: 0L
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -0,0 +1,119 @@
+package linemast.scheduling
+
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.Placement
+import linemast.domain.StopReason
+
+/** Preempts less urgent tasks for gangs, which start as a whole or not at all. */
+internal class GangPreemption(
+    private val cluster: Cluster,
+    private val timing: PreemptionTiming,
+    private val estimates: CompletionEstimates,
+    private val taskPreemption: TaskPreemption,
+    private val reservation: GangReservation,
+) {
+    /** The tasks to preempt on [machine] so that one task of a gang fits there. */
+    private data class Preemption(val machine: Machine, val victims: List<Placement>)
+
+    /**
+     * Preempts tasks of the gang's own team, the latest started first, when only the team's quota limit stands against [gang].
+     *
+     * [missing] tasks are to start, of which [withinLimit] fit within the limit as it is.
+     */
+    fun preemptAtQuotaLimit(gang: Job, missing: Int, withinLimit: Int, cycle: SchedulingCycle) {
+        val team = gang.spec.team
+        var neededVcpus = (missing - withinLimit) * gang.spec.vcpus
+        neededVcpus -= taskPreemption.stoppingVcpus(team)
+        if (neededVcpus <= EPSILON) return
+        val candidates = cycle.jobs.map { it.job }
+            .filter { it.spec.team == team && !it.spec.isGang && it.priority > gang.priority }
+            .flatMap { it.placements }
+            .filter { it.isPreemptible }
+        if (candidates.sumOf { it.requestedVcpus } < neededVcpus) return
+        for (victim in candidates.sortedByDescending { it.sentMicros }) {
+            if (neededVcpus <= EPSILON) return
+            taskPreemption.preempt(victim, StopReason.PreemptedAtQuotaLimit(gang.id))
+            neededVcpus -= victim.requestedVcpus
+        }
+    }
+
+    /**
+     * Preempts tasks in [zone], or in any if it is null, so that the [missing] tasks of [gang] fit soon, and reserves their
+     * machines for it. Returns whether the gang can expect its capacity; nothing is preempted otherwise.
+     */
+    fun preemptForCapacity(gang: Job, zone: String?, missing: Int, cycle: SchedulingCycle): Boolean {
+        // What is reserved for a starving gang frees up by itself; more would only be kept from others.
+        if (gang === reservation.gang) return true
+        val machines = cycle.machines.of(gang).filter { zone == null || it.zone == zone }
+        val reservedCount = machines.count { it.reservedFor === gang }
+        if (reservedCount >= missing) return true
+        val windowMicros = timing.gangWindowMicros(gang, cluster.wallMicros() - gang.readyWallMicros)
+        val preemptions = machines.filter { it.reservedFor == null && couldFit(gang, it) }
+            .mapNotNull { machine -> victimsOn(machine, gang, windowMicros, cycle.nowMicros)?.let { Preemption(machine, it) } }
+            .sortedBy { preemption -> preemption.victims.sumOf { lostWork(it, cycle.nowMicros) } }
+            .take(missing - reservedCount)
+            .toList()
+        if (preemptions.size + reservedCount < missing) return false
+        preemptions.forEach { carryOut(it, gang, windowMicros, cycle) }
+        return true
+    }
+
+    private fun carryOut(preemption: Preemption, gang: Job, windowMicros: Long, cycle: SchedulingCycle) {
+        preemption.machine.reservedFor = gang
+        preemption.machine.reservedUntilMicros = cycle.nowMicros + windowMicros + GangReservation.RESERVATION_MICROS
+        for (victim in preemption.victims) {
+            // A task whose start has not left need not be started and stopped again.
+            if (victim.isAssigned) {
+                cycle.unplace(victim)
+            } else if (victim.stopReason == null) {
+                taskPreemption.preempt(victim, StopReason.PreemptedForGang(gang.id))
+            }
+        }
+    }
+
+    /** Unlike [isPreemptible], also what is only assigned and what is being stopped already: their capacity counts as well. */
+    private fun isLessUrgent(placement: Placement, gang: Job): Boolean {
+        val job = placement.job ?: return false
+        return job.priority > gang.priority && !job.spec.isGang && !placement.exemptFromPreemption
+    }
+
+    /** Whether preempting all less urgent tasks of [machine] would do: asked first, since most often it would not. */
+    private fun couldFit(gang: Job, machine: Machine): Boolean {
+        var vcpus = machine.freeVcpus + EPSILON
+        if (vcpus >= gang.spec.vcpus) return true
+        for (placement in machine.placements.values) {
+            if (!isLessUrgent(placement, gang)) continue
+            vcpus += placement.requestedVcpus
+            if (vcpus >= gang.spec.vcpus) return true
+        }
+        return false
+    }
+
+    /**
+     * The tasks to preempt on [machine] so that one of [gang] fits; null if that is not allowed or not enough.
+     *
+     * Tasks that end by themselves within [windowMicros] go on: they have the most work to lose.
+     */
+    private fun victimsOn(machine: Machine, gang: Job, windowMicros: Long, nowMicros: Long): List<Placement>? {
+        var vcpus = machine.freeVcpus
+        val victims = ArrayList<Placement>()
+        val order = compareBy<Placement>({ !estimates.endsWithin(it, nowMicros, windowMicros) }, { -it.sentMicros })
+        for (placement in machine.placements.values.filter { isLessUrgent(it, gang) }.sortedWith(order)) {
+            if (vcpus + EPSILON >= gang.spec.vcpus) break
+            if (!estimates.endsWithin(placement, nowMicros, windowMicros)) victims += placement
+            vcpus += placement.requestedVcpus
+        }
+        return if (vcpus + EPSILON >= gang.spec.vcpus) victims else null
+    }
+
+    /** Work that a preemption loses, in microseconds of one vcpu: all since the start, or the time to save a checkpoint. */
+    private fun lostWork(placement: Placement, nowMicros: Long): Double {
+        val spec = placement.job?.spec ?: return 0.0
+        return if (spec.neverSaves) (nowMicros - placement.sentMicros) * spec.vcpus else spec.checkpointMicros * spec.vcpus
+    }
+
+    private companion object {
+        const val EPSILON = 1e-6
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/GangReservation.kt
@@ -0,0 +1,60 @@
+package linemast.scheduling
+
+import linemast.domain.Job
+import linemast.domain.Machine
+
+/**
+ * The machines reserved for one starving gang.
+ *
+ * One gang at a time: two that each hold half of the machines that both need would wait forever.
+ */
+internal class GangReservation(private val cluster: Cluster, private val estimates: CompletionEstimates) {
+    private data class AvailableMachine(val machine: Machine, val freeAfterMicros: Long)
+
+    /** The gang that machines were reserved for last. */
+    var gang: Job? = null
+        private set
+
+    /** Reserves for all pending tasks of [gang] the machines that become free first; false if there are too few. */
+    fun reserve(gang: Job, cycle: SchedulingCycle): Boolean {
+        switchTo(gang)
+        val available = availableMachines(gang, cycle)
+        val chosen = soonestFree(gang, available) ?: return false
+        for ((machine, _) in available) if (machine !in chosen) machine.reservedFor = null
+        for (machine in chosen) {
+            machine.reservedFor = gang
+            machine.reservedUntilMicros = cycle.nowMicros + RESERVATION_MICROS
+        }
+        return true
+    }
+
+    /** Releases the machines of the previous gang. */
+    private fun switchTo(next: Job) {
+        val previous = gang
+        if (previous === next) return
+        if (previous != null) {
+            for (machine in cluster.machines.values) if (machine.reservedFor === previous) machine.reservedFor = null
+        }
+        gang = next
+    }
+
+    private fun availableMachines(gang: Job, cycle: SchedulingCycle): List<AvailableMachine> = cycle.machines.of(gang)
+        .filter { it.reservedFor == null || it.reservedFor === gang }
+        .map { AvailableMachine(it, estimates.freeAfterMicros(it, cycle.nowMicros)) }
+        .sortedBy { it.freeAfterMicros }
+        .toList()
+
+    /** A machine for each pending task, in one zone if the gang asks for that; null if there are too few. */
+    private fun soonestFree(gang: Job, available: List<AvailableMachine>): Set<Machine>? {
+        val groups = if (gang.spec.sameZone) available.groupBy { it.machine.zone }.values else listOf(available)
+        return groups.map { it.take(gang.pendingCount) }
+            .filter { it.size == gang.pendingCount }
+            .minByOrNull { group -> group.maxOf { it.freeAfterMicros } }
+            ?.mapTo(HashSet()) { it.machine }
+    }
+
+    companion object {
+        /** A reservation that is not renewed ends after this time. */
+        const val RESERVATION_MICROS = 15_000_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
@@ -0,0 +1,81 @@
+package linemast.scheduling
+
+import linemast.domain.Job
+import linemast.domain.Placement
+import linemast.domain.StopReason
+
+/**
+ * Preempts tasks, in one scheduling cycle, for jobs that are within their team's quota.
+ *
+ * Victims are tasks of other teams that are less urgent or run beyond their team's quota. No team is brought below its
+ * quota for that, and jobs that are within theirs are exempt.
+ */
+internal class QuotaPreemption(
+    private val cycle: SchedulingCycle,
+    private val cluster: Cluster,
+    private val timing: PreemptionTiming,
+    private val estimates: CompletionEstimates,
+    private val taskPreemption: TaskPreemption,
+) {
+    /** Vcpus that each team uses beyond its quota, without those that are being stopped. */
+    private val excessVcpus = HashMap<String, Double>()
+
+    /** Tasks that are expected to end soon enough for some job: each counts for one job only. */
+    private val endingSoon = HashSet<Placement>()
+
+    /** Arrays that run beyond their teams' quotas. */
+    private val borrowingJobs: List<Job> by lazy {
+        cycle.jobs.filter { !it.withinQuota && !it.job.spec.isGang && it.job.placements.isNotEmpty() }.map { it.job }
+    }
+
+    /** How many tasks are being stopped for each job. */
+    private val stoppingFor: Map<Job?, Int> by lazy { cluster.stopping.groupingBy { it.preemptedFor }.eachCount() }
+
+    /** Preempts as many tasks as [job] needs to start [missing] of its own, beside what frees up by itself in time. */
+    fun preemptFor(job: Job, missing: Int) {
+        var left = missing - (stoppingFor[job] ?: 0)
+        left -= countEndingSoon(job, left)
+        if (left <= 0) return
+        for (victim in victimsFor(job)) {
+            if (left <= 0) return
+            val victimJob = victim.job ?: continue
+            // Each preemption takes from the excess of the victim's team.
+            if (!mayPreempt(victimJob, job)) continue
+            excessVcpus[victimJob.spec.team] = excessVcpusOf(victimJob.spec.team) - victimJob.spec.vcpus
+            taskPreemption.preempt(victim, StopReason.PreemptedForQuota(job.spec.team))
+            victim.preemptedFor = job
+            left--
+        }
+    }
+
+    /** Tasks that may be preempted for [job], the latest started first. */
+    private fun victimsFor(job: Job): List<Placement> = borrowingJobs.filter { mayPreempt(it, job) }
+        .flatMap { it.placements }
+        .filter { it.isPreemptible && it.machine.reservedFor == null && cycle.machines.serves(it.machine, job) }
+        .sortedByDescending { it.sentMicros }
+
+    private fun mayPreempt(victimJob: Job, job: Job): Boolean = victimJob.spec.team != job.spec.team &&
+        victimJob.spec.vcpus >= job.spec.vcpus &&
+        (victimJob.priority > job.priority || excessVcpusOf(victimJob.spec.team) >= victimJob.spec.vcpus)
+
+    private fun excessVcpusOf(team: String): Double =
+        excessVcpus.getOrPut(team) { cluster.quota.beyondQuota(team) - taskPreemption.stoppingVcpus(team) }
+
+    /** Up to [max] tasks that end by themselves soon enough: a job within its quota is the first to get their capacity. */
+    private fun countEndingSoon(job: Job, max: Int): Int {
+        val windowMicros = timing.quotaWindowMicros(cluster.wallMicros() - job.readyWallMicros)
+        if (windowMicros <= 0 || max <= 0) return 0
+        val ending = cycle.machines.of(job)
+            .filter { !cycle.machines.keepFree(job.spec, it) }
+            .flatMap { it.placements.values }
+            .filter {
+                it !in endingSoon &&
+                    estimates.endsWithin(it, cycle.nowMicros, windowMicros) &&
+                    it.requestedVcpus >= job.spec.vcpus
+            }
+            .take(max)
+            .toList()
+        endingSoon += ending
+        return ending.size
+    }
+}
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -19,7 +19,11 @@
 internal class Scheduler(private val cluster: Cluster, settings: Settings, private val startTurns: FlowRoundRobin? = null) {
     private val log = LoggerFactory.getLogger(Scheduler::class.java)
     private val scarce = ScarceTypes()
-    private val preemptor = Preemptor(cluster, settings)
+    private val preemptionTiming = PreemptionTiming(settings)
+    private val completionEstimates = CompletionEstimates(cluster.times)
+    private val taskPreemption = TaskPreemption(cluster, preemptionTiming.gracePeriodMicros)
+    private val reservation = GangReservation(cluster, completionEstimates)
+    private val gangPreemption = GangPreemption(cluster, preemptionTiming, completionEstimates, taskPreemption, reservation)
 
     /** The gang each team submitted last. */
     private val latestGangs = HashMap<String, JobSpec>()
@@ -63,10 +67,10 @@
             }
         }
         placeLeftOver(ready, cycle)
-        val ending = HashSet<Placement>()
+        val quotaPreemption = QuotaPreemption(cycle, cluster, preemptionTiming, completionEstimates, taskPreemption)
         for (job in ready) {
             if (job.withinQuota && !job.spec.isGang && job.pendingCount > 0) {
-                preemptor.preemptForQuota(job, minOf(job.pendingCount, quotaHeadroom(job, cycle)), ending, cycle)
+                quotaPreemption.preemptFor(job, minOf(job.pendingCount, quotaHeadroom(job, cycle)))
             }
         }
     }
@@ -103,7 +107,7 @@
         }
         var mayReserve = true
         // The gang that machines are being reserved for stays the one until it has them.
-        for (job in inTurn(ready.filter { it.isStarving }).sortedBy { it !== preemptor.reservingFor }) {
+        for (job in inTurn(ready.filter { it.isStarving }).sortedBy { it !== reservation.gang }) {
             if (!job.spec.isGang) {
                 placeArray(job, Int.MAX_VALUE, cycle, FIRST_TASKS)
                 if (job.placements.isNotEmpty()) startTurns?.served(job)
@@ -114,7 +118,7 @@
             if (mayReserve &&
                 job.placements.isEmpty() &&
                 job.pendingReason != PendingReason.QuotaLimit &&
-                preemptor.reserveMachines(job, cycle)
+                reservation.reserve(job, cycle)
             ) {
                 mayReserve = false
             }
@@ -242,11 +246,11 @@
             if (withinLimit && placeWhole(job, here, missing, cycle)) return
             // Nothing is stopped for the team's limit before there is a place to use it.
             if (!withinLimit && here.sumOf { it.freeSlots(job.spec) } >= missing) {
-                preemptor.preemptWithinTeam(job, missing, limit, cycle)
+                gangPreemption.preemptAtQuotaLimit(job, missing, limit, cycle)
                 return blocked(job, PendingReason.QuotaLimit)
             }
         }
-        val isRoomBeingMade = zones.any { preemptor.preemptFor(job, it, missing, cycle) }
+        val isRoomBeingMade = zones.any { gangPreemption.preemptForCapacity(job, it, missing, cycle) }
         val reason = if (isRoomBeingMade) PendingReason.PreemptionInProgress else PendingReason.NoFreeCapacity
         blocked(job, if (withinLimit) reason else PendingReason.QuotaLimit)
     }
--- a/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -20,19 +20,6 @@
     private val gangs: Map<String, List<Job>> =
         jobs.map { it.job }.filter { it.spec.isGang && it.pendingCount > 0 }.groupBy { it.spec.team }
 
-    /** How far teams are beyond their guarantees, less what is being stopped already. */
-    private val excess = HashMap<String, Double>()
-
-    /** Arrays that run beyond their teams' guarantees. */
-    val borrowers: List<Job> by lazy {
-        jobs.filter { !it.withinQuota && !it.job.spec.isGang && it.job.placements.isNotEmpty() }.map { it.job }
-    }
-
-    /** Tasks on their way out, by the job they make room for. */
-    private val onTheWay: Map<Job?, Int> by lazy { cluster.stopping.groupingBy { it.preemptedFor }.eachCount() }
-
-    fun onTheWayFor(job: Job): Int = onTheWay[job] ?: 0
-
     fun place(placement: Placement): Placement = placement.also { machines.changed(it, put = true) }
 
     fun unplace(placement: Placement) {
@@ -40,16 +27,6 @@
         machines.changed(placement, put = false)
     }
 
-    /** Beyond its guarantee a team of others may be pushed back; what was stopped for one job does not count for the next. */
-    fun excessOf(team: String): Double = excess.getOrPut(team) {
-        cluster.quota.beyondQuota(team) -
-            cluster.stopping.sumOf { placement -> placement.job?.spec?.takeIf { it.team == team }?.vcpus ?: 0.0 }
-    }
-
-    fun pushedBack(team: String, vcpus: Double) {
-        excess[team] = excessOf(team) - vcpus
-    }
-
     /**
      * How many more tasks of [job] its team's limit allows beside what may run unseen and what is left to the team's
      * more urgent gangs: to those that nothing else holds back, and to [next], which has not come yet.
