--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -2,6 +2,7 @@
 
 import linemast.cloud.Fleet
 import linemast.cloud.ScaleInReason
+import linemast.cloud.ScaleOutConstraints
 import linemast.cloud.ScaleOutRequest
 import linemast.domain.Job
 import linemast.domain.Machine
@@ -115,7 +116,13 @@
 
     private fun adjustRentals(jobs: List<Job>, nowMicros: Long): ScalingActions {
         val wishes = planner.wishes(jobs, { it.baseline }, nowMicros)
-        val scaleOuts = fleet.planScaleOut(wishes, cluster.types.values, cluster.machines, ::allowance, cluster::isClosedTo, nowMicros)
+        val scaleOuts = fleet.planScaleOut(
+            wishes,
+            cluster.types.values,
+            cluster.machines,
+            ScaleOutConstraints(::allowance, cluster::isClosedTo),
+            nowMicros,
+        )
         val wanted = wishes.filter { it.slots >= 1.0 }
         val scaleIns = fleet.planScaleIn(cluster.machines, planned(wanted.map { it.job }, jobs), demand.hasCeased(), nowMicros)
         for ((reason, names) in scaleIns.entries.groupBy({ it.value }, { it.key })) log.info("returning {}: {}", names, reason)
--- a/src/main/kotlin/linemast/cloud/CloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/cloud/CloudActionExecutor.kt
@@ -1,25 +1,25 @@
 package linemast.cloud
 
-/** Machines that are given back together, and where their return is confirmed together. */
+/** Machines to be removed, by name, each with the reason. */
 typealias ScaleInBatch = Map<String, ScaleInReason>
 
-/** Carries out at the cloud what the leader has decided. */
+/** Carries out the leader's decisions at the cloud. Its calls throw a [CloudException]. */
 interface CloudActionExecutor {
-    /** Rents machines. [ScaleOutResult.Unknown] asks for a repetition of the same request. */
+    /** Requests machines. After [ScaleOutResult.Unknown] the same request is to be repeated. */
     suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult
 
-    /** [returns] in parts that are confirmed one by one. */
-    fun parts(returns: ScaleInBatch): List<ScaleInBatch>
+    /** Splits [batch] into parts that [scaleIn] confirms one by one; machines that must not be removed now are left out. */
+    fun split(batch: ScaleInBatch): List<ScaleInBatch>
 
-    /** Returns once the machines of one of the [parts] are surely gone. */
-    suspend fun scaleIn(returns: ScaleInBatch)
+    /** Removes the machines of one part of a [split] batch, and returns once they are gone. */
+    suspend fun scaleIn(batch: ScaleInBatch)
 }
 
-/** Calls the cloud at once. */
+/** Calls the cloud at once, without an intent in the store. */
 class DirectCloudActionExecutor(private val cloud: Cloud) : CloudActionExecutor {
     override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult = cloud.scaleOut(request)
 
-    override fun parts(returns: ScaleInBatch): List<ScaleInBatch> = listOf(returns)
+    override fun split(batch: ScaleInBatch): List<ScaleInBatch> = listOf(batch)
 
-    override suspend fun scaleIn(returns: ScaleInBatch) = cloud.scaleIn(returns.keys.toList())
+    override suspend fun scaleIn(batch: ScaleInBatch) = cloud.scaleIn(batch.keys.toList())
 }
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -17,143 +17,86 @@
 import linemast.transport.HttpStatus
 import linemast.transport.NoAnswerException
 
-/** As many machines as the cloud lists in one call. */
-const val MAX_MACHINES_PER_LIST_CALL = 500
-
-/** As many machines as the cloud takes back in one call. */
-const val MAX_MACHINES_PER_SCALE_IN_CALL = 100
-
-/** A machine as the cloud lists it; the list lags behind. */
-class ListedMachine(
-    val name: String,
-    val addr: String,
-    val machineType: String,
-    val zone: String,
-    val spot: Boolean,
-    val status: String,
-    val ageMicros: Long,
-)
-
-/** A request for [number] machines of one shape. Repeated under the same [requestId] it rents at most once. */
-data class ScaleOutRequest(val requestId: String, val machineType: String, val zone: String, val spot: Boolean, val number: Int)
-
-/** What became of a rental request. */
-sealed interface ScaleOutResult {
-    /** Machines were rented, possibly fewer than requested. */
-    class Granted(val names: List<String>) : ScaleOutResult
-
-    /** The cloud has none to give now. */
-    data object NoCapacity : ScaleOutResult
-
-    /** Nothing is known: the same request id has to be sent again. */
-    data object Unknown : ScaleOutResult
-}
-
-/** A call to the cloud that gave no usable answer. */
-open class CloudException(message: String) : Exception(message)
-
-/** The cloud, as much of it as the controllers use. Tests put a stand-in behind it. */
-interface Cloud {
-    /** The machine types that can be rented. */
-    suspend fun types(): List<MachineType>
-
-    /** All machines in the order of their names. */
-    suspend fun machines(): List<ListedMachine>
-
-    /** Rents machines. */
-    suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult
-
-    /** Returns once the machines are surely gone. */
-    suspend fun scaleIn(names: List<String>)
-}
-
-/** The cloud over HTTP, within its limit of calls per second. */
+/** The cloud's API over HTTP, within its limit of calls per second. */
 class CloudClient(loop: EventLoop, address: Address, limits: CloudLimits, private val clock: Clock) : Cloud {
-    private val http = HttpClient(loop, address, MAX_CALLS)
-    private val tokens = TokenBucket(limits.rps * USED_SHARE)
+    private val http = HttpClient(loop, address, MAX_CONCURRENT_CALLS)
+    private val tokens = TokenBucket(limits.rps * USED_SHARE_OF_LIMIT)
 
-    override suspend fun types(): List<MachineType> = read(call("GET", "/machine_types", null, RequestPriority.CRITICAL)) {
-        MachineTypeCodec.decode(it)
-    }
+    override suspend fun types(): List<MachineType> =
+        decode(call("GET", "/machine_types", null, RequestPriority.CRITICAL), MachineTypeCodec::decode)
 
     override suspend fun machines(): List<ListedMachine> {
         val all = ArrayList<ListedMachine>()
-        var after = ""
+        var lastName: String? = null
         while (true) {
-            val path = "/machines?limit=$MAX_MACHINES_PER_LIST_CALL" + if (after.isEmpty()) "" else "&after=$after"
-            val truncated = read(call("GET", path, null, RequestPriority.NORMAL)) { page ->
-                page.children("rigs").mapTo(all, ::machine)
-                page.flagOrNull("truncated") ?: false
-            }
-            if (!truncated || all.isEmpty() || all.last().name == after) return all
-            after = all.last().name
+            val reply = call("GET", CloudCodec.machinePagePath(lastName), null, RequestPriority.NORMAL)
+            val page = decode(reply, CloudCodec::decodeMachinePage)
+            all += page.machines
+            // A page that does not get any further must not keep the loop going.
+            if (!page.truncated || all.isEmpty() || all.last().name == lastName.orEmpty()) return all
+            lastName = all.last().name
         }
     }
 
     override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
-        val body = mapOf(
-            "charter" to request.requestId,
-            "build" to request.machineType,
-            "yard" to request.zone,
-            "loaners" to request.spot,
-            "number" to request.number,
-        )
         val reply = try {
-            call("POST", "/machines", Cbor.encode(body), RequestPriority.CRITICAL)
-        } catch (e: CloudException) {
+            call("POST", "/machines", Cbor.encode(CloudCodec.encode(request)), RequestPriority.CRITICAL)
+        } catch (e: CloudException.NoAnswer) {
             return ScaleOutResult.Unknown
         }
         return when (reply.status) {
-            HttpStatus.OK -> read(reply) { ScaleOutResult.Granted(it.textsOrNull("rigs") ?: emptyList()) }
-            HttpStatus.SERVICE_UNAVAILABLE -> {
-                val reason = runCatching { reply.fields().textOrNull("error") }.getOrNull()
-                if (reason == "no capacity") ScaleOutResult.NoCapacity else ScaleOutResult.Unknown
-            }
+            HttpStatus.OK -> ScaleOutResult.Granted(decode(reply, CloudCodec::decodeGranted))
+            HttpStatus.SERVICE_UNAVAILABLE -> if (isNoCapacity(reply)) ScaleOutResult.NoCapacity else ScaleOutResult.Unknown
             HttpStatus.TOO_MANY_REQUESTS -> ScaleOutResult.Unknown
-            else -> throw CloudException("the cloud answered ${reply.status} to a rental")
+            else -> throw refused(reply, "a scale-out")
         }
     }
 
     override suspend fun scaleIn(names: List<String>) {
         for (part in names.chunked(MAX_MACHINES_PER_SCALE_IN_CALL)) {
-            val reply = call("POST", "/machines/return", Cbor.encode(mapOf("rigs" to part)), RequestPriority.CRITICAL)
-            if (reply.status != HttpStatus.OK) throw CloudException("the cloud answered ${reply.status} to a return")
+            val body = Cbor.encode(CloudCodec.encodeScaleIn(part))
+            val reply = call("POST", "/machines/return", body, RequestPriority.CRITICAL)
+            if (reply.status != HttpStatus.OK) throw refused(reply, "a scale-in")
         }
     }
 
-    private fun machine(fields: Fields) = ListedMachine(
-        name = fields.text("name_id"),
-        addr = fields.textOrNull("addr") ?: "",
-        machineType = fields.text("build"),
-        zone = fields.text("yard"),
-        spot = fields.flagOrNull("loaners") ?: false,
-        status = fields.text("status"),
-        ageMicros = fields.microsOrNull("age_s") ?: 0L,
-    )
+    /** Any body that cannot be read means trouble of the cloud rather than a lack of capacity. */
+    private fun isNoCapacity(reply: HttpReply): Boolean = try {
+        CloudCodec.isNoCapacity(reply.fields())
+    } catch (e: MalformedException) {
+        false
+    }
 
+    /** Waits until the limit of calls allows this one, then makes it. */
     private suspend fun call(method: String, path: String, body: ByteArray?, priority: RequestPriority): HttpReply {
         while (!tokens.tryTake(1, priority, clock.nowMicros())) {
-            delay(tokens.waitMicros(1, priority, clock.nowMicros()) / 1_000 + 1)
+            delay(tokens.waitMicros(1, priority, clock.nowMicros()) / MICROS_PER_MILLI + 1)
         }
         return try {
             http.call(method, path, body, CALL_TIMEOUT_MICROS)
         } catch (e: NoAnswerException) {
-            throw CloudException(e.message ?: "no answer")
+            throw CloudException.NoAnswer(e.message ?: "no answer", e)
         }
     }
 
-    private inline fun <T> read(reply: HttpReply, decode: (Fields) -> T): T {
-        if (reply.status != HttpStatus.OK) throw CloudException("the cloud answered ${reply.status}")
+    private fun <T> decode(reply: HttpReply, decode: (Fields) -> T): T {
+        if (reply.status != HttpStatus.OK) throw refused(reply, "a query")
         return try {
             decode(reply.fields())
         } catch (e: MalformedException) {
-            throw CloudException("malformed answer from the cloud: ${e.message}")
+            throw CloudException.MalformedAnswer("malformed answer from the cloud: ${e.message}", e)
         }
     }
 
+    private fun refused(reply: HttpReply, call: String) =
+        CloudException.Refused(reply.status, "the cloud answered ${reply.status} to $call")
+
     private companion object {
-        const val MAX_CALLS = 3
-        const val USED_SHARE = 0.8
+        const val MAX_CONCURRENT_CALLS = 3
+
+        /** The rest of the limit absorbs clocks that differ from the cloud's. */
+        const val USED_SHARE_OF_LIMIT = 0.8
         const val CALL_TIMEOUT_MICROS = 5 * SECOND_MICROS
+        const val MICROS_PER_MILLI = 1_000
     }
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/cloud/MachineInventory.kt
@@ -0,0 +1,73 @@
+package linemast.cloud
+
+import linemast.domain.MachineType
+
+/**
+ * The machines that exist as far as the cloud has said so, during one term of the leader.
+ *
+ * The cloud's list lags: a machine missing from it may be up, and a listed one may be gone. A machine is therefore dropped
+ * only on a confirmed scale-in, or after several consecutive lists without it.
+ */
+internal class MachineInventory(private val listLagMicros: Long) {
+    private val machinesByName = LinkedHashMap<String, CloudMachine>()
+
+    /** Machines whose scale-in a previous leader has requested: it may take effect at any moment. */
+    private val scaleInsOfPreviousLeaders = HashSet<String>()
+
+    /** All machines by name, in the order in which they became known. */
+    val machines: Map<String, CloudMachine> get() = machinesByName
+
+    /** Names of the baseline machines; null until they are known. */
+    var baselineMachines: Set<String>? = null
+
+    /** Whether at least one list has arrived. */
+    var hasMachineList = false
+        private set
+
+    /** Merges the cloud's list; machines of a type that is not in [types] are left out. */
+    fun updateFromList(list: List<ListedMachine>, types: Map<String, MachineType>, nowMicros: Long) {
+        hasMachineList = true
+        for (listed in list) {
+            val type = types[listed.machineType] ?: continue
+            val machine = machinesByName.getOrPut(listed.name) { newMachine(listed, type, nowMicros) }
+            machine.lastListedMicros = nowMicros
+            machine.status = listed.status
+        }
+        val absentSince = nowMicros - MAX_MISSED_LISTS * listLagMicros - ABSENCE_MARGIN_MICROS
+        machinesByName.values.removeIf { maxOf(it.lastListedMicros, it.createdMicros) < absentSince }
+    }
+
+    private fun newMachine(listed: ListedMachine, type: MachineType, nowMicros: Long): CloudMachine {
+        val machine = CloudMachine(listed.name, type, listed.zone, listed.spot, nowMicros - listed.ageMicros)
+        machine.scalingIn = listed.name in scaleInsOfPreviousLeaders
+        return machine
+    }
+
+    /** Adds machines that the cloud has just granted. */
+    fun addGranted(names: List<String>, type: MachineType, zone: String, spot: Boolean, nowMicros: Long) {
+        for (name in names) machinesByName.getOrPut(name) { CloudMachine(name, type, zone, spot, nowMicros) }
+    }
+
+    /** Marks machines whose scale-in a previous leader has decided, whether they are listed yet or not. */
+    fun markScalingIn(names: Collection<String>) {
+        scaleInsOfPreviousLeaders += names
+        names.forEach { machinesByName[it]?.scalingIn = true }
+    }
+
+    /** Drops machines whose scale-in the cloud has confirmed. */
+    fun remove(names: Collection<String>) {
+        names.forEach(machinesByName::remove)
+        scaleInsOfPreviousLeaders -= names.toSet()
+    }
+
+    /** Whether the machine is known to be gone; one that is only just granted may not be listed yet. */
+    fun isGone(name: String): Boolean = machinesByName[name].let { it == null || it.status == CloudMachine.FAILED }
+
+    /** Whether the machine is a baseline one; every machine counts as such until the baseline is known. */
+    fun isBaseline(name: String): Boolean = baselineMachines?.contains(name) ?: true
+
+    private companion object {
+        const val MAX_MISSED_LISTS = 4
+        const val ABSENCE_MARGIN_MICROS = 20_000_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/cloud/MachineSupply.kt
@@ -0,0 +1,44 @@
+package linemast.cloud
+
+import linemast.domain.Job
+import linemast.domain.JobSpec
+import linemast.domain.MachineShape
+import linemast.domain.MachineType
+
+/** Absorbs rounding in divisions of vcpus. */
+internal const val SLOT_EPSILON = 1e-6
+
+/** Tasks of [spec] that an empty machine of [type] has vcpus for. */
+internal fun slotsPerMachine(type: MachineType, spec: JobSpec): Double = Math.floor(type.vcpus / spec.vcpus + SLOT_EPSILON)
+
+/** Machines of one shape, running or requested, as bins into which the demand of jobs is packed; by vcpus alone. */
+internal class MachineSupply(val shape: MachineShape) {
+    /** Number of machines, packed or not. */
+    var machines = 0
+        private set
+    private var emptyMachines = 0
+
+    /** Free vcpus on the machine that was packed last. */
+    private var freeVcpus = 0.0
+
+    /** Adds [count] empty machines. */
+    fun add(count: Int) {
+        machines += count
+        emptyMachines += count
+    }
+
+    /** Packs up to [slots] tasks of [job]; the number that fits. */
+    fun pack(job: Job, slots: Double): Double {
+        val spec = job.spec
+        if (slots <= 0 || !shape.allows(spec)) return 0.0
+        val onLast = minOf(slots, Math.floor(freeVcpus / spec.vcpus + SLOT_EPSILON))
+        freeVcpus -= onLast * spec.vcpus
+        val perMachine = slotsPerMachine(shape.type, spec)
+        val onEmpty = minOf(slots - onLast, emptyMachines * perMachine)
+        if (onEmpty <= 0) return onLast
+        val filled = Math.ceil(onEmpty / perMachine - SLOT_EPSILON).toInt()
+        emptyMachines -= filled
+        freeVcpus = maxOf(freeVcpus, shape.type.vcpus - (onEmpty - (filled - 1) * perMachine) * spec.vcpus)
+        return onLast + onEmpty
+    }
+}
--- a/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
@@ -4,79 +4,88 @@
 import linemast.settings.Policy
 import linemast.settings.WorkerSettings
 
-/** Which machines are to be given back to the cloud, by what their workers report and by what they are still needed for. */
+/** Decides which machines are to be removed, from their heartbeats and from what they are still needed for. */
 internal class ScaleInPolicy(private val workers: WorkerSettings, private val policy: Policy) {
-    private val quietMicros = workers.heartbeatIntervalMicros * QUIET_REPORTS + QUIET_MICROS
+    /** Beyond this age of its last heartbeat, nothing certain is known of a worker's tasks. */
+    private val maxHeartbeatAgeMicros = workers.heartbeatIntervalMicros * MISSED_HEARTBEATS + HEARTBEAT_MARGIN_MICROS
 
-    /** What a look at all machines shares. */
+    /** What all machines of one round have in common. */
     class Situation(
         /** Whether a plan still has work for a machine. */
         val isNeeded: (Machine) -> Boolean,
+        /** Whether no further jobs are expected. */
         val demandCeased: Boolean,
-        /** Zones from which workers report: one that is silent as a whole is more likely cut off than gone. */
+        /** Zones with recent heartbeats: one without any is more likely cut off than gone. */
         val reportingZones: Set<String>,
         val nowMicros: Long,
     )
 
-    /** Zones from which a worker has reported lately. */
+    /** Zones from which at least one worker has reported lately. */
     fun reportingZones(workersByName: Map<String, Machine>, nowMicros: Long): Set<String> {
-        val freshMicros = QUIET_MICROS + workers.heartbeatIntervalMicros
-        return workersByName.values.filter { nowMicros - it.lastHeartbeatMicros < freshMicros }.mapTo(HashSet()) { it.zone }
+        val recentMicros = HEARTBEAT_MARGIN_MICROS + workers.heartbeatIntervalMicros
+        return workersByName.values.filter { nowMicros - it.lastHeartbeatMicros < recentMicros }.mapTo(HashSet()) { it.zone }
     }
 
-    /** Why [machine] is to be given back; null if it is not. */
+    /** Why [machine] is to be removed; null if it is to be kept. [worker] is null until it has reported for the first time. */
     fun reason(machine: CloudMachine, worker: Machine?, isBaseline: Boolean, situation: Situation): ScaleInReason? {
         if (machine.status == CloudMachine.FAILED) return ScaleInReason.FAILED
-        if (worker == null || worker.lastHeartbeatMicros == 0L) return neverReported(machine, situation.nowMicros)
-        return faulty(machine, worker, isBaseline, situation) ?: idle(worker, isBaseline, situation)
+        if (worker == null || worker.lastHeartbeatMicros == NO_HEARTBEAT_MICROS) return startupFailure(machine, situation.nowMicros)
+        return failure(machine, worker, isBaseline, situation) ?: idle(worker, isBaseline, situation)
     }
 
-    private fun neverReported(machine: CloudMachine, nowMicros: Long): ScaleInReason? {
-        val age = nowMicros - machine.createdMicros
-        val limit = NEVER_BOOTS * machine.type.startupMicros + NEVER_MICROS
-        return if (machine.status == CloudMachine.STARTING && age > limit) ScaleInReason.NEVER_STARTED else null
+    private fun startupFailure(machine: CloudMachine, nowMicros: Long): ScaleInReason? {
+        val ageMicros = nowMicros - machine.createdMicros
+        val maxAgeMicros = MAX_STARTUP_FACTOR * machine.type.startupMicros + STARTUP_MARGIN_MICROS
+        val isOverdue = machine.status == CloudMachine.STARTING && ageMicros > maxAgeMicros
+        return if (isOverdue) ScaleInReason.NEVER_STARTED else null
     }
 
-    private fun faulty(machine: CloudMachine, worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
-        val silentMicros = situation.nowMicros - worker.lastHeartbeatMicros
+    private fun failure(machine: CloudMachine, worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
+        val heartbeatAgeMicros = situation.nowMicros - worker.lastHeartbeatMicros
         val isReportingZone = worker.zone in situation.reportingZones
         val noticeMicros = worker.preemptionNoticeMicros
-        val maxSilentMicros = if (isBaseline) BASELINE_SILENT_MICROS else SILENT_MICROS
+        val missingMicros = if (isBaseline) BASELINE_MISSING_HEARTBEAT_MICROS else MISSING_HEARTBEAT_MICROS
         return when {
-            worker.failedJobs.size >= FAILED_JOBS && worker.draining -> ScaleInReason.QUARANTINED
-            noticeMicros != null && silentMicros >= noticeMicros - PREEMPTION_MARGIN_MICROS -> ScaleInReason.PREEMPTED
-            machine.spot && silentMicros > quietMicros && isReportingZone -> ScaleInReason.PREEMPTED_WITHOUT_NOTICE
-            silentMicros > maxSilentMicros && isReportingZone -> ScaleInReason.MISSING_HEARTBEAT
+            worker.failedJobs.size >= QUARANTINE_FAILED_JOBS && worker.draining -> ScaleInReason.QUARANTINED
+            noticeMicros != null && heartbeatAgeMicros >= noticeMicros - PREEMPTION_MARGIN_MICROS -> ScaleInReason.PREEMPTED
+            machine.spot && heartbeatAgeMicros > maxHeartbeatAgeMicros && isReportingZone -> ScaleInReason.PREEMPTED_WITHOUT_NOTICE
+            heartbeatAgeMicros > missingMicros && isReportingZone -> ScaleInReason.MISSING_HEARTBEAT
             isUnreachable(worker, situation.nowMicros) -> ScaleInReason.UNREACHABLE
             else -> null
         }
     }
 
     private fun isUnreachable(worker: Machine, nowMicros: Long): Boolean =
-        worker.unacknowledgedSinceMicros > 0 && nowMicros - worker.unacknowledgedSinceMicros > SILENT_MICROS
+        worker.unacknowledgedSinceMicros > 0 && nowMicros - worker.unacknowledgedSinceMicros > MISSING_HEARTBEAT_MICROS
 
     private fun idle(worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
         val isBusy = worker.placements.isNotEmpty() || worker.reservedFor != null
-        if (isBusy || situation.nowMicros - worker.lastHeartbeatMicros > quietMicros || situation.isNeeded(worker)) return null
+        val isOutdated = situation.nowMicros - worker.lastHeartbeatMicros > maxHeartbeatAgeMicros
+        if (isBusy || isOutdated || situation.isNeeded(worker)) return null
         val idleMicros = situation.nowMicros - worker.idleSinceMicros
-        if (!isBaseline) return if (idleMicros > patienceMicros(policy.idleReturnMicros, situation)) ScaleInReason.IDLE else null
-        return if (idleMicros > patienceMicros(policy.baselineIdleMicros, situation)) ScaleInReason.BASELINE_IDLE else null
+        val usualMicros = if (isBaseline) policy.baselineIdleMicros else policy.idleReturnMicros
+        if (idleMicros <= maxIdleMicros(usualMicros, situation)) return null
+        return if (isBaseline) ScaleInReason.BASELINE_IDLE else ScaleInReason.IDLE
     }
 
-    /** Once demand has ceased nothing is kept for it, beyond the time in which a running task may not show in a report yet. */
-    private fun patienceMicros(usualMicros: Long, situation: Situation): Long =
-        if (situation.demandCeased) minOf(usualMicros, quietMicros) else usualMicros
+    /** Once demand has ceased nothing is kept idle, beyond the time in which a running task may be missing from heartbeats. */
+    private fun maxIdleMicros(usualMicros: Long, situation: Situation): Long =
+        if (situation.demandCeased) minOf(usualMicros, maxHeartbeatAgeMicros) else usualMicros
 
     private companion object {
-        const val NEVER_BOOTS = 4
-        const val NEVER_MICROS = 20_000_000L
+        /** [Machine.lastHeartbeatMicros] of a machine whose worker has not reported to this leader. */
+        const val NO_HEARTBEAT_MICROS = 0L
+        const val MAX_STARTUP_FACTOR = 4
+        const val STARTUP_MARGIN_MICROS = 20_000_000L
         const val PREEMPTION_MARGIN_MICROS = 1_000_000L
-        const val QUIET_REPORTS = 2
-        const val QUIET_MICROS = 2_500_000L
-        const val SILENT_MICROS = 60_000_000L
-        const val BASELINE_SILENT_MICROS = 150_000_000L
+        const val MISSED_HEARTBEATS = 2
+        const val HEARTBEAT_MARGIN_MICROS = 2_500_000L
+        const val MISSING_HEARTBEAT_MICROS = 60_000_000L
 
-        /** As many different jobs have to fail on a machine until it is taken to be broken. */
-        const val FAILED_JOBS = 2
+        /** Baseline machines are hard to get back, so they are given more time. */
+        const val BASELINE_MISSING_HEARTBEAT_MICROS = 150_000_000L
+
+        /** As many different jobs have to fail on a machine until it counts as faulty. */
+        const val QUARANTINE_FAILED_JOBS = 2
     }
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
@@ -0,0 +1,153 @@
+package linemast.cloud
+
+import linemast.domain.Job
+import linemast.domain.JobSpec
+import linemast.domain.Machine
+import linemast.domain.MachineShape
+import linemast.domain.MachineType
+import linemast.planning.ScaleOutDemand
+
+/**
+ * Turns the demand for machines into requests to the cloud, given the machines that exist or are requested already.
+ *
+ * Request ids carry the leader's [fencingToken], so that those of different leaders never clash.
+ */
+internal class ScaleOutPlanner(
+    private val limits: ScaleOutLimits,
+    private val inventory: MachineInventory,
+    private val backoff: CapacityBackoff,
+    private val fencingToken: Long,
+) {
+    private class MachineBatch(val shape: MachineShape, val count: Int)
+
+    private class PricedShape(val shape: MachineShape, val pricePerSlot: Double)
+
+    private val pendingRequests = LinkedHashMap<String, ScaleOutRequest>()
+    private var lastRequestNumber = 0L
+
+    /** Whether demand is left that the limit of pending requests keeps from being requested. */
+    var hasDeferredDemand = false
+        private set
+
+    /** Counts the machines of [request] as supply until it is finished. */
+    fun addPending(request: ScaleOutRequest) {
+        pendingRequests[request.requestId] = request
+    }
+
+    /** Notes that [request] was answered or given up. */
+    fun finishPending(request: ScaleOutRequest) {
+        pendingRequests.remove(request.requestId)
+    }
+
+    /** Requests that would meet [demands], in the order of the demands; they are pending from now on. */
+    fun plan(
+        demands: List<ScaleOutDemand>,
+        types: Collection<MachineType>,
+        workers: Map<String, Machine>,
+        constraints: ScaleOutConstraints,
+        nowMicros: Long,
+    ): List<ScaleOutRequest> {
+        val supply = supply(types, workers, nowMicros)
+        val machinesByShape = LinkedHashMap<MachineShape, Int>()
+        var usedVcpus = supply.sumOf { it.machines * it.shape.type.vcpus }
+        for (demand in demands) {
+            val job = demand.job
+            val slots = unmetSlots(demand, supply, constraints)
+            if (slots < MIN_SLOTS) continue
+            val shape = availableShapes(job, types, nowMicros).firstOrNull { !constraints.isExcluded(it.type, it.spot, job) } ?: continue
+            val wanted = Math.ceil(slots / slotsPerMachine(shape.type, job.spec) - SLOT_EPSILON).toInt()
+            val count = minOf(wanted, ((limits.maxVcpus - usedVcpus) / shape.type.vcpus).toInt())
+            if (count <= 0) continue
+            // Only what the cloud grants counts; after a refusal the next shape is tried soon.
+            machinesByShape.merge(shape, count, Int::plus)
+            usedVcpus += count * shape.type.vcpus
+            supply += requestedSupply(shape, count, job, slots)
+        }
+        return takePermitted(machinesByShape)
+    }
+
+    /** The part of [demand] that [supply] has no room for. */
+    private fun unmetSlots(demand: ScaleOutDemand, supply: List<MachineSupply>, constraints: ScaleOutConstraints): Double {
+        val job = demand.job
+        var slots = minOf(demand.slots, constraints.maxSlots(job))
+        if (slots < MIN_SLOTS) return slots
+        for (machines in supply) {
+            if (!constraints.isExcluded(machines.shape.type, machines.shape.spot, job)) slots -= machines.pack(job, slots)
+        }
+        return slots
+    }
+
+    private fun requestedSupply(shape: MachineShape, count: Int, job: Job, slots: Double): MachineSupply {
+        val supply = MachineSupply(shape)
+        supply.add(count)
+        supply.pack(job, slots)
+        return supply
+    }
+
+    /** As many requests as may be in flight; the rest of the demand is deferred to a later plan. */
+    private fun takePermitted(machinesByShape: Map<MachineShape, Int>): List<ScaleOutRequest> {
+        val parts = machinesByShape.flatMap { (shape, count) -> requestSizes(count).map { MachineBatch(shape, it) } }
+        val permitted = (limits.maxPendingRequests - pendingRequests.size).coerceAtLeast(0)
+        hasDeferredDemand = parts.size > permitted
+        return parts.take(permitted).map(::newRequest).onEach(::addPending)
+    }
+
+    private fun requestSizes(count: Int): List<Int> =
+        (0 until count step MAX_MACHINES_PER_REQUEST).map { start -> minOf(count - start, MAX_MACHINES_PER_REQUEST) }
+
+    private fun newRequest(batch: MachineBatch): ScaleOutRequest {
+        val shape = batch.shape
+        return ScaleOutRequest("r-$fencingToken-${++lastRequestNumber}", shape.type.name, shape.zone, shape.spot, batch.count)
+    }
+
+    private fun supply(types: Collection<MachineType>, workers: Map<String, Machine>, nowMicros: Long): MutableList<MachineSupply> {
+        val supply = LinkedHashMap<MachineShape, MachineSupply>()
+        for (machine in inventory.machines.values) {
+            if (!isUsable(machine, workers[machine.name], nowMicros)) continue
+            supply.getOrPut(machine.shape) { MachineSupply(machine.shape) }.add(1)
+        }
+        for (request in pendingRequests.values) {
+            val type = types.firstOrNull { it.name == request.machineType } ?: continue
+            val shape = MachineShape(type, request.zone, request.spot)
+            supply.getOrPut(shape) { MachineSupply(shape) }.add(request.number)
+        }
+        // Small machines first, so that large ones stay available to jobs that need them.
+        return supply.values.sortedBy { it.shape.type.vcpus }.toMutableList()
+    }
+
+    /** Whether a machine beyond the baseline takes tasks now, or will once it has booted. */
+    private fun isUsable(machine: CloudMachine, worker: Machine?, nowMicros: Long): Boolean {
+        if (inventory.isBaseline(machine.name) || machine.scalingIn || machine.status == CloudMachine.FAILED) return false
+        if (worker == null) return nowMicros - machine.createdMicros <= MAX_STARTUP_FACTOR * machine.type.startupMicros
+        return !worker.draining && worker.unacknowledgedSinceMicros <= 0
+    }
+
+    /** Shapes that fit [job], the cheapest per task first, without those that the cloud had no capacity for lately. */
+    private fun availableShapes(job: Job, types: Collection<MachineType>, nowMicros: Long): List<MachineShape> = types
+        .filter { it.takes(job.spec) }
+        .flatMap { pricedShapes(it, job.spec) }
+        .filter { backoff.isAvailable(it.shape, nowMicros) }
+        .sortedBy { it.pricePerSlot }
+        .map { it.shape }
+
+    private fun pricedShapes(type: MachineType, spec: JobSpec): List<PricedShape> {
+        val slots = slotsPerMachine(type, spec)
+        val zones = type.zones.ifEmpty { limits.defaultZones }.filter { spec.zone == null || it == spec.zone }
+        return zones.flatMap { zone ->
+            val onDemand = PricedShape(MachineShape(type, zone, spot = false), type.price / slots)
+            val spot = PricedShape(MachineShape(type, zone, spot = true), type.spotPrice / slots)
+            if (spec.spot) listOf(onDemand, spot) else listOf(onDemand)
+        }
+    }
+
+    private companion object {
+        /** Less than this is rounding, not demand. */
+        const val MIN_SLOTS = 0.5
+
+        /** The cloud's limit per request. */
+        const val MAX_MACHINES_PER_REQUEST = 50
+
+        /** After so many times its usual startup a machine without a worker is not waited for. */
+        const val MAX_STARTUP_FACTOR = 2
+    }
+}
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -79,7 +79,7 @@
     /** Starts the rentals and returns of [actions]. */
     fun run(actions: ScalingActions) {
         actions.scaleOuts.forEach { request -> scope.launch { scaleOut(request) } }
-        if (actions.scaleIns.isNotEmpty()) executor.parts(actions.scaleIns).forEach(::scaleIn)
+        if (actions.scaleIns.isNotEmpty()) executor.split(actions.scaleIns).forEach(::scaleIn)
     }
 
     /** A request without an answer is repeated under the same id, which rents at most once. */
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory
 
 /** This controller does not hold the duties any more: whatever it wanted to do is for the next holder to decide. */
-class LeadershipLostException(fencingToken: Long) : CloudException("the term with fencing token $fencingToken has ended")
+class LeadershipLostException(fencingToken: Long) : CloudException.NotPermitted("the term with fencing token $fencingToken has ended")
 
 /** As many intents are open as there are slots: nothing new can be begun until one of them has ended. */
-class IntentLogFullException : CloudException("all slots hold open intents")
+class IntentLogFullException : CloudException.NotPermitted("all slots hold open intents")
 
 /**
  * Writes intents, and their ends, to the store: one transaction at a time, which takes all that wait.
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -54,18 +54,18 @@
             // It is for the next holder to carry on with.
             return ScaleOutResult.Unknown
         }
-        if (result == ScaleOutResult.Unknown) throw CloudException("no answer to rental ${request.requestId}")
+        if (result == ScaleOutResult.Unknown) throw CloudException.NoAnswer("no answer to scale-out ${request.requestId}")
         return result
     }
 
-    override fun parts(returns: ScaleInBatch): List<ScaleInBatch> = returns.entries.groupBy { it.value.duty }.flatMap { (duty, group) ->
+    override fun split(batch: ScaleInBatch): List<ScaleInBatch> = batch.entries.groupBy { it.value.duty }.flatMap { (duty, group) ->
         if (duty in settings.suspended) return@flatMap emptyList()
         group.chunked(maxMachinesPerIntent(group.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
     }
 
-    override suspend fun scaleIn(returns: ScaleInBatch) {
-        val names = returns.keys.toList()
-        val open = writer.begin(CloudAction.ScaleIn(names, returns.values.first().duty))
+    override suspend fun scaleIn(batch: ScaleInBatch) {
+        val names = batch.keys.toList()
+        val open = writer.begin(CloudAction.ScaleIn(names, batch.values.first().duty))
         runner.scaleIn(names)
         runner.closeReturn(open, names.size)
     }
--- a/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** Which idle machines are given back, and when. */
+/** Which idle machines are removed, and when. */
 class ScaleInPolicyTest {
     private val type = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, listOf("z"))
-    private val rules = ScaleInPolicy(testSettings().workers, Policy())
+    private val policy = ScaleInPolicy(testSettings().workers, Policy())
 
     private fun reasonAfter(idleMicros: Long, isBaseline: Boolean, demandCeased: Boolean, isNeeded: Boolean = false): ScaleInReason? {
         val nowMicros = 600_000_000L
@@ -20,17 +20,17 @@
         worker.idleSinceMicros = nowMicros - idleMicros
         val listed = CloudMachine(worker.name, type, "z", false, createdMicros = 0)
         val situation = ScaleInPolicy.Situation({ isNeeded }, demandCeased, setOf("z"), nowMicros)
-        return rules.reason(listed, worker, isBaseline, situation)
+        return policy.reason(listed, worker, isBaseline, situation)
     }
 
     @Test
-    fun `an idle rented machine is kept for a while as long as jobs come`() {
+    fun `an idle machine beyond the baseline is scaled in only after its idle time`() {
         assertNull(reasonAfter(20_000_000, isBaseline = false, demandCeased = false))
         assertEquals(ScaleInReason.IDLE, reasonAfter(26_000_000, isBaseline = false, demandCeased = false))
     }
 
     @Test
-    fun `once demand has ceased nothing idle is kept for longer than reports may be late`() {
+    fun `once demand has ceased no idle machine is kept for longer than heartbeats may be late`() {
         for (isBaseline in listOf(false, true)) {
             assertNull(reasonAfter(4_000_000, isBaseline, demandCeased = true))
             assertEquals(
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `an baseline machine is kept through a pause`() {
+    fun `an idle baseline machine is kept while demand has not ceased`() {
         assertNull(reasonAfter(600_000_000, isBaseline = true, demandCeased = false))
     }
 }
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -77,11 +77,11 @@
                     carryOut()
                 }
                 delay(TIMEOUT_MILLIS)
-                throw CloudException("no answer")
+                throw CloudException.NoAnswer("no answer")
             }
             delay(LATENCY_MILLIS)
             val result = carryOut()
-            if (world.random.nextDouble() < lostAnswers) throw CloudException("no answer")
+            if (world.random.nextDouble() < lostAnswers) throw CloudException.NoAnswer("no answer")
             return result
         }
 
