--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -31,7 +31,7 @@
             clock = clock,
             wallMicros = { System.currentTimeMillis() * 1_000 },
             scope = this,
-            onLeadershipChange = store::share,
+            onLeadershipChange = store::setLeader,
             features = features,
         )
         var handler: suspend (HttpRequest) -> HttpResponse = node::route
@@ -43,7 +43,7 @@
         }
         val server = HttpServer(loop, settings.serveOn, settings.processLimits.fdLimit - RESERVED_SOCKETS, handler)
         launch { server.serve(this) }
-        val links = PeerLinks(settings, loop, node::frame, node::heard)
+        val links = PeerLinks(settings, loop, node::peerStatus, node::receivePeerStatus)
         launch { links.run(this) }
         node.start()
         log.info("{} serving on {}", settings.nodeName, settings.serveOn)
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -20,7 +20,7 @@
 import linemast.leadership.LeaderKeys
 import linemast.leadership.LeaderLease
 import linemast.leadership.LeaderView
-import linemast.peers.PeerFrame
+import linemast.peers.PeerStatus
 import linemast.peers.PeerView
 import linemast.serialization.Cbor
 import linemast.serialization.MalformedException
@@ -40,7 +40,7 @@
 import linemast.workers.HeartbeatCodec
 import org.slf4j.LoggerFactory
 
-/** A controller without its sockets: requests come through [route], frames of peers through [heard]. */
+/** A controller without its sockets: requests come through [route], statuses of peers through [receivePeerStatus]. */
 class Node(
     private val settings: Settings,
     private val policy: Policy,
@@ -125,26 +125,26 @@
         leaderScope = null
     }
 
-    /** What this controller tells the others now. */
-    fun frame(): PeerFrame {
+    /** What this controller tells its peers now. */
+    fun peerStatus(): PeerStatus {
         val leading = leader
-        val workersAsk = clock.nowMicros() - lastHeartbeatMicros < WORKERS_ASK_MICROS
-        return PeerFrame(
+        val receivesHeartbeats = clock.nowMicros() - lastHeartbeatMicros < HEARTBEATS_LATELY_MICROS
+        return PeerStatus(
             settings.nodeName,
             view.highestFencingToken,
             leading != null,
-            healthProbe.works,
-            workersAsk,
+            healthProbe.isHealthy,
+            receivesHeartbeats,
             leading?.progress() ?: emptyMap(),
         )
     }
 
-    /** Takes a frame of another controller. */
-    fun heard(frame: PeerFrame) {
-        view.observeFencingToken(frame.fencingToken)
-        if (frame.isLeader && frame.fencingToken >= view.highestFencingToken && view.own == null) view.leaderName = frame.node
-        peers.heard(frame)
-        leader?.peerKnows(frame.node, frame.fencingToken)
+    /** Takes in a status that has arrived from another controller. */
+    fun receivePeerStatus(status: PeerStatus) {
+        view.observeFencingToken(status.fencingToken)
+        if (status.isLeader && status.fencingToken >= view.highestFencingToken && view.own == null) view.leaderName = status.node
+        peers.received(status)
+        leader?.peerKnows(status.node, status.fencingToken)
     }
 
     /** Answers a request of a user, a worker or the load balancer. */
@@ -161,7 +161,7 @@
      * controller: in an outage for all, being taken out would only delay the return.
      */
     private fun isHealthy(): Boolean =
-        types != null && (healthProbe.failingFor(clock.nowMicros()) < UNHEALTHY_MICROS || !peers.storeWorksElsewhere)
+        types != null && (healthProbe.failingForMicros(clock.nowMicros()) < UNHEALTHY_MICROS || !peers.peerReachesStore)
 
     private suspend fun heartbeat(request: HttpRequest): HttpResponse {
         val heartbeat = HeartbeatCodec.decode(Cbor.decodeMap(request.body))
@@ -212,7 +212,7 @@
 
         /** Below this part of its part of what can be taken a controller has no demand to tell of. */
         const val QUIET_PARTS = 2
-        const val WORKERS_ASK_MICROS = 2_000_000L
+        const val HEARTBEATS_LATELY_MICROS = 2_000_000L
 
         /** Longer than news of an outage takes from the others: a second between questions, one between frames. */
         const val UNHEALTHY_MICROS = 3_500_000L
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -179,7 +179,7 @@
      * renewed its lead, they would be sent back here until their leases are over.
      */
     private fun leaveIfWorkersAreLost(nowMicros: Long) {
-        if (!cluster.hasLostWorkers(nowMicros) || !peers.workersAskElsewhere) return
+        if (!cluster.hasLostWorkers(nowMicros) || !peers.peerReceivesHeartbeats) return
         log.info("workers turn to other controllers and do not get through here: giving the leadership away")
         leaderLease.stepDown()
     }
--- a/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
+++ b/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
@@ -10,8 +10,8 @@
  * renews a lease that is over within the time a cancellation has. That holds for each answer by itself: it does not
  * matter how many terms follow each other, nor whether the leadership is still being renewed.
  */
-class CancellationFreshness(private val renewalMicros: Long) {
-    constructor(workers: WorkerSettings) : this(renewalMicros(workers.leaseMicros, workers.cancelMicros))
+class CancellationFreshness(private val maxRenewalStalenessMicros: Long) {
+    constructor(workers: WorkerSettings) : this(maxRenewalStalenessMicros(workers.leaseMicros, workers.cancelMicros))
 
     /** When the last read of the store that is complete was sent; null before the first. */
     var freshAsOfMicros: Long? = null
@@ -23,13 +23,14 @@
     }
 
     /** Until when what is known now allows answers that renew a lease. */
-    val renewalsAllowedUntilMicros: Long get() = freshAsOfMicros?.let { it + renewalMicros } ?: Long.MIN_VALUE
+    val renewalsAllowedUntilMicros: Long get() = freshAsOfMicros?.let { it + maxRenewalStalenessMicros } ?: Long.MIN_VALUE
 
     /** Until when what is known now allows starts: a job whose cancellation is confirmed must not be started any more. */
-    val startsAllowedUntilMicros: Long get() = freshAsOfMicros?.let { it + minOf(FRESH_MICROS, renewalMicros) } ?: Long.MIN_VALUE
+    val startsAllowedUntilMicros: Long get() = freshAsOfMicros?.let { it + minOf(FRESH_MICROS, maxRenewalStalenessMicros) }
+        ?: Long.MIN_VALUE
 
     /** Whether what was known at [sinceMicros] is too old for a lease to be renewed at [nowMicros]. */
-    fun isOver(sinceMicros: Long, nowMicros: Long): Boolean = nowMicros >= sinceMicros + renewalMicros
+    fun isTooStale(asOfMicros: Long, nowMicros: Long): Boolean = nowMicros >= asOfMicros + maxRenewalStalenessMicros
 
     companion object {
         private const val FRESH_MICROS = 4_000_000L
@@ -41,9 +42,9 @@
          * below a cancellation's time. A lease counts from when the report was sent, which is before its answer, so that
          * flights need no room; the margin is for clocks and for what a worker takes to end its tasks.
          */
-        fun renewalMicros(leaseMicros: Long, cancelMicros: Long): Long {
+        fun maxRenewalStalenessMicros(leaseMicros: Long, cancelMicros: Long): Long {
             val left = cancelMicros - leaseMicros
-            return left - minOf(MARGIN_MICROS, left / MAX_MARGIN_PARTS) - LeaderLease.drift(cancelMicros)
+            return left - minOf(MARGIN_MICROS, left / MAX_MARGIN_PARTS) - LeaderLease.driftMicros(cancelMicros)
         }
     }
 }
--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -71,7 +71,7 @@
             return null
         }
         val sent = clock.nowMicros()
-        val lease = store.openLease(leaderLeaseMicros)
+        val lease = store.grantLease(leaderLeaseMicros)
         val last = store.get(LeaderKeys.FENCING_TOKEN)
         val fencingToken = maxOf(last?.value?.long("n") ?: 0L, view.highestFencingToken) + 1
         val record = mapOf("node" to nodeName, "helm" to fencingToken)
@@ -107,7 +107,7 @@
     /** Ends the lease, and lets the others contend first. */
     private suspend fun stepAside() {
         try {
-            store.endLease(lease)
+            store.revokeLease(lease)
         } catch (e: StoreException) {
             log.debug("ending the lease: {}", e.message)
         }
--- a/src/main/kotlin/linemast/leadership/LeaderLease.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderLease.kt
@@ -27,14 +27,14 @@
 ) {
     /** Every write of this term depends on it, so that none is carried out once another one leads. */
     val fence = Precondition(LeaderKeys.LEADER, revision)
-    private var untilMicros = sentMicros + usable(leaderLeaseMicros)
+    private var untilMicros = sentMicros + usableMicros(leaderLeaseMicros)
     private var degradedUntilMicros = untilMicros + degradedModeMicros
     var ended = false
         private set
 
     /** A renewal sent at [sentMicros] was confirmed. */
     fun renewed(sentMicros: Long) {
-        untilMicros = maxOf(untilMicros, sentMicros + usable(leaderLeaseMicros))
+        untilMicros = maxOf(untilMicros, sentMicros + usableMicros(leaderLeaseMicros))
         degradedUntilMicros = untilMicros + degradedModeMicros
     }
 
@@ -64,9 +64,9 @@
         private const val MARGIN_MICROS = 200_000L
 
         /** What a clock that may run off by 0.05% either way makes of a duration, rounded up generously. */
-        fun drift(micros: Long): Long = micros * DRIFT_PER_MILLION / 1_000_000 + 1
+        fun driftMicros(micros: Long): Long = micros * DRIFT_PER_MILLION / 1_000_000 + 1
 
-        private fun usable(leaderLeaseMicros: Long) = leaderLeaseMicros - drift(leaderLeaseMicros) - MARGIN_MICROS
+        private fun usableMicros(leaderLeaseMicros: Long) = leaderLeaseMicros - driftMicros(leaderLeaseMicros) - MARGIN_MICROS
 
         /**
          * How long a leader without its store may keep answering.
@@ -75,7 +75,7 @@
          * before a cancellation's time is over; the margin covers reports on their way and clocks.
          */
         fun degradedModeMicros(leaseMicros: Long, cancelMicros: Long): Long {
-            val margin = GRACE_MARGIN_MICROS + drift(cancelMicros)
+            val margin = GRACE_MARGIN_MICROS + driftMicros(cancelMicros)
             return (cancelMicros - leaseMicros - margin).coerceAtLeast(0)
         }
 
--- a/src/main/kotlin/linemast/peers/PeerLinks.kt
+++ b/src/main/kotlin/linemast/peers/PeerLinks.kt
@@ -16,53 +16,61 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The connections between controllers: each pushes its [frame] to every other once a second.
+ * The connections between controllers: each sends its status to every other once a second.
  *
- * Frames are an Okio buffer behind its length. A link that is down is tried again; nothing waits for it.
+ * On the wire a status stands behind its length in four bytes. A broken connection is opened again; nothing waits for it.
+ *
+ * @property currentStatus gives the status of this controller when it is about to be sent.
+ * @property onStatus takes each status that arrives from another controller.
  */
 class PeerLinks(
     private val settings: Settings,
     private val loop: EventLoop,
-    private val frame: () -> PeerFrame,
-    private val onFrame: (PeerFrame) -> Unit,
+    private val currentStatus: () -> PeerStatus,
+    private val onStatus: (PeerStatus) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger(PeerLinks::class.java)
 
-    /** Sends and receives frames until [scope] is cancelled. */
+    /** Sends and receives statuses until [scope] is cancelled. */
     suspend fun run(scope: CoroutineScope) {
-        for (member in settings.members) scope.launch { push(member.peerAddr) }
-        Listener(loop, settings.peerListen, MAX_ACCEPTED).serve(scope) { connection -> quietly { receive(connection) } }
+        for (member in settings.members) scope.launch { keepSendingTo(member.peerAddr) }
+        Listener(loop, settings.peerListen, MAX_ACCEPTED).serve(scope) { connection -> logFailure { receiveFrom(connection) } }
     }
 
-    private suspend fun push(address: Address) {
+    private suspend fun keepSendingTo(address: Address) {
         while (true) {
-            quietly {
-                withTimeout(SEND_MILLIS) { connect(loop, address) }.use { connection ->
-                    while (true) {
-                        val message = Buffer().apply {
-                            val body = frame().encode()
-                            writeInt(body.size.toInt())
-                            writeAll(body)
-                        }
-                        withTimeout(SEND_MILLIS) { connection.write(message.readByteArray()) }
-                        delay(PERIOD_MILLIS)
-                    }
-                }
+            logFailure {
+                withTimeout(SEND_TIMEOUT_MILLIS) { connect(loop, address) }.use { sendTo(it) }
             }
             delay(RECONNECT_MILLIS)
         }
     }
 
-    private suspend fun receive(connection: Connection) {
+    private suspend fun sendTo(connection: Connection) {
+        while (true) {
+            val message = frame(PeerStatusCodec.encode(currentStatus()))
+            withTimeout(SEND_TIMEOUT_MILLIS) { connection.write(message) }
+            delay(SEND_PERIOD_MILLIS)
+        }
+    }
+
+    private fun frame(body: Buffer): ByteArray {
+        val frame = Buffer()
+        frame.writeInt(body.size.toInt())
+        frame.writeAll(body)
+        return frame.readByteArray()
+    }
+
+    private suspend fun receiveFrom(connection: Connection) {
         while (true) {
             val length = Buffer().write(connection.read(Int.SIZE_BYTES)).readInt()
-            if (length !in 1..PeerFrame.MAX_BYTES) return
-            onFrame(PeerFrame.decode(Buffer().write(connection.read(length))))
+            if (length !in 1..PeerStatusCodec.MAX_BYTES) return
+            onStatus(PeerStatusCodec.decode(Buffer().write(connection.read(length))))
         }
     }
 
-    /** A broken link is no news worth more than a line for debugging. */
-    private suspend fun quietly(action: suspend () -> Unit) {
+    /** Runs [action]; its failure is logged for debugging only, since broken connections between controllers are expected. */
+    private suspend fun logFailure(action: suspend () -> Unit) {
         try {
             action()
         } catch (e: TimeoutCancellationException) {
@@ -75,9 +83,9 @@
     }
 
     private companion object {
-        const val PERIOD_MILLIS = 1_000L
+        const val SEND_PERIOD_MILLIS = 1_000L
         const val RECONNECT_MILLIS = 2_000L
-        const val SEND_MILLIS = 5_000L
+        const val SEND_TIMEOUT_MILLIS = 5_000L
         const val MAX_ACCEPTED = 8
     }
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
@@ -0,0 +1,89 @@
+package linemast.peers
+
+import linemast.domain.JobProgress
+import linemast.serialization.MalformedException
+import okio.Buffer
+import java.io.EOFException
+
+/**
+ * The bytes of a [PeerStatus] between controllers: version, node, fencing token, flags, then the progress of each job.
+ *
+ * Numbers are big-endian; a text is UTF-8 after its length in two bytes.
+ */
+object PeerStatusCodec {
+    /** Largest encoded status that a controller accepts. */
+    const val MAX_BYTES = 64 * 1024
+    private const val VERSION = 1
+    private const val IS_LEADER_FLAG = 1
+    private const val REACHES_STORE_FLAG = 2
+    private const val RECEIVES_HEARTBEATS_FLAG = 4
+    private const val MAX_JOBS = 1_000
+    private const val MAX_TEXT_BYTES = 200
+
+    /** The bytes on the wire, without their length. */
+    fun encode(status: PeerStatus): Buffer {
+        val out = Buffer()
+        out.writeByte(VERSION)
+        writeText(out, status.node)
+        out.writeLong(status.fencingToken)
+        out.writeByte(flagsOf(status))
+        val progress = status.progress.entries.take(MAX_JOBS)
+        out.writeShort(progress.size)
+        for ((jobId, counts) in progress) {
+            writeText(out, jobId)
+            out.writeInt(counts.done)
+            out.writeInt(counts.running)
+        }
+        return out
+    }
+
+    private fun flagsOf(status: PeerStatus): Int {
+        var flags = 0
+        if (status.isLeader) flags = flags or IS_LEADER_FLAG
+        if (status.reachesStore) flags = flags or REACHES_STORE_FLAG
+        if (status.receivesHeartbeats) flags = flags or RECEIVES_HEARTBEATS_FLAG
+        return flags
+    }
+
+    /** Reads a status, which has to take all of [from]; throws [MalformedException] for anything else. */
+    fun decode(from: Buffer): PeerStatus = try {
+        if (from.readByte().toInt() != VERSION) malformed("unknown version")
+        val node = readText(from)
+        val fencingToken = from.readLong()
+        val flags = from.readByte().toInt()
+        val progress = readProgress(from)
+        if (!from.exhausted()) malformed("too long")
+        PeerStatus(
+            node = node,
+            fencingToken = fencingToken,
+            isLeader = flags and IS_LEADER_FLAG != 0,
+            reachesStore = flags and REACHES_STORE_FLAG != 0,
+            receivesHeartbeats = flags and RECEIVES_HEARTBEATS_FLAG != 0,
+            progress = progress,
+        )
+    } catch (e: EOFException) {
+        malformed("too short")
+    }
+
+    private fun readProgress(from: Buffer): Map<String, JobProgress> {
+        val count = from.readShort().toInt()
+        if (count !in 0..MAX_JOBS) malformed("too many jobs")
+        val progress = LinkedHashMap<String, JobProgress>(count * 2)
+        repeat(count) { progress[readText(from)] = JobProgress(from.readInt(), from.readInt()) }
+        return progress
+    }
+
+    private fun writeText(out: Buffer, text: String) {
+        val bytes = text.encodeToByteArray()
+        out.writeShort(bytes.size)
+        out.write(bytes)
+    }
+
+    private fun readText(from: Buffer): String {
+        val length = from.readShort().toInt()
+        if (length !in 0..MAX_TEXT_BYTES) malformed("text too long")
+        return from.readUtf8(length.toLong())
+    }
+
+    private fun malformed(problem: String): Nothing = throw MalformedException("peer status: $problem")
+}
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -4,44 +4,49 @@
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
 
-/** The latest frame of the leader, for as long as it is fresh. */
+/** What this controller knows of its peers: the latest status of each, for as long as it is fresh. */
 class PeerView(private val clock: Clock) {
-    private var frame: PeerFrame? = null
-    private var heardMicros = 0L
+    private class ReceivedStatus(val status: PeerStatus, val receivedMicros: Long)
 
-    private class Heard(val frame: PeerFrame, val atMicros: Long)
-
-    private val latest = HashMap<String, Heard>()
+    private val latestByNode = HashMap<String, ReceivedStatus>()
+    private var latestOfLeader: ReceivedStatus? = null
 
     /**
-     * Whether the state service answers another controller, by the latest that each said: what one said before
-     * an outage must not make all take themselves out when it begins.
+     * Whether the key-value store answers another controller, by the latest status of each: an earlier one, from before
+     * an outage, must not make all controllers report themselves unhealthy when the outage begins.
      */
-    val storeWorksElsewhere: Boolean get() = fresh().any { it.storeWorks }
+    val peerReachesStore: Boolean get() = freshStatuses().any { it.reachesStore }
 
-    /** Whether workers turn to another controller. */
-    val workersAskElsewhere: Boolean get() = fresh().any { it.workersAsk }
+    /** Whether workers send their heartbeats to another controller. */
+    val peerReceivesHeartbeats: Boolean get() = freshStatuses().any { it.receivesHeartbeats }
 
-    /** Whether any other controller was heard lately. */
-    val hasReachablePeer: Boolean get() = fresh().isNotEmpty()
+    /** Whether a status of any other controller has arrived lately. */
+    val hasReachablePeer: Boolean get() = freshStatuses().isNotEmpty()
 
-    private fun fresh(): List<PeerFrame> =
-        clock.nowMicros().let { now -> latest.values.filter { now - it.atMicros < LATEST_MICROS }.map { it.frame } }
+    private fun freshStatuses(): List<PeerStatus> {
+        val nowMicros = clock.nowMicros()
+        return latestByNode.values.filter { nowMicros - it.receivedMicros < STATUS_FRESH_MICROS }.map { it.status }
+    }
 
-    /** Takes a frame of another controller. */
-    fun heard(next: PeerFrame) {
-        latest[next.node] = Heard(next, clock.nowMicros())
-        val last = frame
-        if (!next.isLeader || (last != null && next.fencingToken < last.fencingToken)) return
-        frame = next
-        heardMicros = clock.nowMicros()
+    /** Takes in a [status] that has just arrived from another controller. */
+    fun received(status: PeerStatus) {
+        val received = ReceivedStatus(status, clock.nowMicros())
+        latestByNode[status.node] = received
+        if (!status.isLeader) return
+        val previous = latestOfLeader
+        if (previous != null && status.fencingToken < previous.status.fencingToken) return
+        latestOfLeader = received
     }
 
-    /** Counts of a job's tasks by the leader's last frame; null if that is old or does not hold the job. */
-    fun progressOf(id: String): JobProgress? = if (clock.nowMicros() - heardMicros < FRESH_MICROS) frame?.progress?.get(id) else null
+    /** Task counts of job [jobId] by the leader's latest status; null if that is old or does not hold the job. */
+    fun progressOf(jobId: String): JobProgress? {
+        val latest = latestOfLeader ?: return null
+        val isFresh = clock.nowMicros() - latest.receivedMicros < PROGRESS_FRESH_MICROS
+        return if (isFresh) latest.status.progress[jobId] else null
+    }
 
     private companion object {
-        const val FRESH_MICROS = 5 * SECOND_MICROS
-        const val LATEST_MICROS = 3 * SECOND_MICROS
+        const val PROGRESS_FRESH_MICROS = 5 * SECOND_MICROS
+        const val STATUS_FRESH_MICROS = 3 * SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -38,7 +38,7 @@
     /** Begins with the machines on record; reports count from [nowMicros] on. */
     fun begin(recorded: List<Machine>, nowMicros: Long) {
         loadedMicros = nowMicros
-        previousLeaderUntilMicros = nowMicros + degradedModeMicros + LeaderLease.drift(degradedModeMicros)
+        previousLeaderUntilMicros = nowMicros + degradedModeMicros + LeaderLease.driftMicros(degradedModeMicros)
         for (machine in recorded) {
             machine.isRegistered = true
             machine.inherited = true
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -83,7 +83,7 @@
      */
     private fun outlivesCancellation(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job ?: return false
-        return job.cancelled && placement.stopSent && cancellationFreshness.isOver(job.cancelledSinceMicros, nowMicros)
+        return job.cancelled && placement.stopSent && cancellationFreshness.isTooStale(job.cancelledSinceMicros, nowMicros)
     }
 
     private fun machineOf(heartbeat: Heartbeat): Machine? {
--- a/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
+++ b/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
@@ -6,10 +6,10 @@
 /** Durations that follow from how often workers report and how long their leases are, with room for clock drift. */
 internal class WorkerTiming(workers: WorkerSettings) {
     /** Leases that some leader could have renewed are over after this long, on any clock. */
-    val longestLeaseMicros = workers.leaseMicros.let { it + 2 * LeaderLease.drift(it) + LEASE_MARGIN_MICROS }
+    val longestLeaseMicros = workers.leaseMicros.let { it + 2 * LeaderLease.driftMicros(it) + LEASE_MARGIN_MICROS }
 
     /** A lease that a worker has just been given lasts at least this long, on any clock. */
-    val shortestLeaseMicros = workers.leaseMicros.let { it - 2 * LeaderLease.drift(it) }
+    val shortestLeaseMicros = workers.leaseMicros.let { it - 2 * LeaderLease.driftMicros(it) }
 
     /**
      * A worker that got no answer reports again after its time-out and a pause; one that reports sooner than that
--- a/src/main/kotlin/linemast/store/KeyValueStore.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStore.kt
@@ -68,8 +68,8 @@
     /** The item under [key]; null if there is none. */
     suspend fun get(key: String, priority: RequestPriority = RequestPriority.NORMAL): Entry?
 
-    /** A page of the items whose keys begin with [under], in key order. */
-    suspend fun list(under: String, after: String?): EntryPage
+    /** A page of the items whose keys begin with [prefix], in key order. */
+    suspend fun list(prefix: String, after: String?): EntryPage
 
     /** Applies [writes] together if all [preconditions] hold. */
     suspend fun commit(
@@ -79,25 +79,25 @@
     ): CommitResult
 
     /** Waits up to [waitMicros] for changes under a prefix after a revision. */
-    suspend fun watch(under: String, afterRevision: Long, waitMicros: Long): WatchResult
+    suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult
 
-    /** Opens a lease that ends unless it is renewed within [lifeMicros]. */
-    suspend fun openLease(lifeMicros: Long): Long
+    /** Opens a lease that ends unless it is renewed within [ttlMicros]. */
+    suspend fun grantLease(ttlMicros: Long): Long
 
     /** Ends a lease, and the keys attached to it, at once. */
-    suspend fun endLease(lease: Long)
+    suspend fun revokeLease(lease: Long)
 
     /** False when the lease has ended. */
     suspend fun renewLease(lease: Long): Boolean
 }
 
 /** Every pair under a prefix, page by page, and the revision of the first page: changes since then must be followed. */
-suspend fun KeyValueStore.listAll(under: String): EntryPage {
+suspend fun KeyValueStore.listAll(prefix: String): EntryPage {
     val entries = ArrayList<Entry>()
     var after: String? = null
     var revision = -1L
     while (true) {
-        val page = list(under, after)
+        val page = list(prefix, after)
         if (revision < 0) revision = page.revision
         entries += page.entries
         if (!page.truncated || page.entries.isEmpty()) return EntryPage(entries, false, revision)
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -23,20 +23,20 @@
     private val renewals = HttpClient(loop, address, 1)
     private val watches = HttpClient(loop, address, MAX_WATCHES, MAX_REPLY_BYTES)
     private val rates = StoreRateLimits(limits, controllers)
-    private val requests = TokenBucket(rates.requests)
-    private val changes = TokenBucket(rates.changes)
+    private val requests = TokenBucket(rates.requestsPerSecond)
+    private val changes = TokenBucket(rates.writesPerSecond)
 
     /** The leader writes more than the others; while two take themselves for it, the service may refuse a call. */
-    fun share(isLeader: Boolean) {
+    fun setLeader(isLeader: Boolean) {
         rates.isLeader = isLeader
-        changes.perSecond = rates.changes
+        changes.ratePerSecond = rates.writesPerSecond
     }
 
     private fun refusedForRate(isCommit: Boolean) {
-        if (!rates.refused(isCommit)) return
+        if (!rates.tightenAfterRefusal(isCommit)) return
         log.info("the state service refuses calls for their rate: from now on within its next limits")
-        requests.perSecond = rates.requests
-        changes.perSecond = rates.changes
+        requests.ratePerSecond = rates.requestsPerSecond
+        changes.ratePerSecond = rates.writesPerSecond
     }
 
     override suspend fun get(key: String, priority: RequestPriority): Entry? {
@@ -45,9 +45,9 @@
         return read(reply) { Entry(it.text("k"), it.child("v"), it.long("stamp")) }
     }
 
-    override suspend fun list(under: String, after: String?): EntryPage {
+    override suspend fun list(prefix: String, after: String?): EntryPage {
         val from = if (after == null) "" else "&after=$after"
-        val reply = call(calls, "GET", "/keys?under=$under$from&limit=$PAGE_ITEMS", null, RequestPriority.NORMAL)
+        val reply = call(calls, "GET", "/keys?under=$prefix$from&limit=$PAGE_ITEMS", null, RequestPriority.NORMAL)
         return read(reply) { page ->
             val entries = page.children("pairs").map { Entry(it.text("k"), it.child("v"), it.long("stamp")) }
             EntryPage(entries, page.flagOrNull("truncated") ?: false, page.long("era"))
@@ -74,8 +74,8 @@
         }
     }
 
-    override suspend fun watch(under: String, afterRevision: Long, waitMicros: Long): WatchResult {
-        val path = "/follow?under=$under&after=$afterRevision&wait_ms=${waitMicros / 1_000}"
+    override suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult {
+        val path = "/follow?under=$prefix&after=$afterRevision&wait_ms=${waitMicros / 1_000}"
         val reply = call(watches, "GET", path, null, RequestPriority.NORMAL, waitMicros + WATCH_GRACE_MICROS)
         if (reply.status == HttpStatus.GONE) return WatchResult.TooOld
         return read(reply) { changes ->
@@ -93,8 +93,8 @@
         }
     }
 
-    override suspend fun openLease(lifeMicros: Long): Long {
-        val body = Cbor.encode(mapOf("life_ms" to lifeMicros / 1_000))
+    override suspend fun grantLease(ttlMicros: Long): Long {
+        val body = Cbor.encode(mapOf("life_ms" to ttlMicros / 1_000))
         return read(call(renewals, "POST", "/holds", body, RequestPriority.CRITICAL)) { it.long("hold") }
     }
 
@@ -105,7 +105,7 @@
         return true
     }
 
-    override suspend fun endLease(lease: Long) {
+    override suspend fun revokeLease(lease: Long) {
         val reply = call(renewals, "DELETE", "/holds/$lease", null, RequestPriority.CRITICAL)
         if (reply.status != HttpStatus.OK && reply.status != HttpStatus.NOT_FOUND) refuse(reply)
     }
--- a/src/main/kotlin/linemast/store/StoreHealthProbe.kt
+++ b/src/main/kotlin/linemast/store/StoreHealthProbe.kt
@@ -12,10 +12,10 @@
 class StoreHealthProbe(private val store: KeyValueStore, private val clock: Clock) {
     private var failingSinceMicros: Long? = null
 
-    val works: Boolean get() = failingSinceMicros == null
+    val isHealthy: Boolean get() = failingSinceMicros == null
 
     /** For how long the store has not answered; 0 if it does. */
-    fun failingFor(nowMicros: Long): Long = failingSinceMicros?.let { nowMicros - it } ?: 0L
+    fun failingForMicros(nowMicros: Long): Long = failingSinceMicros?.let { nowMicros - it } ?: 0L
 
     /** Asks for [key] again and again until it is cancelled. */
     suspend fun run(key: String) {
--- a/src/main/kotlin/linemast/store/StoreRateLimits.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimits.kt
@@ -14,12 +14,12 @@
     private var rps = limits.rps
     private var writeRps = limits.writeRps
 
-    val requests: Double get() = rps * USED_SHARE / controllers
+    val requestsPerSecond: Double get() = rps * USED_SHARE / controllers
 
-    val changes: Double get() = writeRps * USED_SHARE * (if (isLeader) LEADER_PARTS else 1.0) / (controllers - 1 + LEADER_PARTS)
+    val writesPerSecond: Double get() = writeRps * USED_SHARE * (if (isLeader) LEADER_PARTS else 1.0) / (controllers - 1 + LEADER_PARTS)
 
     /** A call was refused for its rate; whether that changes the rates. */
-    fun refused(isCommit: Boolean): Boolean {
+    fun tightenAfterRefusal(isCommit: Boolean): Boolean {
         val next = limits.next ?: return false
         // A commit counts for both; that changes are limited more is by far the likelier.
         if (isCommit && next.writeRps < writeRps) {
--- a/src/main/kotlin/linemast/store/TokenBucket.kt
+++ b/src/main/kotlin/linemast/store/TokenBucket.kt
@@ -6,21 +6,21 @@
  * As many as come in a second are there at first and at most. A call leaves the part of them untouched that is
  * kept for more urgent ones.
  */
-class TokenBucket(perSecond: Double) {
+class TokenBucket(ratePerSecond: Double) {
     /** Tokens that come in a second; what is there stays when it changes, up to the new burst. */
-    var perSecond = perSecond
+    var ratePerSecond = ratePerSecond
         set(value) {
             field = value
             tokens = minOf(tokens, value)
         }
-    private var tokens = perSecond
+    private var tokens = ratePerSecond
     private var filledMicros = Long.MIN_VALUE
 
     /** Takes [count] tokens if [priority] may have them now. */
     fun tryTake(count: Int, priority: RequestPriority, nowMicros: Long): Boolean {
         refill(nowMicros)
         // A call that asks for more than ever fits may go out alone once the bucket is full.
-        if (tokens - count < floor(priority) && tokens < perSecond) return false
+        if (tokens - count < reserve(priority) && tokens < ratePerSecond) return false
         tokens -= count
         return true
     }
@@ -28,15 +28,15 @@
     /** How long until [count] tokens can be taken if nobody else takes any. */
     fun waitMicros(count: Int, priority: RequestPriority, nowMicros: Long): Long {
         refill(nowMicros)
-        val wanted = minOf(count + floor(priority), perSecond)
-        return if (tokens >= wanted) 0 else ((wanted - tokens) / perSecond * 1e6).toLong() + 1
+        val wanted = minOf(count + reserve(priority), ratePerSecond)
+        return if (tokens >= wanted) 0 else ((wanted - tokens) / ratePerSecond * 1e6).toLong() + 1
     }
 
-    private fun floor(priority: RequestPriority) = perSecond * priority.reservedShare
+    private fun reserve(priority: RequestPriority) = ratePerSecond * priority.reservedShare
 
     private fun refill(nowMicros: Long) {
         if (filledMicros != Long.MIN_VALUE) {
-            tokens = minOf(perSecond, tokens + (nowMicros - filledMicros).coerceAtLeast(0) * perSecond / 1e6)
+            tokens = minOf(ratePerSecond, tokens + (nowMicros - filledMicros).coerceAtLeast(0) * ratePerSecond / 1e6)
         }
         filledMicros = nowMicros
     }
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -159,15 +159,15 @@
         }
 
         /** Pages as large as the store gives them, where its stand-in gives few records a page. */
-        override suspend fun list(under: String, after: String?): EntryPage {
+        override suspend fun list(prefix: String, after: String?): EntryPage {
             enter(RequestPriority.NORMAL)
             val entries = ArrayList<Entry>()
-            var page = store.list(under, after)
+            var page = store.list(prefix, after)
             val revision = page.revision
             while (true) {
                 entries += page.entries
                 if (!page.truncated || entries.size >= PAGE_ITEMS) return EntryPage(entries, page.truncated, revision)
-                page = store.list(under, entries.last().key)
+                page = store.list(prefix, entries.last().key)
             }
         }
 
--- a/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
@@ -1,12 +1,9 @@
 package linemast.jobs
 
-import linemast.domain.JobProgress
 import linemast.domain.JobRecord
-import linemast.peers.PeerFrame
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
 import linemast.serialization.MalformedException
-import okio.Buffer
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -60,34 +57,6 @@
         assertThrows(MalformedException::class.java) { CompletedTasks.decodePart("*", 0, BitSet()) }
     }
 
-    @Test
-    fun `peer frames come back and truncated or lengthened ones are refused`() {
-        val random = Random(seed)
-        repeat(50) {
-            val progress = (0 until random.nextInt(30)).associate { "req-$it" to JobProgress(random.nextInt(100), random.nextInt(100)) }
-            val bytes = PeerFrame(
-                "mast-1",
-                random.nextLong(1000),
-                random.nextBoolean(),
-                random.nextBoolean(),
-                random.nextBoolean(),
-                progress,
-            ).encode().readByteArray()
-            val again = PeerFrame.decode(Buffer().write(bytes))
-            assertEquals(
-                progress.mapValues { it.value.done to it.value.running },
-                again.progress.mapValues {
-                    it.value.done to
-                        it.value.running
-                },
-            )
-            for (length in bytes.indices) {
-                assertThrows(MalformedException::class.java) { PeerFrame.decode(Buffer().write(bytes, 0, length)) }
-            }
-            assertThrows(MalformedException::class.java) { PeerFrame.decode(Buffer().write(bytes).writeByte(0)) }
-        }
-    }
-
     private fun job(random: Random): Map<String, Any?> = mapOf(
         "name_id" to "req-%06d".format(random.nextInt(1_000_000)),
         "lane" to "lane-${random.nextInt(5)}",
--- a/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
+++ b/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
@@ -20,7 +20,7 @@
             val lease = leaseS * 1_000_000L
             val cancel = cancelS * 1_000_000L
             repeat(200) {
-                val cancellationFreshness = CancellationFreshness(CancellationFreshness.renewalMicros(lease, cancel))
+                val cancellationFreshness = CancellationFreshness(CancellationFreshness.maxRenewalStalenessMicros(lease, cancel))
                 assertEquals(Long.MIN_VALUE, cancellationFreshness.renewalsAllowedUntilMicros, "nothing is renewed before the first read")
                 var now = 1_000_000L
                 val cancelled = now + random.nextLong(60_000_000)
@@ -30,10 +30,10 @@
                     // A read sent before the cancellation was confirmed may miss it; a later one never does.
                     if (sent < cancelled && random.nextInt(3) != 0) cancellationFreshness.refreshedAt(sent)
                 }
-                val slowestLease = lease + LeaderLease.drift(lease)
+                val slowestLease = lease + LeaderLease.driftMicros(lease)
                 assertTrue(cancellationFreshness.renewalsAllowedUntilMicros + slowestLease + 400_000 < cancelled + cancel)
             }
-            assertTrue(CancellationFreshness.renewalMicros(lease, cancel) > 1_000_000, "leases can be renewed at all")
+            assertTrue(CancellationFreshness.maxRenewalStalenessMicros(lease, cancel) > 1_000_000, "leases can be renewed at all")
         }
     }
 
--- a/src/test/kotlin/linemast/loopback/StandInServers.kt
+++ b/src/test/kotlin/linemast/loopback/StandInServers.kt
@@ -35,9 +35,9 @@
             path.startsWith("/keys/") -> get(path.removePrefix("/keys/"))
             path == "/commit" -> commit(Cbor.decodeMap(request.body))
             path == "/follow" -> watch(query)
-            path == "/holds" -> HttpResponse.of(200, "hold" to store.openLease(Cbor.decodeMap(request.body).long("life_ms") * 1_000))
+            path == "/holds" -> HttpResponse.of(200, "hold" to store.grantLease(Cbor.decodeMap(request.body).long("life_ms") * 1_000))
             path.endsWith("/renew") -> HttpResponse(if (store.renewLease(path.split('/')[2].toLong())) 200 else 404)
-            else -> HttpResponse(200).also { store.endLease(path.substringAfterLast('/').toLong()) }
+            else -> HttpResponse(200).also { store.revokeLease(path.substringAfterLast('/').toLong()) }
         }
     }
 
--- a/src/test/kotlin/linemast/peers/PeerViewTest.kt
+++ b/src/test/kotlin/linemast/peers/PeerViewTest.kt
@@ -15,32 +15,32 @@
     /** What a peer said before an outage once counted for five seconds more, and all controllers took themselves out. */
     @Test
     fun `what a peer said last counts, while it is fresh`() {
-        view.heard(frame("mast-1", storeWorks = true))
-        assertTrue(view.storeWorksElsewhere && view.hasReachablePeer)
+        view.received(status("mast-1", reachesStore = true))
+        assertTrue(view.peerReachesStore && view.hasReachablePeer)
         now += 1_000_000
-        view.heard(frame("mast-1", storeWorks = false))
-        assertFalse(view.storeWorksElsewhere)
-        view.heard(frame("mast-2", storeWorks = true, workersAsk = true))
-        assertTrue(view.storeWorksElsewhere && view.workersAskElsewhere)
+        view.received(status("mast-1", reachesStore = false))
+        assertFalse(view.peerReachesStore)
+        view.received(status("mast-2", reachesStore = true, receivesHeartbeats = true))
+        assertTrue(view.peerReachesStore && view.peerReceivesHeartbeats)
         now += 4_000_000
-        assertFalse(view.storeWorksElsewhere || view.workersAskElsewhere || view.hasReachablePeer)
+        assertFalse(view.peerReachesStore || view.peerReceivesHeartbeats || view.hasReachablePeer)
     }
 
     @Test
     fun `progress comes from the leader with the highest fencing token`() {
-        view.heard(frame("mast-1", fencingToken = 4, isLeader = true, done = 7))
-        view.heard(frame("mast-2", fencingToken = 3, isLeader = true, done = 1))
+        view.received(status("mast-1", fencingToken = 4, isLeader = true, done = 7))
+        view.received(status("mast-2", fencingToken = 3, isLeader = true, done = 1))
         assertEquals(7, view.progressOf("req-1")?.done)
         now += 6_000_000
         assertNull(view.progressOf("req-1"))
     }
 
-    private fun frame(
+    private fun status(
         node: String,
         fencingToken: Long = 1,
         isLeader: Boolean = false,
-        storeWorks: Boolean = false,
-        workersAsk: Boolean = false,
+        reachesStore: Boolean = false,
+        receivesHeartbeats: Boolean = false,
         done: Int = 0,
-    ) = PeerFrame(node, fencingToken, isLeader, storeWorks, workersAsk, mapOf("req-1" to JobProgress(done, 0)))
+    ) = PeerStatus(node, fencingToken, isLeader, reachesStore, receivesHeartbeats, mapOf("req-1" to JobProgress(done, 0)))
 }
--- a/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
+++ b/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
@@ -14,12 +14,18 @@
  * It drops fields that it does not know when it rewrites a record.
  */
 internal class PreviousVersionStore(private val store: KeyValueStore) : KeyValueStore by store {
-    override suspend fun list(under: String, after: String?): EntryPage =
-        if (under.startsWith(WAITING)) EntryPage(emptyList(), false, store.list(under, after).revision) else store.list(under, after)
+    override suspend fun list(prefix: String, after: String?): EntryPage =
+        if (prefix.startsWith(WAITING)) EntryPage(emptyList(), false, store.list(prefix, after).revision) else store.list(prefix, after)
 
-    override suspend fun watch(under: String, afterRevision: Long, waitMicros: Long): WatchResult {
-        val result = store.watch(under, afterRevision, waitMicros)
-        return if (result is WatchResult.Changes && under.startsWith(WAITING)) WatchResult.Changes(result.revision, emptyList()) else result
+    override suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult {
+        val result = store.watch(prefix, afterRevision, waitMicros)
+        return if (result is WatchResult.Changes &&
+            prefix.startsWith(WAITING)
+        ) {
+            WatchResult.Changes(result.revision, emptyList())
+        } else {
+            result
+        }
     }
 
     override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -27,7 +27,7 @@
 ) {
     private class StoredValue(val value: ByteArray, val revision: Long, val lease: Long?)
 
-    private class Lease(val lifeMicros: Long, var endsMicros: Long)
+    private class Lease(val ttlMicros: Long, var endsMicros: Long)
 
     private val entries = sortedMapOf<String, StoredValue>()
     private val leases = HashMap<Long, Lease>()
@@ -75,7 +75,7 @@
     /** After an outage every lease again has its full time. */
     fun endOutage() {
         outage = false
-        leases.values.forEach { it.endsMicros = clock.nowMicros() + it.lifeMicros }
+        leases.values.forEach { it.endsMicros = clock.nowMicros() + it.ttlMicros }
     }
 
     /** Loses [key], as if it had never been written; nobody is told. */
@@ -137,9 +137,9 @@
             return entries[key]?.let { Entry(key, Cbor.decodeMap(it.value), it.revision) }
         }
 
-        override suspend fun list(under: String, after: String?): EntryPage {
+        override suspend fun list(prefix: String, after: String?): EntryPage {
             enter()
-            val found = entries.filterKeys { it.startsWith(under) && (after == null || it > after) }
+            val found = entries.filterKeys { it.startsWith(prefix) && (after == null || it > after) }
             val entries = found.entries.take(PAGE).map { Entry(it.key, Cbor.decodeMap(it.value.value), it.value.revision) }
             return EntryPage(entries, found.size > PAGE, revision)
         }
@@ -169,13 +169,13 @@
             return result
         }
 
-        override suspend fun watch(under: String, afterRevision: Long, waitMicros: Long): WatchResult {
+        override suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult {
             enter()
             val end = clock.nowMicros() + waitMicros
             while (true) {
                 if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException.NoAnswer("no answer")
                 expire()
-                val matching = changes.filter { it.revision > afterRevision && it.key.startsWith(under) }
+                val matching = changes.filter { it.revision > afterRevision && it.key.startsWith(prefix) }
                 if (!outage && node !in refused && node !in watchesHang && (matching.isNotEmpty() || clock.nowMicros() >= end)) {
                     return WatchResult.Changes(revision, matching)
                 }
@@ -183,13 +183,13 @@
             }
         }
 
-        override suspend fun openLease(lifeMicros: Long): Long {
+        override suspend fun grantLease(ttlMicros: Long): Long {
             enter()
-            leases[++nextLease] = Lease(lifeMicros, clock.nowMicros() + lifeMicros)
+            leases[++nextLease] = Lease(ttlMicros, clock.nowMicros() + ttlMicros)
             return nextLease
         }
 
-        override suspend fun endLease(lease: Long) {
+        override suspend fun revokeLease(lease: Long) {
             enter()
             leases[lease]?.endsMicros = clock.nowMicros()
             expire()
@@ -198,7 +198,7 @@
         override suspend fun renewLease(lease: Long): Boolean {
             enter()
             val known = leases[lease] ?: return false
-            known.endsMicros = clock.nowMicros() + known.lifeMicros
+            known.endsMicros = clock.nowMicros() + known.ttlMicros
             return true
         }
     }
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -104,22 +104,22 @@
                 checkWaiting()
             }
         }
-        repeat(3) { from -> scope.launch { frames(from) } }
+        repeat(3) { from -> scope.launch { sendPeerStatuses(from) } }
     }
 
-    /** Frames between controllers; some come late, also from a process that has ended since. */
-    private suspend fun frames(from: Int) {
+    /** Statuses between controllers; some come late, also from a process that has ended since. */
+    private suspend fun sendPeerStatuses(from: Int) {
         while (true) {
             delay(1_000)
             awaitThaw(from)
-            val frame = nodes[from]?.frame() ?: continue
+            val status = nodes[from]?.peerStatus() ?: continue
             for (to in 0..2) {
                 if (to == from || from in alone || to in alone || random.nextDouble() < networkLoss) continue
                 val late = if (random.nextInt(20) == 0) random.nextLong(20_000) else random.nextLong(1, 50)
                 scope.launch {
                     delay(late)
                     awaitThaw(to)
-                    nodes[to]?.heard(frame)
+                    nodes[to]?.receivePeerStatus(status)
                 }
             }
         }
--- a/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
@@ -14,22 +14,22 @@
     fun `three controllers together keep within the rates, before a refusal and after it`() {
         val rates = List(3) { StoreRateLimits(limits, 3) }
         rates[1].isLeader = true
-        assertTrue(rates.sumOf { it.changes } <= 40.0 && rates.sumOf { it.requests } <= 90.0)
-        rates.forEach { assertTrue(it.refused(isCommit = true)) }
-        assertTrue(rates.sumOf { it.changes } <= 20.0, "the changes follow at once")
-        assertTrue(rates.sumOf { it.requests } > 60.0, "the other calls only when they are refused themselves")
-        rates.forEach { assertTrue(it.refused(isCommit = false)) }
-        assertTrue(rates.sumOf { it.requests } <= 60.0)
-        assertEquals(rates[0].changes * 2, rates[1].changes, "the leader's part stays the larger one")
-        rates.forEach { assertFalse(it.refused(isCommit = true), "nothing is left to fall to") }
+        assertTrue(rates.sumOf { it.writesPerSecond } <= 40.0 && rates.sumOf { it.requestsPerSecond } <= 90.0)
+        rates.forEach { assertTrue(it.tightenAfterRefusal(isCommit = true)) }
+        assertTrue(rates.sumOf { it.writesPerSecond } <= 20.0, "the changes follow at once")
+        assertTrue(rates.sumOf { it.requestsPerSecond } > 60.0, "the other calls only when they are refused themselves")
+        rates.forEach { assertTrue(it.tightenAfterRefusal(isCommit = false)) }
+        assertTrue(rates.sumOf { it.requestsPerSecond } <= 60.0)
+        assertEquals(rates[0].writesPerSecond * 2, rates[1].writesPerSecond, "the leader's part stays the larger one")
+        rates.forEach { assertFalse(it.tightenAfterRefusal(isCommit = true), "nothing is left to fall to") }
     }
 
     @Test
     fun `without next limits a refusal changes nothing`() {
         val rates = StoreRateLimits(StateLimits(90.0, 40.0, 16_384, 16), 3)
-        val before = rates.changes to rates.requests
-        assertFalse(rates.refused(isCommit = true) || rates.refused(isCommit = false))
-        assertEquals(before, rates.changes to rates.requests)
+        val before = rates.writesPerSecond to rates.requestsPerSecond
+        assertFalse(rates.tightenAfterRefusal(isCommit = true) || rates.tightenAfterRefusal(isCommit = false))
+        assertEquals(before, rates.writesPerSecond to rates.requestsPerSecond)
     }
 
     /**
@@ -39,8 +39,8 @@
     @Test
     fun `a rate that drops in a burst refuses each controller a few times only`() {
         val rates = List(3) { StoreRateLimits(limits, 3).also { rate -> rate.isLeader = it == 0 } }
-        val requests = rates.map { TokenBucket(it.requests) }
-        val changes = rates.map { TokenBucket(it.changes) }
+        val requests = rates.map { TokenBucket(it.requestsPerSecond) }
+        val changes = rates.map { TokenBucket(it.writesPerSecond) }
         var service = TokenBucket(limits.writeRps)
         var refusedWrites = 0
         var refusedAfterwards = 0
@@ -66,7 +66,7 @@
                 }
                 refusedWrites++
                 if (stepMicros > 13_000_000L) refusedAfterwards++
-                if (rates[at].refused(isCommit = true)) changes[at].perSecond = rates[at].changes
+                if (rates[at].tightenAfterRefusal(isCommit = true)) changes[at].ratePerSecond = rates[at].writesPerSecond
             }
         }
         println("$accepted submissions accepted, $refusedWrites refused")
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -9,7 +9,8 @@
 import linemast.jobs.JobCodec
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
-import linemast.peers.PeerFrame
+import linemast.peers.PeerStatus
+import linemast.peers.PeerStatusCodec
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
 import linemast.store.Entry
@@ -120,13 +121,22 @@
     /** It refuses frames of another version, and bytes behind the last job. */
     @Test
     fun `frames between controllers are the same to the byte`() {
-        val frame = PeerFrame("mast-1", 7, isLeader = true, storeWorks = true, workersAsk = false, mapOf("req-1" to JobProgress(2, 3)))
+        val status = PeerStatus(
+            "mast-1",
+            7,
+            isLeader = true,
+            reachesStore = true,
+            receivesHeartbeats = false,
+            mapOf(
+                "req-1" to JobProgress(2, 3),
+            ),
+        )
         val bytes = "0100066d6173742d3100000000000000070300010005" + "7265712d310000000200000003"
-        assertEquals(bytes, frame.encode().readByteString().hex())
-        val read = PeerFrame.decode(Buffer().write(bytes.decodeHex()))
+        assertEquals(bytes, PeerStatusCodec.encode(status).readByteString().hex())
+        val read = PeerStatusCodec.decode(Buffer().write(bytes.decodeHex()))
         assertEquals(
             listOf("mast-1", 7L, true, true, false),
-            listOf(read.node, read.fencingToken, read.isLeader, read.storeWorks, read.workersAsk),
+            listOf(read.node, read.fencingToken, read.isLeader, read.reachesStore, read.receivesHeartbeats),
         )
         assertEquals(2 to 3, read.progress.getValue("req-1").let { it.done to it.running })
     }
