--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
@@ -0,0 +1,53 @@
+package linemast.scheduling
+
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.PendingReason
+
+/** Places tasks of arrays, each on its own wherever one fits. */
+internal class ArrayPlacement(private val cluster: Cluster, private val pendingReasons: PendingReasonLog) {
+    /**
+     * Assigns pending tasks of [job] to machines, in the order of the candidates, as far as the quota limit of its team allows.
+     *
+     * At most [maxTasks] of them; and so many that at most [maxOnBaseline] tasks of the job run on static machines, if that
+     * is not null.
+     */
+    fun place(job: Job, cycle: SchedulingCycle, maxOnBaseline: Int? = null, maxTasks: Int = Int.MAX_VALUE) {
+        var left = minOf(cycle.headroom.tasksOf(job), job.pendingCount, maxTasks)
+        if (left == 0) return pendingReasons.record(job, PendingReason.QuotaLimit)
+        val spread = SpreadConstraint(job)
+        var baselineLeft = baselineHeadroom(job, maxOnBaseline)
+        for (machine in cycle.machines.candidates(job)) {
+            if (machine.baseline && baselineLeft <= 0) continue
+            if (cycle.machines.keepFree(job.spec, machine) || cycle.isLeftToAnother(job, machine)) continue
+            val placed = pack(machine, job, left, spread, cycle)
+            left -= placed
+            if (machine.baseline) baselineLeft -= placed
+            if (left == 0 || job.nextPending(0) < 0) {
+                job.pendingReason = null
+                return
+            }
+        }
+        if (maxOnBaseline == null) pendingReasons.record(job, reasonNotPlaced(job, cycle))
+    }
+
+    private fun baselineHeadroom(job: Job, maxOnBaseline: Int?): Int =
+        if (maxOnBaseline == null) Int.MAX_VALUE else maxOnBaseline - job.placements.count { it.machine.baseline }
+
+    private fun reasonNotPlaced(job: Job, cycle: SchedulingCycle): PendingReason =
+        if (cycle.machines.of(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity
+
+    /** Assigns up to [maxTasks] tasks to [machine] while they fit; returns how many. */
+    private fun pack(machine: Machine, job: Job, maxTasks: Int, spread: SpreadConstraint, cycle: SchedulingCycle): Int {
+        var placed = 0
+        var index = job.nextPending(0)
+        while (placed < maxTasks && index >= 0 && machine.fits(job) && spread.allows(machine.zone)) {
+            val placement = cycle.assign(machine, job, index, cluster.attemptNumbers.next())
+            placement.exemptFromPreemption = job.isStarving
+            spread.add(machine.zone)
+            placed++
+            index = job.nextPending(index + 1)
+        }
+        return placed
+    }
+}
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -156,7 +156,7 @@
         if (placement.isAssigned) chosen += placement
         placement.machine.put(placement)
         placement.job?.add(placement)
-        placement.job?.let { quota.add(it.spec, 1) }
+        placement.job?.let { quota.add(it.spec) }
     }
 
     /** The start of [placement] has left in an answer. */
@@ -185,7 +185,7 @@
         placement.machine.remove(placement)
         placement.job?.let {
             it.remove(placement)
-            quota.add(it.spec, -1)
+            quota.remove(it.spec)
         }
         dirty = true
     }
@@ -246,7 +246,7 @@
     internal fun runCycleIfDue(nowMicros: Long) {
         if (!dirty || nowMicros < nextCycleMicros) return
         val start = clock.nowMicros()
-        scheduler.cycle(nowMicros)
+        scheduler.runCycle(nowMicros)
         nextCycleMicros = nowMicros + maxOf(CYCLE_MICROS, (clock.nowMicros() - start) * IDLE_SPANS_PER_CYCLE)
     }
 
@@ -272,7 +272,7 @@
     /** Machines that fit a job and are yet kept from it do not count as room for it, neither there nor to be rented. */
     fun isClosedTo(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isClosedTo(type, spot, job.spec)
 
-    internal fun isStartable(job: Job, nowMicros: Long): Boolean = scheduler.startable(job, nowMicros)
+    internal fun isStartable(job: Job, nowMicros: Long): Boolean = scheduler.isStartable(job, nowMicros)
 
     internal fun isBaseline(machineName: String): Boolean = machineName in baseline
 
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/GangPlacement.kt
@@ -0,0 +1,84 @@
+package linemast.scheduling
+
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.PendingReason
+import linemast.domain.Placement
+
+/** Places gangs: all missing tasks of one at once, or none. */
+internal class GangPlacement(
+    private val cluster: Cluster,
+    private val preemption: GangPreemption,
+    private val pendingReasons: PendingReasonLog,
+) {
+    /** Assigns all missing tasks of [gang] to machines; if that is not possible, preempts other tasks as far as allowed. */
+    fun place(gang: Job, cycle: SchedulingCycle) {
+        if (!prepareAttempt(gang)) return
+        val missing = gang.pendingCount
+        val headroom = cycle.headroom.tasksOf(gang)
+        // Zones of all feasible machines, not only of those with free capacity: preemption can free the others.
+        val zones = if (gang.spec.sameZone && gang.spec.taskCount > 1) cycle.machines.zonesOf(gang) else listOf(null)
+        if (headroom >= missing) {
+            placeWithinQuotaLimit(gang, zones, missing, cycle)
+        } else {
+            preemptAtQuotaLimit(gang, zones, missing, headroom, cycle)
+        }
+    }
+
+    private fun placeWithinQuotaLimit(gang: Job, zones: List<String?>, missing: Int, cycle: SchedulingCycle) {
+        if (zones.any { zone -> placeAll(gang, candidates(gang, zone, cycle), missing, cycle) }) return
+        val isPreempting = preemptInOneZone(gang, zones, missing, cycle)
+        pendingReasons.record(gang, if (isPreempting) PendingReason.PreemptionInProgress else PendingReason.NoFreeCapacity)
+    }
+
+    private fun preemptAtQuotaLimit(gang: Job, zones: List<String?>, missing: Int, headroom: Int, cycle: SchedulingCycle) {
+        // Nothing is preempted for the quota limit before there is capacity to use it.
+        val hasCapacity = zones.any { zone -> candidates(gang, zone, cycle).sumOf { it.freeSlots(gang.spec) } >= missing }
+        if (hasCapacity) {
+            preemption.preemptAtQuotaLimit(gang, missing, headroom, cycle)
+        } else {
+            preemptInOneZone(gang, zones, missing, cycle)
+        }
+        pendingReasons.record(gang, PendingReason.QuotaLimit)
+    }
+
+    /** Preempts for the missing tasks in the first zone where that is enough; returns whether there is one. */
+    private fun preemptInOneZone(gang: Job, zones: List<String?>, missing: Int, cycle: SchedulingCycle): Boolean =
+        zones.any { zone -> preemption.preemptForCapacity(gang, zone, missing, cycle) }
+
+    /** Machines of [zone], or of all zones if it is null. One that acknowledged a task of this attempt must not get it again. */
+    private fun candidates(gang: Job, zone: String?, cycle: SchedulingCycle): Sequence<Machine> =
+        cycle.machines.candidates(gang).filter { (zone == null || it.zone == zone) && !gang.isAcknowledgedOn(it) }
+
+    /** Chooses an attempt number for a gang without placements; false if the present attempt cannot be completed any more. */
+    private fun prepareAttempt(gang: Job): Boolean {
+        if (gang.placements.isNotEmpty()) return !gang.gangRan && gang.placements.all { it.attempt == gang.gangAttempt }
+        gang.gangRan = false
+        if (gang.gangAttempt == 0L || gang.gangAttemptUsed) {
+            // Kept until the gang can start as a whole, however many cycles that takes.
+            gang.gangAttempt = cluster.attemptNumbers.next().also(cluster.attemptNumbers::use)
+            gang.gangAttemptUsed = false
+        }
+        return true
+    }
+
+    private fun placeAll(gang: Job, machines: Sequence<Machine>, missing: Int, cycle: SchedulingCycle): Boolean {
+        val spread = SpreadConstraint(gang)
+        val placed = ArrayList<Placement>()
+        var index = gang.nextPending(0)
+        for (machine in machines) {
+            while (index >= 0 && machine.fits(gang) && spread.allows(machine.zone)) {
+                placed += cycle.assign(machine, gang, index, gang.gangAttempt)
+                spread.add(machine.zone)
+                index = gang.nextPending(index + 1)
+            }
+            if (index < 0) break
+        }
+        if (placed.size == missing) {
+            gang.pendingReason = null
+            return true
+        }
+        placed.forEach(cycle::unassign)
+        return false
+    }
+}
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -65,7 +65,7 @@
         for (victim in preemption.victims) {
             // A task whose start has not left need not be started and stopped again.
             if (victim.isAssigned) {
-                cycle.unplace(victim)
+                cycle.unassign(victim)
             } else if (victim.stopReason == null) {
                 taskPreemption.preempt(victim, StopReason.PreemptedForGang(gang.id))
             }
--- a/src/main/kotlin/linemast/scheduling/JobRanking.kt
+++ b/src/main/kotlin/linemast/scheduling/JobRanking.kt
@@ -3,30 +3,40 @@
 import linemast.domain.Job
 import linemast.planning.Planner
 
-/** The order in which jobs get what is free. */
-object JobRanking {
-    /** A job with what its rank follows from. */
-    class Ranked(val job: Job, val withinQuota: Boolean, val missed: Int, val deadlineMicros: Long) {
-        val isPartGang = job.spec.isGang && job.placements.isNotEmpty()
-    }
+/** A job with what its rank follows from. */
+data class RankedJob(
+    val job: Job,
+    /** Whether the job fits within its team's quota, together with the team's earlier jobs. */
+    val withinQuota: Boolean,
+    /** How many service-level objectives it has missed. */
+    val missedObjectives: Int,
+    /** Wall time by which it should end. */
+    val deadlineMicros: Long,
+) {
+    /** Whether some tasks of the gang are placed, so that the others hold them up. */
+    val isPartlyPlacedGang = job.spec.isGang && job.placements.isNotEmpty()
+}
 
-    private val order = compareBy<Ranked>(
-        { !it.isPartGang },
+/** The order in which jobs get free capacity. */
+object JobRanking {
+    private val order = compareBy<RankedJob>(
+        { !it.isPartlyPlacedGang },
         { !it.withinQuota },
         { it.job.priority.ordinal },
-        { it.missed },
+        { it.missedObjectives },
         { it.deadlineMicros },
     )
 
-    /** The unfinished [jobs], the first to get room first. */
-    fun sorted(jobs: Collection<Job>, quota: QuotaUsage, planner: Planner, wallMicros: Long): List<Ranked> {
-        val claimed = HashMap<String, Double>()
+    /** The unfinished ones of [jobs], by rank; at the same rank, the one that has been ready for longer goes first. */
+    fun sorted(jobs: Collection<Job>, quota: QuotaUsage, planner: Planner, wallMicros: Long): List<RankedJob> {
+        val requestedVcpus = HashMap<String, Double>()
         return jobs.filter { !it.cancelled && !it.finished }
             .sortedBy { it.readyWallMicros }
             .map { job ->
-                val cpus = claimed.merge(job.spec.team, job.spec.taskCount * job.spec.vcpus, Double::plus) ?: 0.0
-                val withinQuota = cpus <= (quota.team(job.spec.team)?.cpus ?: 0.0)
-                Ranked(job, withinQuota, planner.objectives.missed(job, wallMicros), planner.deadlineWallMicros(job))
+                val spec = job.spec
+                val vcpus = requestedVcpus.merge(spec.team, spec.taskCount * spec.vcpus, Double::plus) ?: 0.0
+                val withinQuota = vcpus <= (quota.team(spec.team)?.cpus ?: 0.0)
+                RankedJob(job, withinQuota, planner.objectives.missed(job, wallMicros), planner.deadlineWallMicros(job))
             }
             .sortedWith(order)
     }
--- a/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
@@ -59,7 +59,7 @@
         (victimJob.priority > job.priority || excessVcpusOf(victimJob.spec.team) >= victimJob.spec.vcpus)
 
     private fun excessVcpusOf(team: String): Double =
-        excessVcpus.getOrPut(team) { cluster.quota.beyondQuota(team) - taskPreemption.stoppingVcpus(team) }
+        excessVcpus.getOrPut(team) { cluster.quota.excessVcpus(team) - taskPreemption.stoppingVcpus(team) }
 
     /** Up to [max] tasks that end by themselves soon enough: a job within its quota is the first to get their capacity. */
     private fun countEndingSoon(job: Job, max: Int): Int {
--- a/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
@@ -3,37 +3,43 @@
 import linemast.domain.JobSpec
 import linemast.settings.Team
 
-/** What each team's tasks may be using at this moment, and how that stands to its limits. */
+/** What the tasks of each team may be using now, against the team's quota and its quota limit. */
 class QuotaUsage(teams: List<Team>) {
-    private class Amounts(val team: Team) {
-        var cpus = 0.0
+    private class Usage(val team: Team) {
+        var vcpus = 0.0
         var gpus = 0.0
     }
 
-    private val amounts = teams.associate { it.name to Amounts(it) }
+    private val usageByTeam = teams.associate { it.name to Usage(it) }
 
-    /** The team's settings; null if there is no such team. */
-    fun team(name: String): Team? = amounts[name]?.team
+    /** The settings of team [name]; null if there is no such team. */
+    fun team(name: String): Team? = usageByTeam[name]?.team
 
-    /** Counts one task of [spec] in ([sign] 1) or out (-1). */
-    fun add(spec: JobSpec, sign: Int) {
-        val amount = amounts[spec.team] ?: return
-        amount.cpus += sign * spec.vcpus
-        amount.gpus += sign * spec.gpus
+    /** Counts one more task of [spec]. */
+    fun add(spec: JobSpec) = count(spec, 1)
+
+    /** Counts one task of [spec] less. */
+    fun remove(spec: JobSpec) = count(spec, -1)
+
+    private fun count(spec: JobSpec, sign: Int) {
+        val usage = usageByTeam[spec.team] ?: return
+        usage.vcpus += sign * spec.vcpus
+        usage.gpus += sign * spec.gpus
     }
 
-    /** How many more tasks of [spec] the team's limit allows beside [unseenCpus] and [unseenGpus]. */
-    fun room(spec: JobSpec, unseenCpus: Double, unseenGpus: Double): Int {
-        val amount = amounts[spec.team] ?: return 0
-        val byCpus = fitting(amount.team.cpusMax - amount.cpus - unseenCpus, spec.vcpus)
-        val byGpus = fitting(amount.team.gpusMax - amount.gpus - unseenGpus, spec.gpus)
-        return minOf(byCpus, byGpus).coerceAtLeast(0)
+    /** How many more tasks of [spec] its team's quota limit allows if [reserved] is kept free. */
+    internal fun headroom(spec: JobSpec, reserved: Resources): Int {
+        val usage = usageByTeam[spec.team] ?: return 0
+        val byVcpus = tasksWithin(usage.team.cpusMax - usage.vcpus - reserved.vcpus, spec.vcpus)
+        val byGpus = tasksWithin(usage.team.gpusMax - usage.gpus - reserved.gpus, spec.gpus)
+        return minOf(byVcpus, byGpus).coerceAtLeast(0)
     }
 
-    /** How much of its cpus a team uses beyond its guarantee. */
-    fun beyondQuota(name: String): Double = amounts[name]?.let { it.cpus - it.team.cpus } ?: 0.0
+    /** How many vcpus team [name] uses beyond its quota; negative while it uses less. */
+    fun excessVcpus(name: String): Double = usageByTeam[name]?.let { it.vcpus - it.team.cpus } ?: 0.0
 
-    private fun fitting(left: Double, each: Double): Int = if (each <= 0.0) Int.MAX_VALUE else Math.floor(left / each + EPSILON).toInt()
+    private fun tasksWithin(free: Double, perTask: Double): Int =
+        if (perTask <= 0.0) Int.MAX_VALUE else Math.floor(free / perTask + EPSILON).toInt()
 
     private companion object {
         const val EPSILON = 1e-6
--- a/src/main/kotlin/linemast/scheduling/SpreadConstraint.kt
+++ b/src/main/kotlin/linemast/scheduling/SpreadConstraint.kt
@@ -2,20 +2,22 @@
 
 import linemast.domain.Job
 
-/** Counts a job's tasks by zone and tells where one more may start. */
+/** Tells in which zones one more task of a job may be placed: in one zone alone, or spread over several, if it asks for that. */
 internal class SpreadConstraint(private val job: Job) {
-    private val byZone = HashMap<String, Int>()
+    private val tasksByZone = HashMap<String, Int>()
 
     init {
         if (job.spec.sameZone || job.spec.spread) job.placements.forEach { add(it.machine.zone) }
     }
 
+    /** Counts a task placed in [zone]. */
     fun add(zone: String) {
-        byZone.merge(zone, 1, Int::plus)
+        tasksByZone.merge(zone, 1, Int::plus)
     }
 
+    /** Whether one more task may be placed in [zone]. */
     fun allows(zone: String): Boolean {
-        if (job.spec.sameZone && byZone.keys.any { it != zone }) return false
-        return !job.spec.spread || (byZone[zone] ?: 0) < job.spec.maxTasksPerZone
+        if (job.spec.sameZone && tasksByZone.keys.any { it != zone }) return false
+        return !job.spec.spread || (tasksByZone[zone] ?: 0) < job.spec.maxTasksPerZone
     }
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -0,0 +1,87 @@
+package linemast.scheduling
+
+import linemast.admission.FlowRoundRobin
+import linemast.domain.Job
+import linemast.domain.PendingReason
+
+/**
+ * Places jobs first that have waited for long without a start: no priority or quota limit may starve one.
+ *
+ * Arrays start with a few tasks, gangs have machines reserved for them. Among each other starving jobs keep their rank, so
+ * that those that have missed their objectives do not make the next ones miss theirs as well.
+ */
+internal class StarvationGuard(
+    private val cluster: Cluster,
+    /** Round robin among the flows of starving arrays; null places all of them. */
+    private val roundRobin: FlowRoundRobin?,
+    private val arrays: ArrayPlacement,
+    private val gangs: GangPlacement,
+    private val reservation: GangReservation,
+) {
+    /** Marks which of the [ready] jobs are starving, and places these. */
+    fun placeStarving(ready: List<Job>, cycle: SchedulingCycle) {
+        val wallMicros = cluster.wallMicros()
+        for (job in ready) job.isStarving = isStarving(job, wallMicros)
+        val selected = selectArrays(ready.filter { it.isStarving })
+        var mayReserve = true
+        // The gang that holds the reservation stays the first until it is placed.
+        for (job in selected.sortedBy { it !== reservation.gang }) {
+            if (!job.spec.isGang) {
+                placeFirstTasks(job, cycle)
+                continue
+            }
+            gangs.place(job, cycle)
+            if (mayReserve && isReservationOfUse(job) && reservation.reserve(job, cycle)) mayReserve = false
+        }
+    }
+
+    private fun isStarving(job: Job, wallMicros: Long): Boolean {
+        val isStarted = job.doneCount > 0 || job.placements.any { !it.isAssigned }
+        if (isStarted) return false
+        val ageMicros = wallMicros - job.readyWallMicros
+        return if (job.spec.isGang) isGangStarving(job, ageMicros) else ageMicros > ARRAY_STARVING_MICROS
+    }
+
+    /**
+     * When more gangs arrive than there is capacity for, placing the longest waiting first would make all of them late. So those
+     * that have missed their objective already let the others go first, and have precedence again after a much longer time.
+     */
+    private fun isGangStarving(job: Job, ageMicros: Long): Boolean {
+        // A gang of one task needs no reservation, and with precedence it would only take another one's place.
+        if (job.spec.taskCount == 1) return false
+        return ageMicros in GANG_STARVING_MICROS..GANG_LATE_MICROS || ageMicros > LATE_GANG_STARVING_MICROS
+    }
+
+    /**
+     * Selects arrays by round robin among their flows, so that a flood of one flow does not keep out all others. They share the
+     * positions of all arrays in [starving]; gangs keep theirs. Arrays that are not selected do not count as starving.
+     */
+    private fun selectArrays(starving: List<Job>): List<Job> {
+        if (roundRobin == null) return starving
+        val selected = roundRobin.choose(starving.filter { !it.spec.isGang })
+        val selectedSet = selected.toSet()
+        val nextSelected = selected.iterator()
+        return starving.mapNotNull { job ->
+            if (job.spec.isGang) return@mapNotNull job
+            job.isStarving = job in selectedSet
+            if (nextSelected.hasNext()) nextSelected.next() else null
+        }
+    }
+
+    private fun placeFirstTasks(job: Job, cycle: SchedulingCycle) {
+        arrays.place(job, cycle, maxTasks = FIRST_TASKS)
+        if (job.placements.isNotEmpty()) roundRobin?.served(job)
+    }
+
+    private fun isReservationOfUse(gang: Job): Boolean = gang.placements.isEmpty() && gang.pendingReason != PendingReason.QuotaLimit
+
+    private companion object {
+        const val FIRST_TASKS = 2
+        const val ARRAY_STARVING_MICROS = 60_000_000L
+
+        /** Later than for arrays: machines reserved for a gang stand idle until the last of them is free. */
+        const val GANG_STARVING_MICROS = 150_000_000L
+        const val GANG_LATE_MICROS = 240_000_000L
+        const val LATE_GANG_STARVING_MICROS = 600_000_000L
+    }
+}
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A machine goes to a job that has its image there, as long as that one is of about the same rank. */
+/** A machine is left to a job whose image is there, as long as that job is of about the same rank. */
 class ImageAffinityTest {
     private val type = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, listOf("z"))
     private val machine = Machine("host-000001", type, "z", false).also { it.images += "held" }
@@ -24,42 +24,42 @@
     )
 
     private fun rank(job: Job, dueSeconds: Long, withinQuota: Boolean = false, missed: Int = 0) =
-        JobRanking.Ranked(job, withinQuota, missed, dueSeconds * 1_000_000)
+        RankedJob(job, withinQuota, missed, dueSeconds * 1_000_000)
 
     private val lacking = job("req-1", "other")
 
-    private fun isLeft(holder: JobRanking.Ranked, teamHasRoom: Boolean = true): Boolean =
-        ImageAffinity(listOf(rank(lacking, 100), holder)) { teamHasRoom }.prefersAnother(lacking, machine)
+    private fun isLeftTo(holder: RankedJob, hasQuotaHeadroom: Boolean = true): Boolean =
+        ImageAffinity(listOf(rank(lacking, 100), holder)) { hasQuotaHeadroom }.prefersAnother(lacking, machine)
 
     @Test
-    fun `a machine is left to a job that has its image there and is due about as soon`() {
-        assertTrue(isLeft(rank(job("req-2", "held"), 160)))
-        assertFalse(isLeft(rank(job("req-2", "held"), 161)))
-        assertFalse(isLeft(rank(job("req-2", "third"), 90)))
+    fun `a machine is left to a job whose image is there and whose deadline is about as soon`() {
+        assertTrue(isLeftTo(rank(job("req-2", "held"), 160)))
+        assertFalse(isLeftTo(rank(job("req-2", "held"), 161)))
+        assertFalse(isLeftTo(rank(job("req-2", "third"), 90)))
     }
 
     @Test
-    fun `not to one of another priority, one that has missed more, one without tasks, or one its team's limit holds back`() {
-        assertFalse(isLeft(rank(job("req-2", "held", priority = "idle"), 100)))
-        assertFalse(isLeft(rank(job("req-2", "held"), 100, missed = 1)))
-        assertFalse(isLeft(rank(job("req-2", "held"), 100), teamHasRoom = false))
+    fun `a machine is not left to a job of another priority, with more missed objectives, without pending tasks or without quota headroom`() {
+        assertFalse(isLeftTo(rank(job("req-2", "held", priority = "idle"), 100)))
+        assertFalse(isLeftTo(rank(job("req-2", "held"), 100, missed = 1)))
+        assertFalse(isLeftTo(rank(job("req-2", "held"), 100), hasQuotaHeadroom = false))
         val placed = job("req-2", "held", tasks = 1)
         placed.add(Placement(Machine("host-000002", type, "z", false), TaskId("req-2", 0), 1, placed))
-        assertFalse(isLeft(rank(placed, 100)))
+        assertFalse(isLeftTo(rank(placed, 100)))
     }
 
     @Test
-    fun `a job within its guarantee or after a long wait takes what it gets`() {
+    fun `a job within its quota or a starving job takes any machine`() {
         val holder = rank(job("req-2", "held"), 100)
         lacking.withinQuota = true
-        assertFalse(isLeft(holder))
+        assertFalse(isLeftTo(holder))
         lacking.withinQuota = false
         lacking.isStarving = true
-        assertFalse(isLeft(holder))
+        assertFalse(isLeftTo(holder))
     }
 
     @Test
-    fun `what nobody with its image wants goes to any job in the same pass`() {
+    fun `a machine whose image no job needs goes to any job in the same cycle`() {
         val fixture = ClusterFixture()
         val worker = HandWorker(fixture, "host-000001")
         worker.reportFor(3)
