--- /dev/null
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -0,0 +1,73 @@
+package linemast.autoscaling
+
+import linemast.domain.Job
+import linemast.planning.Planner
+import linemast.planning.WaitingStage
+import linemast.scheduling.Cluster
+import org.slf4j.LoggerFactory
+
+/** Keeps the plans of all jobs up to date, including those of pipeline stages that may not start yet. */
+internal class JobPlanning(private val cluster: Cluster, private val planner: Planner) {
+    private val log = LoggerFactory.getLogger(JobPlanning::class.java)
+    private val estimates = MachineTypeEstimates(cluster)
+    private val plannedIds = HashSet<String>()
+    private var waitingStages: List<WaitingStage> = emptyList()
+    private var waitingIds: Set<String> = emptySet()
+
+    /** Number of jobs that have arrived since the latest plan. */
+    fun newJobCount(): Int = cluster.jobs.values.count { it.id !in plannedIds && !it.cancelled && !it.finished }
+
+    /** Whether a waiting stage has no plan yet, or the plan of a job does not hold any more. */
+    fun hasNewOrChangedStages(): Boolean =
+        cluster.waitingStages.any { it.job.id !in waitingIds } || cluster.jobs.values.any(planner::isOutdated)
+
+    /** Jobs that wait for others and start so soon that machines have to be requested for them now. */
+    fun jobsStartingSoon(): List<Job> =
+        waitingStages.filter { it.startsInMicros <= estimates.scaleOutLeadMicros(it.job) }.map { it.job }
+
+    /** Plans [jobs], which come in the order in which they get capacity: all anew if [isFull], otherwise only where needed. */
+    fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
+        val baseline = cluster.machines.values.filter { it.baseline && !it.draining && nowMicros < it.leaseEndMicros }
+        // Waiting stages get what the other jobs leave, and are planned anew when they are released.
+        planner.drop(waitingIds)
+        waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
+        waitingIds = waitingStages.mapTo(HashSet()) { it.job.id }
+        planner.plan(
+            jobs,
+            baseline,
+            isFull,
+            estimates::startupMicros,
+            wallMicros,
+            nowMicros,
+            cluster::isClosedTo,
+            waitingStages,
+            estimates::pricePerVcpu,
+        )
+        plannedIds.clear()
+        jobs.forEach { plannedIds += it.id }
+        planner.forget(plannedIds + waitingIds)
+        cluster.bookings = { job -> baselineSlots(job, nowMicros) }
+        cluster.dirty = true
+        if (isFull) logPlans(jobs)
+    }
+
+    private fun baselineSlots(job: Job, nowMicros: Long): Int {
+        val plan = planner.planOf(job) ?: return 0
+        return Math.ceil(plan.baselineSlots(nowMicros)).toInt()
+    }
+
+    private fun logPlans(jobs: List<Job>) {
+        for (job in jobs) {
+            val plan = planner.planOf(job) ?: continue
+            log.debug(
+                "plan of {}: baseline {}, scaled out {} ({} at once), backup {}, top-up {}",
+                job.id,
+                plan.baseline.sum().toInt(),
+                plan.rented.sum().toInt(),
+                plan.rentedSlots,
+                plan.backup,
+                plan.topUp,
+            )
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
@@ -0,0 +1,36 @@
+package linemast.autoscaling
+
+import linemast.cloud.Fleet
+import linemast.cloud.ScaleInBatch
+import linemast.cloud.ScaleInReason
+import linemast.scheduling.Cluster
+import linemast.time.SECOND_MICROS
+import org.slf4j.LoggerFactory
+
+/**
+ * Scales in registered machines that do not report to a new leader while others do.
+ *
+ * Most of them are gone, such as spot machines that were preempted without notice. A confirmed scale-in makes that certain,
+ * and ends the wait for their unseen tasks before their leases expire. Baseline machines are too hard to get back, and a zone
+ * may be cut off as a whole: of these only the ones that the cloud does not list, or lists as failed, are scaled in.
+ */
+internal class MissingMachines(private val cluster: Cluster, private val fleet: Fleet) {
+    private val log = LoggerFactory.getLogger(MissingMachines::class.java)
+    private val retryTimer = IntervalTimer(RETRY_MICROS)
+
+    /** Machines to be scaled in now; to be called while the cluster is not reconciled. */
+    fun scaleIns(nowMicros: Long): ScaleInBatch {
+        if (!fleet.hasMachineList || !retryTimer.isDue(nowMicros)) return emptyMap()
+        val reportingZones = cluster.failover.zonesMostlyReporting()
+        val missing = cluster.failover.missingMachines(nowMicros)
+            .filter { fleet.isGone(it.name) || (!it.baseline && it.zone in reportingZones) }
+        if (missing.isEmpty()) return emptyMap()
+        retryTimer.restart(nowMicros)
+        log.info("scaling in {}: {}", missing.map { it.name }, ScaleInReason.MISSING_AFTER_FAILOVER)
+        return missing.associate { it.name to ScaleInReason.MISSING_AFTER_FAILOVER }
+    }
+
+    private companion object {
+        const val RETRY_MICROS = 3 * SECOND_MICROS
+    }
+}
--- a/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
+++ b/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
@@ -5,28 +5,28 @@
 import org.junit.jupiter.api.Test
 
 class DemandMonitorTest {
-    /** A lull after a burst of first submissions once made the leader return the whole standing fleet. */
+    /** A lull after a burst of first submissions once made the leader scale in the whole baseline. */
     @Test
-    fun `a pause after a burst is not the end of demand, a long silence is`() {
+    fun `a pause after a burst is not the end of demand, a long time without submissions is`() {
         val demand = DemandMonitor()
         var now = 0L
         fun pass(seconds: Int) = repeat(seconds * 4) {
             now += 250_000
-            demand.watch(now)
+            demand.tick(now)
         }
         repeat(6) {
             pass(1)
-            demand.arrived(now)
+            demand.jobSubmitted(now)
         }
         pass(3_600)
-        assertFalse(demand.hasCeased(), "too few have come to tell")
+        assertFalse(demand.hasCeased(), "too few submissions to tell")
         repeat(20) {
             pass(20)
-            demand.arrived(now)
+            demand.jobSubmitted(now)
         }
         pass(80)
         assertFalse(demand.hasCeased())
-        // An outage: nothing is watched, and nothing could have come.
+        // An outage without ticks, in which no job could have been submitted.
         now += 400_000_000L
         pass(80)
         assertFalse(demand.hasCeased())
