--- a/src/main/kotlin/linemast/app/InspectionCommand.kt
+++ b/src/main/kotlin/linemast/app/InspectionCommand.kt
@@ -2,6 +2,8 @@
 
 import linemast.duties.IntentInspection
 import linemast.duties.IntentReport
+import linemast.duties.toHtml
+import linemast.duties.toText
 import linemast.serialization.MalformedException
 import linemast.settings.DutySettings
 import linemast.settings.Settings
@@ -25,8 +27,8 @@
                 report = IntentInspection(store, duties) { System.currentTimeMillis() * MICROS_PER_MILLI }.report()
             }
             val found = checkNotNull(report)
-            print(found.text())
-            htmlFile?.let { Files.writeString(it, found.html()) }
+            print(found.toText())
+            htmlFile?.let { Files.writeString(it, found.toHtml()) }
             return if (found.hasViolations) EXIT_VIOLATIONS else 0
         } catch (e: StoreException) {
             System.err.println("linemast: the state service at ${settings.state}: ${e.message}")
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -22,8 +22,7 @@
         cluster.waitingStages.any { it.job.id !in waitingIds } || cluster.jobs.values.any(planner::isOutdated)
 
     /** Jobs that wait for others and start so soon that machines have to be requested for them now. */
-    fun jobsStartingSoon(): List<Job> =
-        waitingStages.filter { it.startsInMicros <= estimates.scaleOutLeadMicros(it.job) }.map { it.job }
+    fun jobsStartingSoon(): List<Job> = waitingStages.filter { it.startsInMicros <= estimates.scaleOutLeadMicros(it.job) }.map { it.job }
 
     /** Plans [jobs], which come in the order in which they get capacity: all anew if [isFull], otherwise only where needed. */
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
--- a/src/main/kotlin/linemast/duties/IntentAudit.kt
+++ b/src/main/kotlin/linemast/duties/IntentAudit.kt
@@ -1,37 +1,27 @@
 package linemast.duties
 
-/** Who leads, as the store has it. */
-class LeadershipRecord(
-    /** Name of the leader; null if there is none now. */
-    val leaderName: String?,
-    /** Fencing token of the leader; null if there is none now. */
-    val leaderToken: Long?,
-    /** The highest fencing token that was ever given out. */
-    val highestToken: Long,
-)
-
-/** Something in the store that the rules of single-holder duties do not allow, or that needs an operator's eye. */
+/** A stored intent that breaks the rules of the intent log, or that an operator should look at. */
 data class AuditFinding(val severity: Severity, val intent: IntentId, val message: String) {
-    /** How much a finding matters. */
+    /** Severity of a finding, the highest first. */
     enum class Severity {
-        /** A rule is broken: a controller acted that did not hold the duty, or the records were tampered with. */
+        /** A rule is broken: a controller acted without being the leader, or records were tampered with. */
         VIOLATION,
 
-        /** Allowed, but it should not stay so. */
+        /** Permitted, but not supposed to last. */
         WARNING,
     }
 }
 
-/** Checks the stored intents against the rules of single-holder duties; pure. */
+/** Checks stored intents against the rules of the intent log. [scaleOutRetryMicros] is how long requests are repeated. */
 class IntentAudit(private val scaleOutRetryMicros: Long) {
-    /** All that is to be said of [intents], the violations first. */
+    /** The findings on [intents] at the wall-clock time [wallMicros], violations first. */
     fun check(intents: List<Intent>, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
-        val findings = intents.flatMap { tokens(it, leadership) + rental(it) + age(it, leadership, wallMicros) } +
-            repeatedIds(intents) + repeatedRequests(intents) + machinesReturnedTwice(intents)
+        val findings = intents.flatMap { invalidTokens(it, leadership) + foreignRequestId(it) + leftOpen(it, leadership, wallMicros) } +
+            repeatedIds(intents) + repeatedRequests(intents) + machinesScaledInTwice(intents)
         return findings.sortedBy { it.severity }
     }
 
-    private fun tokens(intent: Intent, leadership: LeadershipRecord): List<AuditFinding> {
+    private fun invalidTokens(intent: Intent, leadership: LeadershipRecord): List<AuditFinding> {
         val decided = intent.id.fencingToken
         val closed = intent.closedByToken
         return listOfNotNull(
@@ -42,44 +32,47 @@
         )
     }
 
-    /** The ids of rental requests begin with the fencing token of the leader that asks. */
-    private fun rental(intent: Intent): List<AuditFinding> {
-        val rental = intent.action as? CloudAction.ScaleOut ?: return emptyList()
-        val token = rental.request.requestId.split('-').getOrNull(1)?.toLongOrNull()
+    /** The ids of scale-out requests contain the fencing token of the leader that decided them. */
+    private fun foreignRequestId(intent: Intent): List<AuditFinding> {
+        val requestId = intent.requestId ?: return emptyList()
+        val token = requestId.split('-').getOrNull(1)?.toLongOrNull()
         return if (token == intent.id.fencingToken) emptyList() else listOf(violation(intent, "asks under another term's request id"))
     }
 
-    /** What earlier leaders left open the present one carries out, once it can. */
-    private fun age(intent: Intent, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
-        val isLeft = !intent.state.isTerminal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
-        val isOld = wallMicros - intent.decidedWallMicros > scaleOutRetryMicros * OLD_ADOPTIONS
+    /** The current leader closes what previous leaders left open, as soon as it can. */
+    private fun leftOpen(intent: Intent, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
+        val isLeftOpen = !intent.state.isTerminal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
+        val isOverdue = wallMicros - intent.decidedWallMicros > scaleOutRetryMicros * OVERDUE_FACTOR
         val message = "was left open by an earlier leader, and the present one has not ended it"
-        return if (isLeft && isOld) listOf(AuditFinding(AuditFinding.Severity.WARNING, intent.id, message)) else emptyList()
+        return if (isLeftOpen && isOverdue) listOf(AuditFinding(AuditFinding.Severity.WARNING, intent.id, message)) else emptyList()
     }
 
     private fun repeatedIds(intents: List<Intent>): List<AuditFinding> =
         intents.groupBy { it.id }.values.filter { it.size > 1 }.map { violation(it.first(), "is held by ${it.size} slots") }
 
     private fun repeatedRequests(intents: List<Intent>): List<AuditFinding> = intents
-        .mapNotNull { intent -> (intent.action as? CloudAction.ScaleOut)?.let { it.request.requestId to intent } }
-        .groupBy({ it.first }, { it.second }).values
-        .filter { it.size > 1 }.map { violation(it.last(), "repeats the rental request of ${it.first().id}") }
+        .filter { it.requestId != null }
+        .groupBy { it.requestId }.values
+        .filter { it.size > 1 }
+        .map { violation(it.last(), "repeats the rental request of ${it.first().id}") }
+
+    private val Intent.requestId: String? get() = (action as? CloudAction.ScaleOut)?.request?.requestId
 
-    private fun machinesReturnedTwice(intents: List<Intent>): List<AuditFinding> {
+    private fun machinesScaledInTwice(intents: List<Intent>): List<AuditFinding> {
         val byMachine = LinkedHashMap<String, ArrayList<Intent>>()
         for (intent in intents) {
             (intent.action as? CloudAction.ScaleIn)?.names?.forEach { byMachine.getOrPut(it) { ArrayList() } += intent }
         }
-        return byMachine.filter { (_, returns) -> returns.count { !it.state.isTerminal } > 1 }.map { (name, returns) ->
-            val message = "$name is being returned by ${returns.map { it.id }}"
-            AuditFinding(AuditFinding.Severity.WARNING, returns.last().id, message)
+        return byMachine.filter { (_, scaleIns) -> scaleIns.count { !it.state.isTerminal } > 1 }.map { (name, scaleIns) ->
+            val message = "$name is being returned by ${scaleIns.map { it.id }}"
+            AuditFinding(AuditFinding.Severity.WARNING, scaleIns.last().id, message)
         }
     }
 
     private fun violation(intent: Intent, message: String) = AuditFinding(AuditFinding.Severity.VIOLATION, intent.id, message)
 
     private companion object {
-        /** An open intent is looked at by the next leader at once; after so many times its patience something is wrong. */
-        const val OLD_ADOPTIONS = 4
+        /** The next leader takes up an open intent at once; after this many retry periods something is wrong. */
+        const val OVERDUE_FACTOR = 4
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -4,9 +4,9 @@
 import linemast.serialization.Fields
 import linemast.settings.Duty
 
-/** The stored form of intents. Names in the store occur only here. */
+/** The stored form of intents; the names in the store are mapped here only. */
 object IntentCodec {
-    /** Intents are kept in numbered slots under this prefix. */
+    /** Prefix of the numbered slots that hold intents. */
     const val PREFIX = "duty/"
 
     /** The key of a slot. */
@@ -25,12 +25,12 @@
         put("count", intent.machineCount)
         intent.closedByToken?.let { put("closed_by", it) }
         when (val action = intent.action) {
-            is CloudAction.ScaleOut -> put("rental", encode(action.request))
+            is CloudAction.ScaleOut -> put("rental", encodeRequest(action.request))
             is CloudAction.ScaleIn -> put("rigs", action.names)
         }
     }
 
-    private fun encode(request: ScaleOutRequest): Map<String, Any?> = mapOf(
+    private fun encodeRequest(request: ScaleOutRequest): Map<String, Any?> = mapOf(
         "charter" to request.requestId,
         "build" to request.machineType,
         "yard" to request.zone,
@@ -38,12 +38,12 @@
         "number" to request.number,
     )
 
-    /** Reads the stored form; throws a `MalformedException` for anything else. */
+    /** Reads the stored form; throws a `MalformedException` for any other. */
     fun decode(fields: Fields): Intent {
         val duty = Duty.of(fields.text("duty")) ?: fields.fail("duty", "is unknown")
         return Intent(
             id = IntentId(fields.long("helm"), fields.long("n")),
-            action = action(duty, fields),
+            action = decodeAction(duty, fields),
             decidedWallMicros = fields.long("at_us"),
             state = IntentState.of(fields.text("state")) ?: fields.fail("state", "is unknown"),
             machineCount = fields.long("count").toInt(),
@@ -51,13 +51,13 @@
         )
     }
 
-    private fun action(duty: Duty, fields: Fields): CloudAction {
-        if (duty == Duty.SCALE_OUT) return CloudAction.ScaleOut(request(fields.child("rental")))
+    private fun decodeAction(duty: Duty, fields: Fields): CloudAction {
+        if (duty == Duty.SCALE_OUT) return CloudAction.ScaleOut(decodeRequest(fields.child("rental")))
         val names = fields.textsOrNull("rigs") ?: fields.fail("rigs", "is missing")
         return CloudAction.ScaleIn(names, duty)
     }
 
-    private fun request(fields: Fields) = ScaleOutRequest(
+    private fun decodeRequest(fields: Fields) = ScaleOutRequest(
         requestId = fields.text("charter"),
         machineType = fields.text("build"),
         zone = fields.text("yard"),
--- a/src/main/kotlin/linemast/duties/IntentInspection.kt
+++ b/src/main/kotlin/linemast/duties/IntentInspection.kt
@@ -5,20 +5,17 @@
 import linemast.store.KeyValueStore
 import linemast.store.listAll
 
-/** Reads what the store holds of single-holder duties, and reports on it. Changes nothing. */
+/** Reads the intent log from the store and audits it, without changing anything. */
 class IntentInspection(private val store: KeyValueStore, private val settings: DutySettings, private val wallMicros: () -> Long) {
-    /** The report as of now. */
+    /** The report as of now; throws a `StoreException` without an answer and a `MalformedException` for a malformed leader record. */
     suspend fun report(): IntentReport {
-        // The counter is read last: no intent that was read before it can be of a token that was not given out.
+        // The token counter is read last: an intent that was read before it cannot have a token that is issued later.
         val log = IntentLog.empty(settings.slots).reload(store.listAll(IntentCodec.PREFIX).entries)
         val leader = store.get(LeaderKeys.LEADER)
-        val highest = store.get(LeaderKeys.FENCING_TOKEN)
-        val leadership = LeadershipRecord(
-            leaderName = leader?.value?.text("node"),
-            leaderToken = leader?.value?.long("helm"),
-            highestToken = highest?.value?.long("n") ?: 0L,
-        )
+        val tokenCounter = store.get(LeaderKeys.FENCING_TOKEN)
+        val leadership = LeadershipRecordCodec.decode(leader?.value, tokenCounter?.value)
         val intents = log.intents.map { it.intent }
-        return IntentReport(intents, leadership, IntentAudit(settings.scaleOutRetryMicros).check(intents, leadership, wallMicros()))
+        val findings = IntentAudit(settings.scaleOutRetryMicros).check(intents, leadership, wallMicros())
+        return IntentReport(intents, leadership, findings)
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentLog.kt
+++ b/src/main/kotlin/linemast/duties/IntentLog.kt
@@ -7,52 +7,52 @@
 import linemast.serialization.MalformedException
 import linemast.store.Entry
 
-/** An intent as the store holds it in a slot. */
+/** An intent with the slot that holds it and the revision of that slot. */
 data class StoredIntent(val slot: Int, val intent: Intent, val revision: Long)
 
 /**
- * The intents in the store's slots, as this controller knows them; pure, and immutable: each change gives a new log.
+ * The intents in the store's slots, as this controller knows them. Immutable: each change returns a new log.
  *
- * A slot is free while it is empty, and again once its intent has ended; the one that ended longest ago is used first, so
- * that the slots hold the latest actions, for operators to read. A slot whose content cannot be read is left alone.
+ * A slot is free while it is empty, and again once its intent is closed. The oldest closed intent is overwritten first, so that
+ * the slots hold the latest actions, for operators to read. A slot whose content cannot be read is never used.
  */
 class IntentLog private constructor(
     private val slotCount: Int,
     private val stored: PersistentMap<Int, StoredIntent>,
-    /** Slots that a write under way is about to fill. */
+    /** Slots that a write in progress is about to overwrite. */
     private val reserved: PersistentSet<Int>,
-    /** Slots that hold something else. */
+    /** Slots whose content is no intent. */
     val unreadable: PersistentSet<Int>,
 ) {
-    /** All intents by their id. */
+    /** All intents in the order of their ids. */
     val intents: List<StoredIntent> get() = stored.values.sortedBy { it.intent.id }
 
-    /** Intents that have not ended, by their id. */
+    /** Open intents in the order of their ids. */
     val open: List<StoredIntent> get() = intents.filter { !it.intent.state.isTerminal }
 
-    /** What [slot] holds; null if it is empty. */
+    /** The intent in [slot]; null if it is empty. */
     operator fun get(slot: Int): StoredIntent? = stored[slot]
 
-    /** The version that a write of [slot] has to build on. */
-    fun revisionOf(slot: Int): Long = stored[slot]?.revision ?: 0L
+    /** The revision that a write of [slot] depends on. */
+    fun revisionOf(slot: Int): Long = stored[slot]?.revision ?: ABSENT_REVISION
 
-    /** A slot for a new intent; null while none is free. */
+    /** A slot for a new intent; null if none is free. */
     fun freeSlot(): Int? {
         val usable = (0 until slotCount).filter { it !in reserved && it !in unreadable }
         val empty = usable.firstOrNull { it !in stored }
         return empty ?: usable.filter { stored.getValue(it).intent.state.isTerminal }.minByOrNull { stored.getValue(it).intent.id }
     }
 
-    /** Keeps [slot] for a write under way. */
+    /** Reserves [slot] for a write. */
     fun reserve(slot: Int): IntentLog = copy(reserved = reserved.add(slot))
 
-    /** A write of [slot] will not be made after all. */
+    /** Drops the reservation of [slot]. */
     fun release(slot: Int): IntentLog = copy(reserved = reserved.remove(slot))
 
-    /** The store holds [entry]. */
+    /** Takes [entry] as what the store holds in its slot, which ends the reservation. */
     fun put(entry: StoredIntent): IntentLog = copy(stored = stored.put(entry.slot, entry), reserved = reserved.remove(entry.slot))
 
-    /** Takes the store's [entries] in place of all it knew; what is reserved stays so. */
+    /** Replaces all intents by the store's [entries]; reservations stay. */
     fun reload(entries: List<Entry>): IntentLog {
         var read = persistentMapOf<Int, StoredIntent>()
         var unreadable = persistentHashSetOf<Int>()
@@ -70,8 +70,12 @@
     private fun copy(stored: PersistentMap<Int, StoredIntent> = this.stored, reserved: PersistentSet<Int> = this.reserved) =
         IntentLog(slotCount, stored, reserved, unreadable)
 
+    /** Creation of logs. */
     companion object {
-        /** A log without any intent. */
+        /** The revision that stands for an empty slot in preconditions. */
+        private const val ABSENT_REVISION = 0L
+
+        /** A log of [slotCount] empty slots. */
         fun empty(slotCount: Int) = IntentLog(slotCount, persistentMapOf(), persistentHashSetOf(), persistentHashSetOf())
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -10,10 +10,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Carries out open intents at the cloud, this term's own ones and inherited ones alike, and has their ends stored.
+ * Carries out open intents at the cloud, of this term and of previous leaders alike, and has their final states stored.
  *
- * A call leaves only while the authority lasts. A process that stands still between that check and the call may still
- * send it late: by then the intent has been committed, and the next leader acts on it too.
+ * A call is made only while the leader's lease is valid. A process that is suspended between that check and the call may
+ * still make it late: by then the intent has been committed, and the next leader accounts for it.
  */
 internal class IntentRunner(
     private val cloud: Cloud,
@@ -25,11 +25,11 @@
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
-    /** Repeats the rental until the cloud has answered or it is too old; [ScaleOutResult.Unknown] in the latter case. */
-    suspend fun scaleOut(open: StoredIntent, rental: CloudAction.ScaleOut): ScaleOutResult {
-        while (isYoung(open.intent)) {
-            awaitAuthority()
-            when (val result = tryScaleOut(rental)) {
+    /** Repeats the request until the cloud has answered or the intent is too old; [ScaleOutResult.Unknown] in the latter case. */
+    suspend fun scaleOut(open: StoredIntent, action: CloudAction.ScaleOut): ScaleOutResult {
+        while (mayRetry(open.intent)) {
+            awaitValidLease()
+            when (val result = tryScaleOut(action)) {
                 is ScaleOutResult.Granted -> {
                     writer.close(open, IntentState.CARRIED_OUT, result.names.size)
                     return result
@@ -41,51 +41,51 @@
                 ScaleOutResult.Unknown -> delay(RETRY_MILLIS)
             }
         }
-        logger.info("rental {} is abandoned: no answer", rental.request.requestId)
+        logger.info("scale-out {} is abandoned: no answer", action.request.requestId)
         writer.close(open, IntentState.ABANDONED, 0)
         return ScaleOutResult.Unknown
     }
 
-    private fun isYoung(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryMicros
+    private fun mayRetry(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryMicros
 
     /** A request that the cloud takes to be malformed will never be carried out. */
-    private suspend fun tryScaleOut(rental: CloudAction.ScaleOut): ScaleOutResult = try {
-        cloud.scaleOut(rental.request)
+    private suspend fun tryScaleOut(action: CloudAction.ScaleOut): ScaleOutResult = try {
+        cloud.scaleOut(action.request)
     } catch (e: CloudException) {
-        logger.error("rental {}: {}", rental.request.requestId, e.message)
+        logger.error("scale-out {}: {}", action.request.requestId, e.message)
         ScaleOutResult.NoCapacity
     }
 
-    /** Repeats the return of [names] until the cloud has confirmed it. */
+    /** Repeats the scale-in of [names] until the cloud has confirmed it. */
     suspend fun scaleIn(names: List<String>) {
         var pauseMillis = RETRY_MILLIS
         while (true) {
-            awaitAuthority()
+            awaitValidLease()
             try {
                 return cloud.scaleIn(names)
             } catch (e: CloudException) {
-                logger.info("return of {}: {}", names, e.message)
+                logger.info("scale-in of {}: {}", names, e.message)
             }
             delay(pauseMillis)
             pauseMillis = minOf(pauseMillis * 2, MAX_PAUSE_MILLIS)
         }
     }
 
-    /** Has the end of a return stored. */
-    suspend fun closeReturn(open: StoredIntent, machineCount: Int) = writer.close(open, IntentState.CARRIED_OUT, machineCount)
+    /** Has it stored that the scale-in of [machineCount] machines is confirmed. */
+    suspend fun closeScaleIn(open: StoredIntent, machineCount: Int) = writer.close(open, IntentState.CARRIED_OUT, machineCount)
 
-    private suspend fun awaitAuthority() {
+    private suspend fun awaitValidLease() {
         while (!leaderLease.mayIssueCommands(clock.nowMicros())) {
             if (leaderLease.ended) throw LeadershipLostException(leaderLease.fencingToken)
-            delay(AUTHORITY_MILLIS)
+            delay(LEASE_POLL_MILLIS)
         }
     }
 
     private companion object {
         const val RETRY_MILLIS = SECOND_MICROS / 1_000
 
-        /** Returns that pile up in an outage of the cloud must not use up the calls that it takes afterwards. */
+        /** Scale-ins that pile up in an outage of the cloud must not use up the calls that it takes afterwards. */
         const val MAX_PAUSE_MILLIS = 16 * RETRY_MILLIS
-        const val AUTHORITY_MILLIS = 100L
+        const val LEASE_POLL_MILLIS = 100L
     }
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/duties/IntentSlots.kt
@@ -0,0 +1,43 @@
+package linemast.duties
+
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.listAll
+import org.slf4j.LoggerFactory
+
+/** The slots of the intent log as this leader has read and written them, with a reservation for each write in progress. */
+internal class IntentSlots(private val store: KeyValueStore, slotCount: Int) {
+    private val logger = LoggerFactory.getLogger(IntentSlots::class.java)
+
+    /** The log as of the latest read or confirmed write. */
+    var log = IntentLog.empty(slotCount)
+        private set
+
+    /** Reads all slots; throws a `StoreException` without an answer. */
+    suspend fun load() {
+        log = log.reload(store.listAll(IntentCodec.PREFIX).entries)
+        if (log.unreadable.isNotEmpty()) logger.error("slots {} hold no intent and are left alone", log.unreadable)
+    }
+
+    /** Reserves a slot for a new intent; null if none is free. */
+    fun reserve(): Int? {
+        val slot = log.freeSlot() ?: return null
+        log = log.reserve(slot)
+        return slot
+    }
+
+    /** Gives up the reservation of [slot]. */
+    fun release(slot: Int) {
+        log = log.release(slot)
+    }
+
+    /** The precondition that [slot] still holds what it held when it was last read or written. */
+    fun unchanged(slot: Int) = Precondition(IntentCodec.key(slot), log.revisionOf(slot))
+
+    /** Notes that the store holds [write] since [revision], and tells whoever waits for it. */
+    fun committed(write: IntentWrite, revision: Long) {
+        val stored = StoredIntent(write.slot, write.intent, revision)
+        log = log.put(stored)
+        if (write is IntentWrite.Open) write.committed.complete(stored)
+    }
+}
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -3,30 +3,20 @@
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.channels.Channel
 import kotlinx.coroutines.delay
-import linemast.cloud.CloudException
 import linemast.leadership.LeaderLease
 import linemast.store.CommitResult
 import linemast.store.KeyValueStore
-import linemast.store.Precondition
 import linemast.store.RequestPriority
 import linemast.store.TransactionBatcher
-import linemast.store.Write
-import linemast.store.listAll
 import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 
-/** This controller does not hold the duties any more: whatever it wanted to do is for the next holder to decide. */
-class LeadershipLostException(fencingToken: Long) : CloudException.NotPermitted("the term with fencing token $fencingToken has ended")
-
-/** As many intents are open as there are slots: nothing new can be begun until one of them has ended. */
-class IntentLogFullException : CloudException.NotPermitted("all slots hold open intents")
-
 /**
- * Writes intents, and their ends, to the store: one transaction at a time, which takes all that wait.
+ * Writes intents to the store by group commit: one transaction at a time, with all writes that are waiting.
  *
- * Every transaction depends on the leader's fence and on the versions of the slots that it replaces. A transaction
- * without an answer is sent again with the same conditions, so that at most one of its copies is carried out; none is,
- * however late it arrives, once another controller leads.
+ * Every transaction depends on the leader's fence and on the revisions of the slots that it overwrites. One without an
+ * answer is repeated under the same preconditions, so that at most one copy of it is carried out; and none is, however
+ * late it arrives, once another controller leads.
  */
 internal class IntentWriter(
     private val store: KeyValueStore,
@@ -35,69 +25,57 @@
     maxTransactionWrites: Int,
     private val wallMicros: () -> Long,
 ) {
-    private sealed interface Request {
-        val intent: Intent
-        val slot: Int
-
-        /** Answered once the store holds the intent. */
-        class Begin(override val intent: Intent, override val slot: Int, val stored: CompletableDeferred<StoredIntent>) : Request
-
-        class Close(override val intent: Intent, override val slot: Int) : Request
-    }
-
     private val logger = LoggerFactory.getLogger(IntentWriter::class.java)
-    private val batches = TransactionBatcher(maxTransactionWrites)
+    private val batcher = TransactionBatcher(maxTransactionWrites)
+    private val slots = IntentSlots(store, slotCount)
+    private val conflicts = IntentConflictResolver(slots, RETRY_MILLIS)
 
-    /** A slot has at most one request waiting, and no request is without a slot: the slots bound the queue. */
-    private val requests = Channel<Request>(slotCount)
+    /** Each slot has at most one write waiting, and each write a slot: the number of slots bounds the queue. */
+    private val queue = Channel<IntentWrite>(slotCount)
     private var lastNumber = 0L
 
-    /** What the store holds, as far as this controller has read or written it. */
-    var log = IntentLog.empty(slotCount)
-        private set
+    /** The intents in the store, as far as this controller has read or written them. */
+    val log: IntentLog get() = slots.log
 
-    /** Reads all slots. Late writes of earlier leaders can change none of them any more, since this term has begun. */
-    suspend fun load() {
-        log = log.reload(store.listAll(IntentCodec.PREFIX).entries)
-        if (log.unreadable.isNotEmpty()) logger.error("slots {} hold no intent and are left alone", log.unreadable)
-    }
+    /** Reads all slots. Late writes of previous leaders cannot change them any more, since this term has begun. */
+    suspend fun load() = slots.load()
 
-    /** Commits that [action] is to be done, and returns once the store holds it. */
-    suspend fun begin(action: CloudAction): StoredIntent {
-        val slot = log.freeSlot() ?: throw IntentLogFullException()
-        log = log.reserve(slot)
+    /** Commits the intent to carry out [action]; returns once the store holds it. */
+    suspend fun open(action: CloudAction): StoredIntent {
+        val slot = slots.reserve() ?: throw IntentLogFullException()
         val intent = Intent(IntentId(leaderLease.fencingToken, ++lastNumber), action, wallMicros())
-        val stored = CompletableDeferred<StoredIntent>()
-        requests.send(Request.Begin(intent, slot, stored))
-        return stored.await()
+        val committed = CompletableDeferred<StoredIntent>()
+        queue.send(IntentWrite.Open(intent, slot, committed))
+        return committed.await()
     }
 
-    /** Has the end of an intent stored, soon. If this term ends before that, the next leader repeats the action, which does no more. */
+    /**
+     * Has the final state of an intent written soon, without waiting for it. If this term ends before that, the next leader
+     * repeats the action, which has no further effect.
+     */
     suspend fun close(open: StoredIntent, state: IntentState, machineCount: Int) {
-        requests.send(Request.Close(open.intent.closed(state, machineCount, leaderLease.fencingToken), open.slot))
+        queue.send(IntentWrite.Close(open.intent.closed(state, machineCount, leaderLease.fencingToken), open.slot))
     }
 
-    /** Writes what is asked for until the term ends or it is cancelled. */
+    /** Writes what is queued until the term ends or it is cancelled. */
     suspend fun run() {
-        for (first in requests) {
+        for (first in queue) {
             val waiting = arrayListOf(first)
-            while (true) waiting += requests.tryReceive().getOrNull() ?: break
-            for (batch in batches.pack(waiting, ::writeOf)) {
+            while (true) waiting += queue.tryReceive().getOrNull() ?: break
+            for (batch in batcher.pack(waiting, IntentWrite::toStoreWrite)) {
                 if (!write(batch)) return abandon(waiting)
             }
         }
     }
 
-    private fun writeOf(request: Request): Write = Write.Put(IntentCodec.key(request.slot), IntentCodec.encode(request.intent))
-
-    /** False when the term has ended. */
-    private suspend fun write(batch: List<Request>): Boolean {
-        var left = batch
-        while (left.isNotEmpty()) {
+    /** Writes [batch] completely; false if the term has ended before that. */
+    private suspend fun write(batch: List<IntentWrite>): Boolean {
+        var remaining = batch
+        while (remaining.isNotEmpty()) {
             if (leaderLease.ended) return false
-            when (val result = commit(left)) {
+            when (val result = commit(remaining)) {
                 is CommitResult.Applied -> {
-                    left.forEach { stored(it, result.revision) }
+                    remaining.forEach { slots.committed(it, result.revision) }
                     return true
                 }
                 is CommitResult.Conflict -> {
@@ -105,7 +83,7 @@
                         leaderLease.end()
                         return false
                     }
-                    left = notYetStored(left)
+                    remaining = conflicts.remaining(remaining)
                 }
                 is CommitResult.NoSuchLease, null -> delay(RETRY_MILLIS)
             }
@@ -113,54 +91,18 @@
         return true
     }
 
-    private suspend fun commit(requests: List<Request>): CommitResult? {
-        val slots = requests.map { it.slot }
-        val preconditions = slots.map { Precondition(IntentCodec.key(it), log.revisionOf(it)) }
-        return storeResultOrNull(logger) {
-            store.commit(listOf(leaderLease.fence) + preconditions, requests.map(::writeOf), RequestPriority.HIGH)
-        }
-    }
-
-    /** A slot is not as it was taken to be: most likely an earlier copy of the same transaction was carried out. */
-    private suspend fun notYetStored(batch: List<Request>): List<Request> {
-        if (storeResultOrNull(logger) { load() } == null) {
-            delay(RETRY_MILLIS)
-            return batch
-        }
-        return batch.mapNotNull { request ->
-            val found = log[request.slot]
-            when {
-                found?.intent == request.intent -> null.also { stored(request, found.revision) }
-                request is Request.Begin -> elsewhere(request)
-                // The slot holds another intent, so that this one has long ended.
-                else -> request.takeIf { found?.intent?.id == request.intent.id }
-            }
-        }
-    }
-
-    /** The same request with a slot that is free. */
-    private fun elsewhere(request: Request.Begin): Request? {
-        log = log.release(request.slot)
-        val slot = log.freeSlot()
-        if (slot == null) {
-            request.stored.completeExceptionally(IntentLogFullException())
-            return null
-        }
-        log = log.reserve(slot)
-        return Request.Begin(request.intent, slot, request.stored)
-    }
-
-    private fun stored(request: Request, revision: Long) {
-        val entry = StoredIntent(request.slot, request.intent, revision)
-        log = log.put(entry)
-        if (request is Request.Begin) request.stored.complete(entry)
+    /** Null without an answer of the store. */
+    private suspend fun commit(writes: List<IntentWrite>): CommitResult? {
+        val preconditions = listOf(leaderLease.fence) + writes.map { slots.unchanged(it.slot) }
+        return storeResultOrNull(logger) { store.commit(preconditions, writes.map(IntentWrite::toStoreWrite), RequestPriority.HIGH) }
     }
 
-    private fun abandon(waiting: List<Request>) {
+    /** The term has ended: fails all that still wait, and whatever is queued later. */
+    private fun abandon(waiting: List<IntentWrite>) {
         val lost = LeadershipLostException(leaderLease.fencingToken)
-        requests.close(lost)
-        val unanswered = waiting + generateSequence { requests.tryReceive().getOrNull() }
-        unanswered.filterIsInstance<Request.Begin>().forEach { it.stored.completeExceptionally(lost) }
+        queue.close(lost)
+        val unwritten = waiting + generateSequence { queue.tryReceive().getOrNull() }
+        unwritten.filterIsInstance<IntentWrite.Open>().forEach { it.committed.completeExceptionally(lost) }
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
+++ b/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
@@ -9,7 +9,7 @@
 import linemast.cloud.ScaleOutResult
 import org.slf4j.LoggerFactory
 
-/** What a new leader's state has to know of the intents that it inherits. Called on the coroutine that owns that state. */
+/** What the leader's state learns while pending intents are resolved. Called on the coroutine that owns that state. */
 internal interface IntentResolutionEffects {
     /** Whether no task can be on the machine. */
     fun isFree(machineName: String): Boolean
@@ -17,60 +17,71 @@
     /** The cloud has confirmed that the machines are gone. */
     fun scaleInConfirmed(names: List<String>)
 
-    /** What became of a rental that an earlier leader asked for. */
+    /** The outcome of a previous leader's request is known, or will never be. */
     fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult)
 }
 
-/** Carries out what earlier leaders committed and did not end. */
+/** Carries out the intents that previous leaders committed and did not close. */
 internal class PendingIntentResolver(
-    private val holder: WriteAheadCloudActionExecutor,
+    private val executor: WriteAheadCloudActionExecutor,
     private val effects: IntentResolutionEffects,
     private val onLeaderLoop: suspend (() -> Unit) -> Unit,
 ) {
     private val logger = LoggerFactory.getLogger(PendingIntentResolver::class.java)
-    private val inherited = holder.inherited
-    private val scaleIns = PendingScaleIns(inherited)
+    private val pending = executor.openIntentsOfPreviousLeaders
+    private val scaleIns = PendingScaleIns(pending)
 
-    /** Machines whose return may be carried out at any moment. */
+    /** Machines whose scale-in may take effect at any moment. */
     val machinesScalingIn: Set<String> get() = scaleIns.names
 
-    /** Rentals that may be carried out at any moment. */
-    val scaleOuts: List<ScaleOutRequest> get() = inherited.mapNotNull { (it.intent.action as? CloudAction.ScaleOut)?.request }
+    /** Scale-out requests that may take effect at any moment. */
+    val scaleOuts: List<ScaleOutRequest> get() = pending.mapNotNull { (it.intent.action as? CloudAction.ScaleOut)?.request }
 
-    /** Begins the work in [scope]; it ends by itself. */
+    /** Starts the work in [scope]; it ends when all intents are closed or the leadership is lost. */
     fun start(scope: CoroutineScope) {
-        if (inherited.isEmpty()) return
-        logger.info("inherited {} open actions: {}", inherited.size, inherited.map { "${it.intent.action.duty.stored} ${it.intent.id}" })
-        for (stored in inherited) {
-            val rental = stored.intent.action as? CloudAction.ScaleOut ?: continue
-            scope.launch { adopt(stored, rental) }
+        if (pending.isEmpty()) return
+        logger.info(
+            "{} open actions of previous leaders: {}",
+            pending.size,
+            pending.map {
+                "${it.intent.action.duty.stored} ${it.intent.id}"
+            },
+        )
+        for (stored in pending) {
+            val action = stored.intent.action as? CloudAction.ScaleOut ?: continue
+            scope.launch { resolve(stored, action) }
         }
-        scope.launch { finishReturns() }
+        scope.launch { resolveScaleIns() }
     }
 
-    /** Asks under the same id: the answer says what was rented, whoever asked first. */
-    private suspend fun adopt(stored: StoredIntent, rental: CloudAction.ScaleOut) = untilLeadershipLost {
-        val result = holder.runner.scaleOut(stored, rental)
-        onLeaderLoop { effects.scaleOutFinished(rental.request, result) }
+    /** Repeats the request under its own id: the answer names the granted machines, whoever asked first. */
+    private suspend fun resolve(stored: StoredIntent, action: CloudAction.ScaleOut) = untilLeadershipLost {
+        val result = executor.runner.scaleOut(stored, action)
+        onLeaderLoop { effects.scaleOutFinished(action.request, result) }
     }
 
-    private suspend fun finishReturns() = untilLeadershipLost {
-        while (!scaleIns.isOver) {
-            val free = CompletableDeferred<List<String>>()
-            onLeaderLoop { free.complete(scaleIns.next(MAX_MACHINES_PER_SCALE_IN_CALL, effects::isFree)) }
-            val names = free.await()
-            if (names.isEmpty()) delay(LOOK_MILLIS) else finish(names)
+    private suspend fun resolveScaleIns() = untilLeadershipLost {
+        while (!scaleIns.isEmpty) {
+            val names = nextFreeMachines()
+            if (names.isEmpty()) delay(POLL_MILLIS) else scaleIn(names)
         }
     }
 
-    private suspend fun finish(names: List<String>) {
-        holder.runner.scaleIn(names)
+    private suspend fun nextFreeMachines(): List<String> {
+        val free = CompletableDeferred<List<String>>()
+        onLeaderLoop { free.complete(scaleIns.startNext(MAX_MACHINES_PER_SCALE_IN_CALL, effects::isFree)) }
+        return free.await()
+    }
+
+    private suspend fun scaleIn(names: List<String>) {
+        executor.runner.scaleIn(names)
         onLeaderLoop { effects.scaleInConfirmed(names) }
-        for (over in scaleIns.confirmed(names)) {
-            holder.runner.closeReturn(over, (over.intent.action as CloudAction.ScaleIn).names.size)
+        for (completed in scaleIns.confirm(names)) {
+            executor.runner.closeScaleIn(completed.stored, completed.action.names.size)
         }
     }
 
+    /** The next leader resolves whatever is left. */
     private suspend fun untilLeadershipLost(action: suspend () -> Unit) {
         try {
             action()
@@ -80,6 +91,6 @@
     }
 
     private companion object {
-        const val LOOK_MILLIS = 500L
+        const val POLL_MILLIS = 500L
     }
 }
--- a/src/main/kotlin/linemast/duties/PendingScaleIns.kt
+++ b/src/main/kotlin/linemast/duties/PendingScaleIns.kt
@@ -1,37 +1,43 @@
 package linemast.duties
 
 /**
- * Returns that an earlier leader committed and whose end is not stored; pure.
+ * Scale-ins that previous leaders committed and did not close. Makes no calls and is not thread-safe.
  *
- * The cloud may have carried them out, may do so at any moment, or may never have been asked. So their machines get no
- * new work, and are given back as soon as no work is on them.
+ * The cloud may have carried them out, may do so at any moment, or may never have been asked. Their machines therefore get
+ * no new tasks, and are removed as soon as no task is on them.
  */
-class PendingScaleIns(inherited: List<StoredIntent>) {
-    private class Pending(val stored: StoredIntent, val names: LinkedHashSet<String>)
+class PendingScaleIns(openIntents: List<StoredIntent>) {
+    /** A scale-in intent with its action. */
+    class ScaleInIntent(val stored: StoredIntent, val action: CloudAction.ScaleIn) {
+        internal val unconfirmed = LinkedHashSet(action.names)
+    }
 
-    private val pending = inherited.mapNotNull { stored ->
-        (stored.intent.action as? CloudAction.ScaleIn)?.let { Pending(stored, LinkedHashSet(it.names)) }
+    private val pending = openIntents.mapNotNull { stored ->
+        (stored.intent.action as? CloudAction.ScaleIn)?.let { ScaleInIntent(stored, it) }
     }.toMutableList()
-    private val underWay = HashSet<String>()
 
-    /** Machines that are not given back yet. */
-    val names: Set<String> get() = pending.flatMapTo(LinkedHashSet()) { it.names }
+    /** Machines whose removal has been started and not confirmed. */
+    private val inProgress = HashSet<String>()
+
+    /** Machines whose removal is not confirmed. */
+    val names: Set<String> get() = pending.flatMapTo(LinkedHashSet()) { it.unconfirmed }
 
-    val isOver: Boolean get() = pending.isEmpty()
+    /** Whether all removals are confirmed. */
+    val isEmpty: Boolean get() = pending.isEmpty()
 
-    /** Machines to be given back now, at most [most]: those of which [isFree] says that no work is on them. */
-    fun next(most: Int, isFree: (String) -> Boolean): List<String> {
-        val free = names.filter { it !in underWay && isFree(it) }.take(most)
-        underWay += free
+    /** Starts the removal of at most [maxCount] machines of which [isFree] says that no task is on them; their names. */
+    fun startNext(maxCount: Int, isFree: (String) -> Boolean): List<String> {
+        val free = names.filter { it !in inProgress && isFree(it) }.take(maxCount)
+        inProgress += free
         return free
     }
 
-    /** The cloud has confirmed the return of [names]; the intents that have ended by that. */
-    fun confirmed(names: List<String>): List<StoredIntent> {
-        underWay -= names.toSet()
-        for (entry in pending) entry.names -= names.toSet()
-        val over = pending.filter { it.names.isEmpty() }
-        pending -= over.toSet()
-        return over.map { it.stored }
+    /** The cloud has confirmed the removal of [names]; returns the intents that are completed by that. */
+    fun confirm(names: List<String>): List<ScaleInIntent> {
+        inProgress -= names.toSet()
+        for (intent in pending) intent.unconfirmed -= names.toSet()
+        val completed = pending.filter { it.unconfirmed.isEmpty() }
+        pending -= completed.toSet()
+        return completed
     }
 }
--- a/src/main/kotlin/linemast/duties/ScaleInDuty.kt
+++ b/src/main/kotlin/linemast/duties/ScaleInDuty.kt
@@ -3,10 +3,15 @@
 import linemast.cloud.ScaleInReason
 import linemast.settings.Duty
 
-/** The duty that giving a machine back for this reason belongs to. */
+/** The duty under which a machine is removed for this reason. */
 internal val ScaleInReason.duty: Duty
     get() = when (this) {
         ScaleInReason.IDLE, ScaleInReason.BASELINE_IDLE -> Duty.SCALE_IN
         ScaleInReason.FAILED, ScaleInReason.NEVER_STARTED, ScaleInReason.PREEMPTED_WITHOUT_NOTICE -> Duty.CLEAN_UP
-        ScaleInReason.QUARANTINED, ScaleInReason.PREEMPTED, ScaleInReason.MISSING_HEARTBEAT, ScaleInReason.UNREACHABLE, ScaleInReason.MISSING_AFTER_FAILOVER -> Duty.RECLAIM
+        ScaleInReason.QUARANTINED,
+        ScaleInReason.PREEMPTED,
+        ScaleInReason.MISSING_HEARTBEAT,
+        ScaleInReason.UNREACHABLE,
+        ScaleInReason.MISSING_AFTER_FAILOVER,
+        -> Duty.RECLAIM
     }
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -16,11 +16,11 @@
 import linemast.time.Clock
 
 /**
- * The single-holder duties during one term of leading: renting, returning, reclaiming and cleaning up machines.
+ * Carries out cloud actions of one term, each of them logged ahead as an intent.
  *
- * Nothing is asked of the cloud before the store holds the intent to do so, committed under this term's fence. So a
- * controller that has been replaced can begin nothing, whatever its clock says, and a call of it that comes late does
- * only what its successor has read in the store and takes as done.
+ * Nothing is asked of the cloud before the store holds the intent, committed under this term's fence. So a controller that
+ * has been replaced can begin nothing, whatever its clock says; and a call of it that arrives late has no other effect than
+ * what its successor has read in the store and accounts for.
  */
 internal class WriteAheadCloudActionExecutor(
     private val settings: DutySettings,
@@ -33,13 +33,14 @@
 ) : CloudActionExecutor {
     private val writer = IntentWriter(store, leaderLease, settings.slots, limits.maxTxnOps, wallMicros)
 
-    /** Carries out what this term, or an earlier one, has committed. */
+    /** Carries out what this term, or a previous one, has committed. */
     val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.scaleOutRetryMicros)
 
-    /** Intents of earlier terms that have not ended, as [load] has read them. */
-    val inherited: List<StoredIntent> get() = writer.log.open.filter { it.intent.id.fencingToken < leaderLease.fencingToken }
+    /** Open intents of previous terms, as [load] has read them. */
+    val openIntentsOfPreviousLeaders: List<StoredIntent>
+        get() = writer.log.open.filter { it.intent.id.fencingToken < leaderLease.fencingToken }
 
-    /** Reads the intents in the store. To be done before the first decision of the term. */
+    /** Reads the intents in the store; has to complete before the first decision of the term. */
     suspend fun load() = writer.load()
 
     /** Writes intents until the term ends or it is cancelled. */
@@ -47,37 +48,38 @@
 
     override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
         if (Duty.SCALE_OUT in settings.suspended) return ScaleOutResult.NoCapacity
-        val rental = CloudAction.ScaleOut(request)
+        val action = CloudAction.ScaleOut(request)
         val result = try {
-            runner.scaleOut(writer.begin(rental), rental)
+            runner.scaleOut(writer.open(action), action)
         } catch (e: LeadershipLostException) {
-            // It is for the next holder to carry on with.
+            // The next leader carries on with it.
             return ScaleOutResult.Unknown
         }
         if (result == ScaleOutResult.Unknown) throw CloudException.NoAnswer("no answer to scale-out ${request.requestId}")
         return result
     }
 
-    override fun split(batch: ScaleInBatch): List<ScaleInBatch> = batch.entries.groupBy { it.value.duty }.flatMap { (duty, group) ->
+    override fun split(batch: ScaleInBatch): List<ScaleInBatch> = batch.entries.groupBy { it.value.duty }.flatMap { (duty, machines) ->
         if (duty in settings.suspended) return@flatMap emptyList()
-        group.chunked(maxMachinesPerIntent(group.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
+        machines.chunked(maxMachinesPerIntent(machines.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
     }
 
+    /** All machines of [batch] belong to the same duty, as [split] sees to. */
     override suspend fun scaleIn(batch: ScaleInBatch) {
         val names = batch.keys.toList()
-        val open = writer.begin(CloudAction.ScaleIn(names, batch.values.first().duty))
+        val open = writer.open(CloudAction.ScaleIn(names, batch.values.first().duty))
         runner.scaleIn(names)
-        runner.closeReturn(open, names.size)
+        runner.closeScaleIn(open, names.size)
     }
 
-    /** As many names as fit the value of an intent, whatever else it holds. */
+    /** As many names as fit the stored value of an intent and one call to the cloud. */
     private fun maxMachinesPerIntent(names: List<String>): Int {
         val longest = names.maxOf { Cbor.jsonSize(it) + 1 }
-        return ((limits.maxValueBytes - FRAME_BYTES) / longest).coerceIn(1, MAX_MACHINES_PER_SCALE_IN_CALL)
+        return ((limits.maxValueBytes - INTENT_OVERHEAD_BYTES) / longest).coerceIn(1, MAX_MACHINES_PER_SCALE_IN_CALL)
     }
 
     private companion object {
         /** The other fields of a stored intent. */
-        const val FRAME_BYTES = 300
+        const val INTENT_OVERHEAD_BYTES = 300
     }
 }
--- a/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -3,29 +3,32 @@
 import linemast.simulation.SimOrder
 import linemast.simulation.SimWorld
 
-/** What is wrong with an order that the cloud carried out. */
+/** What is wrong with an action that the cloud carried out. */
 enum class CloudActionFault {
-    /** No intent for it was committed before it. */
+    /** No intent for it had been committed before. */
     NO_INTENT,
 
-    /** Its intent was committed by a controller that did not lead then. */
+    /** Its intent was committed by a controller that was not the leader then. */
     STALE_INTENT,
 
-    /** It ended work that was started after its intent was committed. */
-    INTERRUPTED_WORK,
+    /** It interrupted tasks that were started after its intent was committed. */
+    INTERRUPTED_TASKS,
 }
 
-/** Checks each order that the stand-in of the cloud has carried out against the history of the stand-in of the store. */
+/** An action with a fault. */
+data class FaultyCloudAction(val order: SimOrder, val fault: CloudActionFault)
+
+/** Checks each action that the simulated cloud has carried out against the history of the simulated store. */
 class CloudActionHistoryAudit(private val world: SimWorld) {
     private class Decision(val intent: Intent, val revision: Long, val leaderToken: Long?)
 
     private val decisions = decisions()
 
-    /** Orders with a fault. */
-    fun faults(): List<Pair<SimOrder, CloudActionFault>> = world.cloud.orders.mapNotNull { order -> faultOf(order)?.let { order to it } }
+    /** Actions with a fault. */
+    fun faults(): List<FaultyCloudAction> = world.cloud.orders.mapNotNull { order -> faultOf(order)?.let { FaultyCloudAction(order, it) } }
 
-    /** Orders that were carried out after the term that had decided them was over: late, and allowed. */
-    fun lateOrders(): Int = world.cloud.orders.count { order ->
+    /** Number of actions that were carried out after the term that decided them had ended, which is permitted. */
+    fun lateActions(): Int = world.cloud.orders.count { order ->
         val decided = decisionsOf(order).firstOrNull { it.revision <= order.revision } ?: return@count false
         leaderAt(order.revision) != decided.intent.id.fencingToken
     }
@@ -36,7 +39,7 @@
         if (intent.state.isTerminal) null else Decision(intent, change.revision, leaderAt(change.revision))
     }
 
-    /** Fencing token of the leader by the store's [revision]; null while there is none. */
+    /** Fencing token of the leader as of the store's [revision]; null if there was none. */
     private fun leaderAt(revision: Long): Long? =
         world.store.history.lastOrNull { it.key == "leader" && it.revision <= revision }?.value?.long("helm")
 
@@ -53,7 +56,7 @@
         return when {
             earlier.isEmpty() || !covered.containsAll(order.returned) -> CloudActionFault.NO_INTENT
             earlier.any { it.intent.id.fencingToken != it.leaderToken } -> CloudActionFault.STALE_INTENT
-            order.interrupted.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_WORK
+            order.interrupted.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_TASKS
             else -> null
         }
     }
--- a/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
@@ -33,7 +33,7 @@
 /** The stored form of intents and the settings file. */
 class IntentFormatsTest {
     @Test
-    fun `what is stored is read back as it was`() {
+    fun `an encoded intent decodes to an equal one`() {
         val random = Random(27)
         repeat(500) {
             val intent = generatedIntent(random)
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `what lacks a field, or has another form, is refused`() {
+    fun `a stored intent without a field, or with one of another type, is rejected`() {
         val random = Random(28)
         repeat(200) {
             val stored = IntentCodec.encode(generatedIntent(random))
@@ -54,13 +54,13 @@
     }
 
     @Test
-    fun `a key belongs to a slot only in the form in which it is written`() {
+    fun `only the canonical key of a slot is recognized`() {
         assertEquals(17, IntentCodec.slot(IntentCodec.key(17)))
         for (key in listOf("duty/", "duty/x", "duty/-1", "duty/017", "duty/1/2", "other/1")) assertNull(IntentCodec.slot(key), key)
     }
 
     @Test
-    fun `a slot that cannot be read is never used`() {
+    fun `a slot with unreadable content is never used`() {
         val log = IntentLog.empty(slotCount = 2).reload(listOf(Entry("duty/0", Fields(mapOf("state" to "odd")), 7)))
         assertEquals(setOf(0), log.unreadable)
         assertEquals(1, log.freeSlot())
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `settings are checked, and the file in deploy is fine`() {
+    fun `invalid settings are rejected, and the shipped file is valid`() {
         val shipped = DutySettings.read(Path.of("deploy/duties.toml"))
         assertEquals(listOf(128, 30_000_000L, emptySet<Duty>()), listOf(shipped.slots, shipped.scaleOutRetryMicros, shipped.suspended))
         assertEquals(setOf(Duty.SCALE_OUT, Duty.CLEAN_UP), read("suspended = [\"rent\", \"clean-up\"]").suspended)
@@ -84,8 +84,8 @@
         }
         val file = Files.createTempFile("duties", ".toml")
         Files.writeString(file, "[duty]\n")
-        val refusal = assertThrows(SettingsException::class.java) { DutySettings.read(file) }
-        assertTrue("duty: is not a setting" in refusal.message!!, refusal.message)
+        val error = assertThrows(SettingsException::class.java) { DutySettings.read(file) }
+        assertTrue("duty: is not a setting" in error.message!!, error.message)
         Files.delete(file)
     }
 
--- a/src/test/kotlin/linemast/duties/IntentLogTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentLogTest.kt
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The slots, and what is left of earlier terms, under generated histories. */
+/** The slots of the log, and scale-ins pending from previous terms, under generated histories. */
 class IntentLogTest {
     @Test
-    fun `no open intent is ever overwritten, and the one that ended longest ago gives way first`() {
+    fun `open intents are never overwritten, and the oldest closed one is overwritten first`() {
         val random = Random(29)
         repeat(50) {
             var log = IntentLog.empty(slotCount = 8)
@@ -28,15 +28,15 @@
                     assertTrue(log.freeSlot() != slot)
                     log = log.put(StoredIntent(slot, intent, ++revision))
                 }
-                val ends = log.open.randomOrNull(random)?.takeIf { random.nextInt(10) < 8 } ?: continue
-                log = log.put(StoredIntent(ends.slot, ends.intent.closed(IntentState.CARRIED_OUT, 1, 1), ++revision))
-                assertEquals(revision, log.revisionOf(ends.slot))
+                val closing = log.open.randomOrNull(random)?.takeIf { random.nextInt(10) < 8 } ?: continue
+                log = log.put(StoredIntent(closing.slot, closing.intent.closed(IntentState.CARRIED_OUT, 1, 1), ++revision))
+                assertEquals(revision, log.revisionOf(closing.slot))
             }
         }
     }
 
     @Test
-    fun `an earlier log is not changed by a later one`() {
+    fun `a change leaves the earlier log as it was`() {
         val first = IntentLog.empty(slotCount = 4)
         val second = first.put(StoredIntent(0, generatedIntent(Random(1)), 5))
         assertNull(first[0])
@@ -44,7 +44,7 @@
     }
 
     @Test
-    fun `inherited machines are given back one by one as they become free, and an intent ends with its last one`() {
+    fun `pending scale-ins start as machines become free, and an intent completes with its last machine`() {
         val random = Random(30)
         repeat(100) { round ->
             val intents = List(3) { at ->
@@ -52,22 +52,22 @@
                 StoredIntent(at, Intent(IntentId(1, at + 1L), CloudAction.ScaleIn(names, Duty.SCALE_IN), 0), 1)
             }
             val all = intents.flatMap { (it.intent.action as CloudAction.ScaleIn).names }
-            val returns = PendingScaleIns(intents)
-            val ended = ArrayList<StoredIntent>()
-            val returned = ArrayList<String>()
-            while (!returns.isOver) {
+            val scaleIns = PendingScaleIns(intents)
+            val completedIntents = ArrayList<StoredIntent>()
+            val scaledIn = ArrayList<String>()
+            while (!scaleIns.isEmpty) {
                 val busy = all.filterTo(HashSet()) { random.nextInt(3) == 0 }
-                val names = returns.next(random.nextInt(1, 4)) { it !in busy }
-                assertTrue(names.none { it in busy || it in returned }, "round $round")
-                assertTrue(returns.next(10) { it in names }.isEmpty(), "what is under way is not given back twice")
-                returned += names
-                for (over in returns.confirmed(names)) {
-                    assertTrue(returned.containsAll((over.intent.action as CloudAction.ScaleIn).names))
-                    ended += over
+                val names = scaleIns.startNext(random.nextInt(1, 4)) { it !in busy }
+                assertTrue(names.none { it in busy || it in scaledIn }, "round $round")
+                assertTrue(scaleIns.startNext(10) { it in names }.isEmpty(), "a scale-in in progress is not started twice")
+                scaledIn += names
+                for (completed in scaleIns.confirm(names)) {
+                    assertTrue(scaledIn.containsAll(completed.action.names))
+                    completedIntents += completed.stored
                 }
             }
-            assertEquals(intents.toSet(), ended.toSet())
-            assertEquals(all.toSet(), returned.toSet())
+            assertEquals(intents.toSet(), completedIntents.toSet())
+            assertEquals(all.toSet(), scaledIn.toSet())
         }
     }
 }
--- a/src/test/kotlin/linemast/duties/IntentWriterTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentWriterTest.kt
@@ -5,6 +5,7 @@
 import kotlinx.coroutines.awaitAll
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
 import linemast.leadership.LeaderKeys
@@ -24,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** Intents written to a store that loses answers, carries transactions out late and twice, and changes its leader. */
+/** Intents written to a store that loses answers, executes transactions late and twice, and changes its leader. */
 class IntentWriterTest {
     private fun TestScope.clock() = Clock { testScheduler.currentTime * 1_000 + 1 }
 
@@ -37,31 +38,33 @@
 
     private fun writer(store: KeyValueStore, leaderLease: LeaderLease, slots: Int = 32) = IntentWriter(store, leaderLease, slots, 5) { 0L }
 
-    /** A writer that leads with fencing token 1, running. */
-    private suspend fun TestScope.runningWriter(store: SimStore, slots: Int = 32): Pair<IntentWriter, LeaderLease> {
+    private data class RunningWriter(val writer: IntentWriter, val leaderLease: LeaderLease)
+
+    /** The running writer of a leader with fencing token 1. */
+    private suspend fun TestScope.runningWriter(store: SimStore, slots: Int = 32): RunningWriter {
         val leaderLease = lead(store.clientOf("mast-1"), 1)
         val writer = writer(store.clientOf("mast-1"), leaderLease, slots)
         writer.load()
         backgroundScope.launch { writer.run() }
-        return writer to leaderLease
+        return RunningWriter(writer, leaderLease)
     }
 
-    private fun returnOf(number: Int) = CloudAction.ScaleIn(listOf("host-$number"), Duty.SCALE_IN)
+    private fun scaleInOf(number: Int) = CloudAction.ScaleIn(listOf("host-$number"), Duty.SCALE_IN)
 
     private fun stored(store: SimStore) = store.keysUnder(IntentCodec.PREFIX).map { IntentCodec.decode(store.valueOf(it)!!) }
 
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `each intent is stored once, whatever becomes of answers`(seed: Int) = runTest {
+    fun `each intent is stored exactly once when answers get lost and transactions are repeated`(seed: Int) = runTest {
         val store = SimStore(backgroundScope, clock(), Random(seed))
-        val (writer, _) = runningWriter(store)
+        val writer = runningWriter(store).writer
         store.lostAnswers = 0.3
         store.repeats = 0.3
-        val begun = List(24) { number -> async { writer.begin(returnOf(number)) } }.awaitAll()
-        assertEquals(24, begun.map { it.slot }.toSet().size)
-        assertEquals(24, begun.map { it.intent.id }.toSet().size)
-        assertEquals(begun.map { it.intent }.toSet(), stored(store).toSet())
-        begun.forEach { writer.close(it, IntentState.CARRIED_OUT, 1) }
+        val opened = List(24) { number -> async { writer.open(scaleInOf(number)) } }.awaitAll()
+        assertEquals(24, opened.map { it.slot }.toSet().size)
+        assertEquals(24, opened.map { it.intent.id }.toSet().size)
+        assertEquals(opened.map { it.intent }.toSet(), stored(store).toSet())
+        opened.forEach { writer.close(it, IntentState.CARRIED_OUT, 1) }
         delay(120_000)
         assertTrue(stored(store).all { it.state == IntentState.CARRIED_OUT && it.closedByToken == 1L })
         assertEquals(24, stored(store).size)
@@ -69,37 +72,37 @@
 
     @ParameterizedTest
     @ValueSource(ints = [11, 12, 13, 14])
-    fun `a replaced holder writes nothing more, however late its transactions are carried out`(seed: Int) = runTest {
+    fun `a replaced leader writes nothing more, however late its transactions are executed`(seed: Int) = runTest {
         val store = SimStore(backgroundScope, clock(), Random(seed))
         val (writer, leaderLease) = runningWriter(store)
         store.lostAnswers = 0.7
         val waiting =
-            List(6) { number -> CoroutineScope(backgroundScope.coroutineContext).async { runCatching { writer.begin(returnOf(number)) } } }
+            List(6) { number -> CoroutineScope(backgroundScope.coroutineContext).async { runCatching { writer.open(scaleInOf(number)) } } }
         delay(3_000)
         store.lostAnswers = 0.0
         val next = lead(store.clientOf("mast-2"), 2)
         val successor = writer(store.clientOf("mast-2"), next)
         successor.load()
-        val atTakeOver = stored(store).toSet()
+        val atFailover = stored(store).toSet()
         val outcomes = waiting.awaitAll()
-        val refused = runCatching { writer.begin(returnOf(99)) }
+        val refused = runCatching { writer.open(scaleInOf(99)) }
         delay(120_000)
-        assertEquals(atTakeOver, stored(store).toSet(), "nothing was written after the take-over")
-        assertEquals(atTakeOver, successor.log.open.map { it.intent }.toSet(), "the successor has read all that was")
+        assertEquals(atFailover, stored(store).toSet(), "nothing was written after the failover")
+        assertEquals(atFailover, successor.log.open.map { it.intent }.toSet(), "the successor has read everything that was written")
         assertTrue(outcomes.all { it.isSuccess || it.exceptionOrNull() is LeadershipLostException })
-        assertTrue(outcomes.filter { it.isSuccess }.all { it.getOrThrow().intent in atTakeOver })
+        assertTrue(outcomes.filter { it.isSuccess }.all { it.getOrThrow().intent in atFailover })
         assertTrue(refused.exceptionOrNull() is LeadershipLostException, "$refused")
         assertTrue(leaderLease.ended)
     }
 
     @Test
-    fun `with all slots open nothing new is begun until one ends`() = runTest {
+    fun `with all slots open no intent is opened until one is closed`() = runTest {
         val store = SimStore(backgroundScope, clock(), Random(1))
-        val (writer, _) = runningWriter(store, slots = 3)
-        val begun = List(3) { writer.begin(returnOf(it)) }
-        assertThrows(IntentLogFullException::class.java) { kotlinx.coroutines.runBlocking { writer.begin(returnOf(3)) } }
-        writer.close(begun[1], IntentState.CARRIED_OUT, 1)
+        val writer = runningWriter(store, slots = 3).writer
+        val opened = List(3) { writer.open(scaleInOf(it)) }
+        assertThrows(IntentLogFullException::class.java) { runBlocking { writer.open(scaleInOf(3)) } }
+        writer.close(opened[1], IntentState.CARRIED_OUT, 1)
         delay(1_000)
-        assertEquals(begun[1].slot, writer.begin(returnOf(4)).slot)
+        assertEquals(opened[1].slot, writer.open(scaleInOf(4)).slot)
     }
 }
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -74,7 +74,7 @@
         println(
             "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${orders.size} orders " +
                 "(${orders.count { it.rental != null }} rentals, ${orders.count { it.returned.isNotEmpty() }} returns), " +
-                "${audit.lateOrders()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
+                "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
                 "${world.starts} starts, ${world.jobs.values.count { it.told == "done" }} of ${world.jobs.size} jobs done",
         )
         assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.rental ?: order.returned}" })
