--- a/src/main/kotlin/linemast/leadership/LeaderLease.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderLease.kt
@@ -2,21 +2,18 @@
 
 import linemast.store.Precondition
 
-/** The two keys leadership lives in. */
-object LeaderKeys {
-    /** Attached to the leader's lease; every write of the leader depends on its version. */
-    const val LEADER = "leader"
-
-    /** A lasting counter, raised by the transaction that takes the leadership. */
-    const val FENCING_TOKEN = "helm"
-}
-
 /**
- * How long a leader may act, from the answers it got to its renewals.
+ * How long a leader may act, from the answers to its renewals.
+ *
+ * Times are those of this process's steady clock. The store's lease lives at least its full time from when the store
+ * executed the renewal, which was not before the renewal was sent. So counting from the sending, less what clocks may drift
+ * and a margin, ends before the store lets another controller in.
  *
- * Times are the own steady clock's. A lease lives at least its full time from when the store carried out the
- * renewal, which was not before the renewal was sent; so counting from the sending, less what clocks may
- * drift and a margin, ends before the store lets anyone else in.
+ * When the renewals fail, the leader first may no longer issue commands, and is in degraded mode: it answers heartbeats, so
+ * that workers keep their tasks, until that is over too.
+ *
+ * @property fencingToken number of the term; a later term has a higher one.
+ * @param revision store revision at which the term began.
  */
 class LeaderLease(
     val fencingToken: Long,
@@ -25,60 +22,67 @@
     private val degradedModeMicros: Long,
     sentMicros: Long,
 ) {
-    /** Every write of this term depends on it, so that none is carried out once another one leads. */
+    /** Every write of this term depends on it, so that none is applied once another controller leads. */
     val fence = Precondition(LeaderKeys.LEADER, revision)
-    private var untilMicros = sentMicros + usableMicros(leaderLeaseMicros)
-    private var degradedUntilMicros = untilMicros + degradedModeMicros
+    private var commandsUntilMicros = sentMicros + usableMicros(leaderLeaseMicros)
+    private var degradedUntilMicros = commandsUntilMicros + degradedModeMicros
+
+    /** Whether the term is over, whatever time its lease has left. */
     var ended = false
         private set
 
-    /** A renewal sent at [sentMicros] was confirmed. */
-    fun renewed(sentMicros: Long) {
-        untilMicros = maxOf(untilMicros, sentMicros + usableMicros(leaderLeaseMicros))
-        degradedUntilMicros = untilMicros + degradedModeMicros
-    }
-
-    /** Whether the leadership was given up while it could have been kept. */
+    /** Whether the leader stepped down while it could have kept the leadership. */
     var hasSteppedDown = false
         private set
 
-    /** Gives the leadership up, for another controller to take at once. */
+    /** Takes in that a renewal sent at [sentMicros] was confirmed. */
+    fun renewed(sentMicros: Long) {
+        commandsUntilMicros = maxOf(commandsUntilMicros, sentMicros + usableMicros(leaderLeaseMicros))
+        degradedUntilMicros = commandsUntilMicros + degradedModeMicros
+    }
+
+    /** Ends the term, for another controller to take the leadership at once. */
     fun stepDown() {
         hasSteppedDown = true
         ended = true
     }
 
-    /** A higher fencing token exists, or the lease is gone: nothing may be done any more, not even in grace. */
+    /** Ends the term: a higher fencing token exists, or the lease is gone. Not even degraded mode is left. */
     fun end() {
         ended = true
     }
 
-    /** Whether commands may be sent now. */
-    fun mayIssueCommands(nowMicros: Long): Boolean = !ended && nowMicros < untilMicros
+    /** Whether commands may be sent to workers now. */
+    fun mayIssueCommands(nowMicros: Long): Boolean = !ended && nowMicros < commandsUntilMicros
 
-    /** Whether reports may be answered, with or without commands, so that workers keep their tasks. */
+    /** Whether heartbeats may be answered now, with or without commands, so that workers keep their tasks. */
     fun mayAnswerHeartbeats(nowMicros: Long): Boolean = !ended && nowMicros < degradedUntilMicros
 
     companion object {
         private const val DRIFT_PER_MILLION = 1_000L
+        private const val MILLION = 1_000_000L
         private const val MARGIN_MICROS = 200_000L
 
-        /** What a clock that may run off by 0.05% either way makes of a duration, rounded up generously. */
-        fun driftMicros(micros: Long): Long = micros * DRIFT_PER_MILLION / 1_000_000 + 1
+        /** Covers heartbeats on their way and clocks. */
+        private const val DEGRADED_MODE_MARGIN_MICROS = 6_000_000L
+
+        /** How far two clocks, each off by at most 0.05%, may differ after a duration; rounded up. */
+        fun driftMicros(micros: Long): Long = micros * DRIFT_PER_MILLION / MILLION + 1
 
         private fun usableMicros(leaderLeaseMicros: Long) = leaderLeaseMicros - driftMicros(leaderLeaseMicros) - MARGIN_MICROS
 
         /**
-         * How long a leader without its store may keep answering.
+         * How long a leader without its store may keep answering heartbeats.
+         *
+         * A task of a job that was cancelled at another controller can live on for that long plus a worker's lease, and has
+         * to end before the time that a cancellation may take is over.
          *
-         * A task of a job cancelled elsewhere can live on for the grace plus a lease, and that has to end
-         * before a cancellation's time is over; the margin covers reports on their way and clocks.
+         * @param leaseMicros lease of a worker's tasks.
+         * @param cancelMicros time in which the tasks of a cancelled job have to end.
          */
         fun degradedModeMicros(leaseMicros: Long, cancelMicros: Long): Long {
-            val margin = GRACE_MARGIN_MICROS + driftMicros(cancelMicros)
-            return (cancelMicros - leaseMicros - margin).coerceAtLeast(0)
+            val marginMicros = DEGRADED_MODE_MARGIN_MICROS + driftMicros(cancelMicros)
+            return (cancelMicros - leaseMicros - marginMicros).coerceAtLeast(0)
         }
-
-        private const val GRACE_MARGIN_MICROS = 6_000_000L
     }
 }
--- a/src/main/kotlin/linemast/store/KeyValueStore.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStore.kt
@@ -1,106 +1,50 @@
 package linemast.store
 
-import linemast.serialization.Fields
-import linemast.time.SECOND_MICROS
-
-/** A key's value with the revision of its latest change. */
-class Entry(val key: String, val value: Fields, val revision: Long)
-
-/** A part of the items under a prefix, as of [revision]. */
-class EntryPage(val entries: List<Entry>, val truncated: Boolean, val revision: Long)
-
-/** A key's version that a transaction depends on; version 0: the key does not exist. */
-class Precondition(val key: String, val revision: Long)
-
-/** A change of one key in a transaction. */
-sealed interface Write {
-    val key: String
-
-    /** Sets a value, attached to [lease] if one is given. */
-    class Put(override val key: String, val value: Map<String, Any?>, val lease: Long? = null) : Write
-
-    /** Deletes a key. */
-    class Delete(override val key: String) : Write
-}
-
-/** What became of a transaction. */
-sealed interface CommitResult {
-    /** It was carried out. */
-    class Applied(val revision: Long) : CommitResult
-
-    /** It was not: the keys in [failed] have other versions. */
-    class Conflict(val failed: List<String>) : CommitResult
-
-    /** It was not: a lease that a value is attached to has ended. */
-    data object NoSuchLease : CommitResult
-}
-
-/** One change seen by a follower; [value] is null for a dropped key. */
-class KeyChange(val key: String, val value: Fields?, val revision: Long)
-
-/** What a watch brought. */
-sealed interface WatchResult {
-    /** All changes up to [revision], possibly none. */
-    class Changes(val revision: Long, val changes: List<KeyChange>) : WatchResult
-
-    /** The revision asked for is too old: read the keys again. */
-    data object TooOld : WatchResult
-}
-
 /**
- * How urgently a call needs its token: it leaves [reservedShare] of the tokens to more urgent ones, and gives up when
- * it would have to wait for longer than [queueTimeoutMicros].
+ * The consensus-backed key-value store, as much of it as the controllers use.
+ *
+ * Its reads are strongly consistent; a transaction is a compare-and-swap on revisions. Every call may fail with a
+ * [StoreException].
  */
-enum class RequestPriority(val reservedShare: Double, val queueTimeoutMicros: Long) {
-    /** What the leadership hangs on. */
-    CRITICAL(0.0, 2 * SECOND_MICROS),
-
-    /** Submissions, cancellations, and the start and end of jobs. */
-    HIGH(0.1, 1_500_000),
-    NORMAL(0.3, 1_500_000),
-
-    /** What is as good a little later. */
-    BACKGROUND(0.5, 0),
-}
-
-/** The state service, as much of it as the controllers use. Tests put a stand-in behind it. */
 interface KeyValueStore {
-    /** The item under [key]; null if there is none. */
+    /** The entry of [key]; null if there is none. */
     suspend fun get(key: String, priority: RequestPriority = RequestPriority.NORMAL): Entry?
 
-    /** A page of the items whose keys begin with [prefix], in key order. */
+    /** A page of the entries whose keys begin with [prefix], in key order; it begins behind the key [after] if one is given. */
     suspend fun list(prefix: String, after: String?): EntryPage
 
-    /** Applies [writes] together if all [preconditions] hold. */
+    /** Applies all [writes] in one transaction if all [preconditions] hold, and none of them otherwise. */
     suspend fun commit(
         preconditions: List<Precondition>,
         writes: List<Write>,
         priority: RequestPriority = RequestPriority.NORMAL,
     ): CommitResult
 
-    /** Waits up to [waitMicros] for changes under a prefix after a revision. */
+    /** Waits up to [waitMicros] for changes of keys that begin with [prefix], later than [afterRevision]. */
     suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult
 
-    /** Opens a lease that ends unless it is renewed within [ttlMicros]. */
+    /** Grants a lease that expires unless it is renewed within [ttlMicros]; returns its id. */
     suspend fun grantLease(ttlMicros: Long): Long
 
-    /** Ends a lease, and the keys attached to it, at once. */
+    /** Revokes a lease, and deletes the keys attached to it, at once. */
     suspend fun revokeLease(lease: Long)
 
-    /** False when the lease has ended. */
+    /** Renews a lease for its full time to live; false if it has expired. */
     suspend fun renewLease(lease: Long): Boolean
 }
 
-/** Every pair under a prefix, page by page, and the revision of the first page: changes since then must be followed. */
+/**
+ * All entries whose keys begin with [prefix], read page by page.
+ *
+ * The revision is the one of the first page: who needs what has changed while the others were read watches from there on.
+ */
 suspend fun KeyValueStore.listAll(prefix: String): EntryPage {
+    val firstPage = list(prefix, null)
     val entries = ArrayList<Entry>()
-    var after: String? = null
-    var revision = -1L
+    var page = firstPage
     while (true) {
-        val page = list(prefix, after)
-        if (revision < 0) revision = page.revision
         entries += page.entries
-        if (!page.truncated || page.entries.isEmpty()) return EntryPage(entries, false, revision)
-        after = page.entries.last().key
+        if (!page.truncated || page.entries.isEmpty()) return EntryPage(entries, truncated = false, firstPage.revision)
+        page = list(prefix, page.entries.last().key)
     }
 }
--- a/src/main/kotlin/linemast/store/StoreHealthProbe.kt
+++ b/src/main/kotlin/linemast/store/StoreHealthProbe.kt
@@ -5,28 +5,35 @@
 import linemast.time.SECOND_MICROS
 
 /**
- * Whether the state service answers this controller.
+ * Whether the key-value store answers this controller, by a read once a second.
  *
- * It may refuse one controller alone, whose open watches then just wait; so it is asked once a second.
+ * The store may refuse one controller alone, whose open watches then merely wait: they do not tell.
  */
 class StoreHealthProbe(private val store: KeyValueStore, private val clock: Clock) {
     private var failingSinceMicros: Long? = null
 
+    /** Whether the latest read was answered; true before the first. */
     val isHealthy: Boolean get() = failingSinceMicros == null
 
     /** For how long the store has not answered; 0 if it does. */
     fun failingForMicros(nowMicros: Long): Long = failingSinceMicros?.let { nowMicros - it } ?: 0L
 
-    /** Asks for [key] again and again until it is cancelled. */
+    /** Reads [key] once a second until the coroutine is cancelled. */
     suspend fun run(key: String) {
         while (true) {
-            failingSinceMicros = try {
-                store.get(key)
-                null
-            } catch (e: StoreException) {
-                failingSinceMicros ?: clock.nowMicros()
-            }
-            delay(SECOND_MICROS / 1_000)
+            failingSinceMicros = if (answers(key)) null else failingSinceMicros ?: clock.nowMicros()
+            delay(PROBE_PERIOD_MILLIS)
         }
     }
+
+    private suspend fun answers(key: String): Boolean = try {
+        store.get(key)
+        true
+    } catch (e: StoreException) {
+        false
+    }
+
+    private companion object {
+        const val PROBE_PERIOD_MILLIS = SECOND_MICROS / 1_000
+    }
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/store/StoreRateLimiter.kt
@@ -0,0 +1,55 @@
+package linemast.store
+
+import kotlinx.coroutines.delay
+import linemast.settings.StateLimits
+import linemast.time.Clock
+import org.slf4j.LoggerFactory
+
+/**
+ * Delays calls to the key-value store so that this controller keeps within its share of the store's rate limits.
+ *
+ * A call that would have to wait for longer than the queue timeout of its priority fails with [StoreException.RateLimited].
+ */
+internal class StoreRateLimiter(limits: StateLimits, controllers: Int, private val clock: Clock) {
+    private val log = LoggerFactory.getLogger(StoreRateLimiter::class.java)
+    private val rates = StoreRateLimits(limits, controllers)
+    private val requests = TokenBucket(rates.requestsPerSecond)
+    private val writes = TokenBucket(rates.writesPerSecond)
+
+    /**
+     * Sets whether this controller leads: the leader's share of the writes is larger.
+     *
+     * While two controllers take themselves for the leader, the store may refuse a call.
+     */
+    fun setLeader(isLeader: Boolean) {
+        rates.isLeader = isLeader
+        writes.ratePerSecond = rates.writesPerSecond
+    }
+
+    /** Waits for the token of one request. */
+    suspend fun awaitRequest(priority: RequestPriority) = await(requests, 1, priority)
+
+    /** Waits for the tokens of the [count] writes of a transaction. */
+    suspend fun awaitWrites(count: Int, priority: RequestPriority) = await(writes, count, priority)
+
+    /** Takes in that the store has refused a call for its rate, although this controller kept within its share. */
+    fun onRefused(isCommit: Boolean) {
+        if (!rates.tightenAfterRefusal(isCommit)) return
+        log.info("the key-value store refuses calls for their rate: from now on within its next limits")
+        requests.ratePerSecond = rates.requestsPerSecond
+        writes.ratePerSecond = rates.writesPerSecond
+    }
+
+    private suspend fun await(bucket: TokenBucket, count: Int, priority: RequestPriority) {
+        val deadlineMicros = clock.nowMicros() + priority.queueTimeoutMicros
+        while (!bucket.tryTake(count, priority, clock.nowMicros())) {
+            val waitMicros = bucket.waitMicros(count, priority, clock.nowMicros())
+            if (clock.nowMicros() + waitMicros > deadlineMicros) throw StoreException.RateLimited()
+            delay(waitMicros / MICROS_PER_MILLI + 1)
+        }
+    }
+
+    private companion object {
+        const val MICROS_PER_MILLI = 1_000
+    }
+}
--- a/src/main/kotlin/linemast/store/TokenBucket.kt
+++ b/src/main/kotlin/linemast/store/TokenBucket.kt
@@ -1,26 +1,28 @@
 package linemast.store
 
+import linemast.time.SECOND_MICROS
+
 /**
- * Tokens for calls to an outside service, which refuses calls above a rate.
+ * A token bucket for calls to a service that refuses calls above a rate.
  *
- * As many as come in a second are there at first and at most. A call leaves the part of them untouched that is
- * kept for more urgent ones.
+ * It is full at first and holds at most the tokens of one second. Each call leaves the share of them untouched that is
+ * reserved for more urgent ones.
  */
 class TokenBucket(ratePerSecond: Double) {
-    /** Tokens that come in a second; what is there stays when it changes, up to the new burst. */
+    /** Tokens that are added in a second, and the most that the bucket holds; a lower rate drops what exceeds it. */
     var ratePerSecond = ratePerSecond
         set(value) {
             field = value
             tokens = minOf(tokens, value)
         }
     private var tokens = ratePerSecond
-    private var filledMicros = Long.MIN_VALUE
+    private var lastRefillMicros: Long? = null
 
-    /** Takes [count] tokens if [priority] may have them now. */
+    /** Takes [count] tokens and returns true if a call of [priority] may have them now. */
     fun tryTake(count: Int, priority: RequestPriority, nowMicros: Long): Boolean {
         refill(nowMicros)
-        // A call that asks for more than ever fits may go out alone once the bucket is full.
-        if (tokens - count < reserve(priority) && tokens < ratePerSecond) return false
+        // A call that asks for more than the bucket ever holds may go out alone once the bucket is full.
+        if (tokens - count < reservedTokens(priority) && tokens < ratePerSecond) return false
         tokens -= count
         return true
     }
@@ -28,16 +30,17 @@
     /** How long until [count] tokens can be taken if nobody else takes any. */
     fun waitMicros(count: Int, priority: RequestPriority, nowMicros: Long): Long {
         refill(nowMicros)
-        val wanted = minOf(count + reserve(priority), ratePerSecond)
-        return if (tokens >= wanted) 0 else ((wanted - tokens) / ratePerSecond * 1e6).toLong() + 1
+        val wanted = minOf(count + reservedTokens(priority), ratePerSecond)
+        return if (tokens >= wanted) 0 else ((wanted - tokens) / ratePerSecond * SECOND_MICROS).toLong() + 1
     }
 
-    private fun reserve(priority: RequestPriority) = ratePerSecond * priority.reservedShare
+    private fun reservedTokens(priority: RequestPriority) = ratePerSecond * priority.reservedShare
 
     private fun refill(nowMicros: Long) {
-        if (filledMicros != Long.MIN_VALUE) {
-            tokens = minOf(ratePerSecond, tokens + (nowMicros - filledMicros).coerceAtLeast(0) * ratePerSecond / 1e6)
+        lastRefillMicros?.let { last ->
+            val elapsedMicros = (nowMicros - last).coerceAtLeast(0)
+            tokens = minOf(ratePerSecond, tokens + elapsedMicros * ratePerSecond / SECOND_MICROS)
         }
-        filledMicros = nowMicros
+        lastRefillMicros = nowMicros
     }
 }
--- a/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
+++ b/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
@@ -7,14 +7,15 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
 class CancellationFreshnessTest {
-    /** Reads that succeed, lag or fail; a cancellation at any time; the latest answer that does not know of it. */
-    @Test
-    fun `a lease renewed without knowing of a cancellation ends within its time`() {
-        val seed = 23
-        println("seed $seed")
+    /** Reads that succeed, lag or fail; a cancellation at any time; the latest answer that misses it. */
+    @ParameterizedTest
+    @ValueSource(ints = [23])
+    fun `a lease renewed by an answer that misses a cancellation ends within its time`(seed: Int) {
         val random = Random(seed)
         for ((leaseS, cancelS) in listOf(11 to 36, 16 to 41, 13 to 38, 5 to 60, 10 to 12)) {
             val lease = leaseS * 1_000_000L
@@ -38,7 +39,7 @@
     }
 
     @Test
-    fun `an answer is judged by what was known when it was made`() {
+    fun `an answer is judged by the freshness that it was made with`() {
         val cancellationFreshness = CancellationFreshness(20_000_000)
         val leaderLease = LeaderLease(3, 1, 4_000_000, 16_000_000, 0)
         cancellationFreshness.refreshedAt(0)
--- a/src/test/kotlin/linemast/leadership/LeaderLeaseTest.kt
+++ b/src/test/kotlin/linemast/leadership/LeaderLeaseTest.kt
@@ -4,25 +4,26 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
 class LeaderLeaseTest {
     private val leaderLeaseMicros = 4_000_000L
     private val lease = 11_000_000L
     private val cancel = 36_000_000L
-    private val grace = LeaderLease.degradedModeMicros(lease, cancel)
+    private val degradedModeMicros = LeaderLease.degradedModeMicros(lease, cancel)
 
     /** Renewals at generated times with generated delays, on a clock that runs 0.05% slow against the store's. */
-    @Test
-    fun `leader lease always ends before the store lets another in`() {
-        val seed = 17
-        println("seed $seed")
+    @ParameterizedTest
+    @ValueSource(ints = [17])
+    fun `a leader lease always ends before the store lets another controller in`(seed: Int) {
         val random = Random(seed)
         repeat(300) {
             val slow = 1.0 - 0.0005 * random.nextDouble()
             val own = { storeMicros: Long -> (storeMicros * slow).toLong() }
             var now = 0L
-            val leaderLease = LeaderLease(1, 1, leaderLeaseMicros, grace, own(now))
+            val leaderLease = LeaderLease(1, 1, leaderLeaseMicros, degradedModeMicros, own(now))
             now += random.nextLong(200_000)
             var leaseEnds = now + leaderLeaseMicros
             while (now < leaseEnds) {
@@ -41,7 +42,7 @@
     }
 
     @Test
-    fun `grace, a lease and margins end before a cancellation is due`() {
+    fun `degraded mode and a lease end with a margin before a cancellation is due`() {
         for ((leaseS, cancelS) in listOf(11 to 36, 16 to 41, 5 to 60, 10 to 12)) {
             val degradedModeMicros = LeaderLease.degradedModeMicros(leaseS * 1_000_000L, cancelS * 1_000_000L)
             assertTrue(degradedModeMicros >= 0)
@@ -50,13 +51,13 @@
     }
 
     @Test
-    fun `news of a higher fencing token ends orders and grace at once`() {
-        val leaderLease = LeaderLease(3, 1, leaderLeaseMicros, grace, 0)
+    fun `a higher fencing token ends commands and degraded mode at once`() {
+        val leaderLease = LeaderLease(3, 1, leaderLeaseMicros, degradedModeMicros, 0)
         val view = LeaderView()
         view.own = leaderLease
         view.observeFencingToken(3)
         assertTrue(leaderLease.mayIssueCommands(1_000_000))
-        assertTrue(leaderLease.mayAnswerHeartbeats(leaderLeaseMicros + grace - 500_000))
+        assertTrue(leaderLease.mayAnswerHeartbeats(leaderLeaseMicros + degradedModeMicros - 500_000))
         view.observeFencingToken(4)
         assertEquals(listOf(false, false), listOf(leaderLease.mayIssueCommands(1), leaderLease.mayAnswerHeartbeats(1)))
     }
--- a/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
@@ -46,15 +46,11 @@
         var refusedAfterwards = 0
         var accepted = 0
         for (stepMicros in 0L..30_000_000L step 10_000L) {
-            if (stepMicros ==
-                10_000_000L
-            ) {
+            if (stepMicros == 10_000_000L) {
                 service = TokenBucket(next.writeRps).also { it.tryTake(next.writeRps.toInt(), RequestPriority.CRITICAL, stepMicros) }
             }
             for (at in 0..2) {
-                if (stepMicros % 800_000L ==
-                    0L
-                ) {
+                if (stepMicros % 800_000L == 0L) {
                     assertTrue(requests[at].tryTake(1, RequestPriority.CRITICAL, stepMicros), "a renewal waits at $stepMicros")
                 }
                 // More submissions than fit are always there: each puts two keys.
--- a/src/test/kotlin/linemast/store/TokenBucketTest.kt
+++ b/src/test/kotlin/linemast/store/TokenBucketTest.kt
@@ -3,13 +3,14 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
 class TokenBucketTest {
-    @Test
-    fun `never more than the burst and the rate, and vital calls find a reserve`() {
-        val seed = 5
-        println("seed $seed")
+    @ParameterizedTest
+    @ValueSource(ints = [5])
+    fun `a bucket gives no more than its burst and rate, and critical calls find tokens reserved for them`(seed: Int) {
         val random = Random(seed)
         repeat(50) {
             val rate = random.nextInt(10, 50).toDouble()
@@ -31,7 +32,7 @@
 
     /** Progress of running jobs once used up the writes, and submissions were turned away on a quiet day. */
     @Test
-    fun `what can wait leaves most tokens to submissions`() {
+    fun `background calls leave most tokens to submissions`() {
         val bucket = TokenBucket(20.0)
         while (bucket.tryTake(1, RequestPriority.BACKGROUND, 1)) Unit
         repeat(8) { assertTrue(bucket.tryTake(1, RequestPriority.HIGH, 1)) }
