--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -83,6 +83,13 @@
         entries.remove(key)
     }
 
+    /** Replaces all that is stored by [values], CBOR by key. */
+    fun load(values: Map<String, ByteArray>) {
+        entries.clear()
+        revision++
+        for ((key, value) in values) entries[key] = StoredValue(value, revision, lease = null)
+    }
+
     fun valueOf(key: String) = entries[key]?.let { Cbor.decodeMap(it.value) }
 
     fun keysUnder(prefix: String): Set<String> = entries.keys.filterTo(LinkedHashSet()) { it.startsWith(prefix) }
--- /dev/null
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
@@ -0,0 +1,90 @@
+package linemast.upgrade
+
+import linemast.admission.AdmissionCodec
+import linemast.cloud.MachineTypeCodec
+import linemast.domain.JobOutcome
+import linemast.duties.IntentCodec
+import linemast.jobs.CompletedTasks
+import linemast.jobs.JobRecordCodec
+import linemast.serialization.Cbor
+import linemast.serialization.Fields
+import linemast.settings.Duty
+import linemast.store.Entry
+import linemast.workers.MachineRegistry
+import okio.ByteString.Companion.toByteString
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.MethodSource
+import java.util.BitSet
+
+/** Records that the version of commit 21f1c36 stored are read, and written again to the byte. */
+class PreviousVersionRecordsTest {
+    private val records = StoredRecord.load("records-21f1c36.txt")
+
+    private fun ofKind(kind: String): List<StoredRecord> = records.filter { it.kind == kind }
+
+    @Test
+    fun `the records hold every kind that is stored`() {
+        val kinds = setOf(
+            "leader", "helm", "types", "j/", "o/", "w/", "d/", "fleet/", "standing/", "plan", "duty/", "admission/plan",
+            "admission/demand/", "recovery",
+        )
+        assertEquals(kinds, records.map { it.kind }.toSet())
+    }
+
+    @Test
+    fun `the records hold every job outcome, job state and duty`() {
+        val outcomes = ofKind("j/").map { JobRecordCodec.decodeOutcome(it.fields).outcome }.toSet()
+        assertEquals(JobOutcome.entries.toSet(), outcomes)
+        val states = ofKind("o/").map { JobRecordCodec.decodeJob(it.fields) }.map { it.opened to it.cancelled }.toSet()
+        assertEquals(setOf(false to false, true to false, false to true, true to true), states)
+        assertEquals(Duty.entries.toSet(), ofKind("duty/").map { IntentCodec.decode(it.fields).action.duty }.toSet())
+        assertTrue(ofKind("w/").all { JobRecordCodec.decodeJob(it.fields).spec.dependencies.isNotEmpty() })
+    }
+
+    @ParameterizedTest
+    @MethodSource("rewrittenRecords")
+    fun `a record that is read and written again has the same bytes`(record: StoredRecord) {
+        assertEquals(record.bytes, Cbor.encode(rewritten(record)).toByteString())
+    }
+
+    private fun rewritten(record: StoredRecord): Map<String, Any?> = when (record.kind) {
+        "types" -> MachineTypeCodec.encode(MachineTypeCodec.decode(record.fields))
+        "j/" -> JobRecordCodec.encode(JobRecordCodec.decodeOutcome(record.fields))
+        "o/", "w/" -> JobRecordCodec.encode(JobRecordCodec.decodeJob(record.fields))
+        "d/" -> mapOf("bits" to rewrittenPart(record.fields.text("bits"), record.key.substringAfterLast('/').toInt()))
+        "fleet/" -> rewrittenChunk(record)
+        "duty/" -> IntentCodec.encode(IntentCodec.decode(record.fields))
+        "admission/plan" -> AdmissionCodec.encode(AdmissionCodec.decodePlan(record.fields))
+        "admission/demand/" -> AdmissionCodec.encode(AdmissionCodec.decodeDemand(record.fields))
+        else -> error("no codec for ${record.key}")
+    }
+
+    private fun rewrittenPart(text: String, part: Int): String {
+        val done = BitSet()
+        CompletedTasks.decodePart(text, part, done)
+        assertTrue(!done.isEmpty)
+        return CompletedTasks.encodePart(done, part)
+    }
+
+    private fun rewrittenChunk(record: StoredRecord): Map<String, Any?> {
+        val types = MachineTypeCodec.decode(ofKind("types").first().fields).associateBy { it.name }
+        val registry = MachineRegistry(VALUE_BYTES)
+        val machines = registry.read(listOf(Entry(record.key, record.fields, 7)), types)
+        assertEquals(record.fields.children("rigs").map { it.text("rig") }, machines.map { it.name })
+        if (machines.isEmpty()) return mapOf("rigs" to emptyList<Fields>())
+        return registry.with(machines).getValue(record.key)
+    }
+
+    companion object {
+        private const val VALUE_BYTES = 8 * 1024
+
+        /** Kinds without a codec of their own, which [PreviousVersionTakeoverTest] covers. */
+        private val writtenByLeader = setOf("leader", "helm", "standing/", "plan", "recovery")
+
+        @JvmStatic
+        fun rewrittenRecords(): List<StoredRecord> = StoredRecord.load("records-21f1c36.txt").filter { it.kind !in writtenByLeader }
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
@@ -0,0 +1,97 @@
+package linemast.upgrade
+
+import kotlinx.coroutines.delay
+import linemast.serialization.Fields
+import linemast.settings.AdmissionSettings
+import linemast.settings.DutySettings
+import linemast.settings.Features
+import linemast.settings.RecoverySettings
+import linemast.simulation.SimJob
+import linemast.simulation.SimWorld
+import linemast.simulation.simulate
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+
+/** Controllers of this version take over a store that the version of commit 21f1c36 has left in the middle of its work. */
+class PreviousVersionTakeoverTest {
+    private val snapshot = StoredRecord.load("snapshot-21f1c36.txt")
+    private val records = StoredRecord.load("records-21f1c36.txt")
+
+    private val allFeatures = Features(DutySettings(), AdmissionSettings(), RecoverySettings())
+    private val array = SimJob("req-000001", "north", 12, 1.0, false, false, false, true, 5_000_000, staggerMicros = 3_000_000)
+    private val gang = SimJob("req-000002", "south", 2, 4.0, true, true, false, true, 90_000_000)
+    private val dependent =
+        SimJob("req-000003", "north", 4, 1.0, false, false, true, true, 5_000_000, dependencies = listOf(array.id, gang.id))
+    private val cancelled = SimJob("req-000004", "south", 3, 1.0, false, false, false, true, 100_000_000).also { it.cancelAsked = true }
+    private val done = SimJob("req-000005", "south", 3, 1.0, false, false, false, true, 1_000_000)
+
+    /** All controllers of the previous version have ended; those of this one start on what it has stored. */
+    private fun takeOver(kept: List<StoredRecord> = snapshot): SimWorld = simulate(seed = 502, features = allFeatures) { world ->
+        repeat(3) { world.killNode(it) }
+        delay(30_000)
+        world.store.load(kept.associate { it.key to it.bytes.toByteArray() })
+        runUnknownJob(world)
+        repeat(DONE_OF_ARRAY) { world.completed += "${array.id}/$it" }
+        repeat(done.taskCount) { world.completed += "${done.id}/$it" }
+        repeat(3) { world.startNode(it) }
+        listOf(array, gang, dependent, cancelled, done).forEach { world.user(it, null) }
+        delay(200_000)
+    }
+
+    /** A job that no record in the store knows, so that the record of the recovery lists one. */
+    private fun runUnknownJob(world: SimWorld) {
+        val unknown = SimJob("req-990000", "north", 1, 1.0, false, false, false, true, 300_000_000)
+        world.jobs[unknown.id] = unknown
+        world.workers.values.first().inject(unknown)
+    }
+
+    @Test
+    fun `jobs that the previous version has accepted are brought to their end, and completed tasks are not started again`() {
+        val world = takeOver()
+        assertEquals(emptyList<String>(), world.broken)
+        assertEquals(
+            listOf("done", "done", "done", "withdrawn", "done"),
+            listOf(array, gang, dependent, cancelled, done).map { it.told },
+        )
+        assertEquals(array.taskCount - DONE_OF_ARRAY + gang.taskCount + dependent.taskCount, world.starts)
+        assertEquals(emptySet<String>(), world.store.keysUnder("o/") + world.store.keysUnder("w/"))
+    }
+
+    @Test
+    fun `the fencing token goes on from the stored one, and the baseline fleet stays the stored one`() {
+        val world = takeOver()
+        val before = stored("helm").long("n")
+        assertEquals(before + 1, world.store.valueOf("helm")?.long("n"))
+        assertEquals(before + 1, world.store.valueOf("leader")?.long("helm"))
+        assertEquals(stored("standing/0").map, world.store.valueOf("standing/0")?.map)
+        assertEquals(stored("types").map, world.store.valueOf("types")?.map)
+    }
+
+    @Test
+    fun `machines are of the baseline fleet if the stored list names them, also without a record of machines`() {
+        val world = takeOver(snapshot.filter { it.kind != "fleet/" })
+        val baseline = stored("standing/0").textsOrNull("rigs").orEmpty().toSet()
+        val machines = world.store.keysUnder("fleet/").flatMap { checkNotNull(world.store.valueOf(it)).children("rigs") }
+        assertEquals(baseline, machines.filter { it.flag("owned") }.map { it.text("rig") }.toSet())
+    }
+
+    @Test
+    fun `records that the leader writes have the fields that the previous version gave them`() {
+        val world = takeOver()
+        for (key in listOf("leader", "helm", "plan", "recovery")) {
+            val written = world.store.history.filter { it.key == key }.mapNotNull { it.value?.map }
+            assertTrue(written.isNotEmpty(), "$key is written")
+            val known = records.filter { it.key == key }.map { it.fields.map }
+            assertEquals(known.flatMap { it.keys }.toSet(), written.flatMap { it.keys }.toSet(), key)
+            assertEquals(emptySet<String>(), written.flatMap(::fieldNames).toSet() - known.flatMap(::fieldNames).toSet(), key)
+        }
+    }
+
+    private fun stored(key: String): Fields = snapshot.single { it.key == key }.fields
+
+    private companion object {
+        /** Tasks of the array that the snapshot holds as completed, counted from the first one. */
+        const val DONE_OF_ARRAY = 6
+    }
+}
