--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -14,6 +14,8 @@
 import linemast.cloud.CloudException
 import linemast.cloud.MachineTypeCodec
 import linemast.control.Leader
+import linemast.control.LeaderConfiguration
+import linemast.control.LeaderEnvironment
 import linemast.domain.MachineType
 import linemast.jobs.JobService
 import linemast.leadership.Election
@@ -59,6 +61,8 @@
     private val degradedModeMicros = LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros)
     private val healthProbe = StoreHealthProbe(store, clock)
     private var types: List<MachineType>? = null
+    private val leaderEnvironment =
+        LeaderEnvironment(LeaderConfiguration(settings, policy, features), store, cloud, clock, wallMicros, peers) { types }
     private var leader: Leader? = null
     private var leaderScope: CoroutineScope? = null
 
@@ -109,9 +113,7 @@
 
     private fun startLeader(leaderLease: LeaderLease) {
         val leaderScope = CoroutineScope(scope.coroutineContext + SupervisorJob(scope.coroutineContext[Job]))
-        val next = Leader(
-            settings, policy, store, cloud, clock, leaderLease, degradedModeMicros, leaderScope, wallMicros, peers, { types }, features,
-        )
+        val next = Leader(leaderEnvironment, leaderLease, leaderScope)
         this.leaderScope = leaderScope
         leader = next
         leaderScope.launch { next.run() }
--- a/src/main/kotlin/linemast/control/BaselineFleetStore.kt
+++ b/src/main/kotlin/linemast/control/BaselineFleetStore.kt
@@ -1,70 +1,74 @@
 package linemast.control
 
 import linemast.cloud.Cloud
-import linemast.leadership.LeaderLease
 import linemast.serialization.Cbor
-import linemast.store.CommitResult
+import linemast.serialization.Fields
 import linemast.store.Entry
-import linemast.store.KeyValueStore
 import linemast.store.Precondition
 import linemast.store.TransactionBatcher
 import linemast.store.Write
 import linemast.store.listAll
-import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
- * The stored names of the standing fleet: the ordinary machines that the first leader of all found before anything was rented.
+ * The stored names of the baseline fleet: the on-demand machines that the first leader of all found before any scale-out.
  *
  * They are written once, in chunks that fit a value; the first chunk is written last and marks the list as complete.
  */
-internal class BaselineFleetStore(
-    private val store: KeyValueStore,
-    private val cloud: Cloud,
-    private val clock: Clock,
-    private val leaderLease: LeaderLease,
-    private val maxValueBytes: Int,
-    maxTransactionWrites: Int,
-    private val listLagMicros: Long,
-) {
+internal class BaselineFleetStore(private val term: LeaderTerm, private val cloud: Cloud, private val listLagMicros: Long) {
     private val log = LoggerFactory.getLogger(BaselineFleetStore::class.java)
-    private val batches = TransactionBatcher(maxTransactionWrites)
-    private val electedMicros = clock.nowMicros()
+    private val batches = TransactionBatcher(term.limits.maxTxnOps)
+    private val electedMicros = term.clock.nowMicros()
 
-    /** The names as stored, or as found now and stored; null if they cannot be told yet. */
-    suspend fun learn(): Set<String>? {
-        val stored = store.listAll(PREFIX).entries
-        if (stored.any { it.key == FIRST_CHUNK }) return stored.flatMapTo(LinkedHashSet()) { it.value.textsOrNull(NAMES) ?: emptyList() }
+    /** The names from the store, or, if it has none, from the cloud's list and stored; null if they cannot be told yet. */
+    suspend fun loadOrCreate(): Set<String>? {
+        val stored = term.store.listAll(PREFIX).entries
+        if (stored.any { it.key == FIRST_CHUNK }) return stored.flatMapTo(LinkedHashSet()) { BaselineFleetCodec.decode(it.value) }
         val found = cloud.machines().filter { !it.spot && it.status != FAILED }.map { it.name }
-        // The list lags: only one that stays empty for long enough says that there is no standing fleet.
-        val mayLag = clock.nowMicros() < electedMicros + LAGS_UNTIL_EMPTY * listLagMicros
-        if (found.isEmpty() && mayLag) return null
+        if (found.isEmpty() && mayListLag()) return null
         if (!write(found, stored)) return null
-        log.info("standing fleet: {} machines", found.size)
+        log.info("baseline fleet: {} machines", found.size)
         return found.toSet()
     }
 
-    /** Chunks that are [stored] without the first one are left from a leader that ended half-way. */
+    /** Only a list that stays empty for long enough says that there is no baseline fleet. */
+    private fun mayListLag() = term.clock.nowMicros() < electedMicros + LAGS_UNTIL_EMPTY * listLagMicros
+
+    /** Chunks that are [stored] without the first one are left from a leader that failed half-way. */
     private suspend fun write(names: List<String>, stored: List<Entry>): Boolean {
         val chunks = names.chunked(chunkSize(names)).ifEmpty { listOf(emptyList()) }
-        val puts = chunks.mapIndexed { at, chunk -> Write.Put("$PREFIX$at", mapOf(NAMES to chunk)) }
-        val stale = stored.map { it.key }.filter { key -> puts.none { it.key == key } }.map { Write.Delete(it) }
-        val preconditions = listOf(leaderLease.fence, Precondition(FIRST_CHUNK, 0L))
-        return batches.pack(stale + puts.reversed()) { it }.all { store.commit(preconditions, it) is CommitResult.Applied }
+        val puts = chunks.mapIndexed { index, chunk -> Write.Put("$PREFIX$index", BaselineFleetCodec.encode(chunk)) }
+        val newKeys = puts.mapTo(HashSet()) { it.key }
+        val deletions = stored.map { it.key }.filter { it !in newKeys }.map { Write.Delete(it) }
+        val preconditions = listOf(Precondition(FIRST_CHUNK, 0L))
+        return batches.pack(deletions + puts.reversed()) { it }.all { term.commit(preconditions, it) is TermCommitResult.Applied }
     }
 
     private fun chunkSize(names: List<String>): Int {
-        val longest = names.maxOfOrNull { Cbor.jsonSize(it) + 1 } ?: 1
-        return ((maxValueBytes - FRAME_BYTES) / longest).coerceIn(1, MAX_CHUNK)
+        val maxNameBytes = names.maxOfOrNull { Cbor.jsonSize(it) + SEPARATOR_BYTES } ?: 1
+        return ((term.limits.maxValueBytes - FRAME_BYTES) / maxNameBytes).coerceIn(1, MAX_CHUNK_NAMES)
     }
 
     private companion object {
         const val PREFIX = "standing/"
         const val FIRST_CHUNK = "standing/0"
-        const val NAMES = "rigs"
         const val FAILED = "failed"
-        const val MAX_CHUNK = 200
+        const val MAX_CHUNK_NAMES = 200
+        const val SEPARATOR_BYTES = 1
+
+        /** What the stored form of a chunk holds besides the names. */
         const val FRAME_BYTES = 11
         const val LAGS_UNTIL_EMPTY = 2
     }
 }
+
+/** The stored form of a chunk of names; see docs/glossary.md for the names. */
+internal object BaselineFleetCodec {
+    private const val NAMES = "rigs"
+
+    /** The stored form of a chunk. */
+    fun encode(names: List<String>): Map<String, Any?> = mapOf(NAMES to names)
+
+    /** The names in a stored chunk. */
+    fun decode(fields: Fields): List<String> = fields.textsOrNull(NAMES) ?: emptyList()
+}
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -1,116 +1,66 @@
 package linemast.control
 
-import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.autoscaling.Autoscaler
 import linemast.autoscaling.ScalingActions
-import linemast.cloud.Cloud
 import linemast.cloud.CloudActionExecutor
 import linemast.cloud.CloudException
 import linemast.cloud.Fleet
-import linemast.cloud.MAX_MACHINES_PER_LIST_CALL
 import linemast.cloud.ScaleInBatch
 import linemast.cloud.ScaleOutRequest
 import linemast.cloud.ScaleOutResult
-import linemast.leadership.LeaderLease
 import linemast.scheduling.Cluster
-import linemast.store.StoreException
-import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's calls to the cloud: the machine list, rentals and returns.
+ * Carries out scale-out and scale-in at the cloud.
  *
- * Results are taken in by the leader's event loop; nothing here decides what to rent or return.
+ * Results are applied in turns of the leader's event loop; the [Autoscaler] decides what to request.
  */
 internal class CloudOperations(
-    private val cloud: Cloud,
+    private val term: LeaderTerm,
     private val executor: CloudActionExecutor,
-    private val clock: Clock,
-    private val scope: CoroutineScope,
-    private val leaderLease: LeaderLease,
     private val cluster: Cluster,
     private val fleet: Fleet,
     private val autoscaler: Autoscaler,
     private val machineRegistryStore: MachineRegistryStore,
-    private val baselineFleetStore: BaselineFleetStore,
-    private val callsPerSecond: Double,
-    /** Runs an action on the coroutine that owns the cluster state. */
-    private val onLeaderLoop: suspend (() -> Unit) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger(CloudOperations::class.java)
 
-    /** Keeps the cloud's list up to date, and learns which machines are the standing fleet. */
-    suspend fun watchMachines() {
-        while (true) {
-            try {
-                if (fleet.baselineMachines == null) learnBaselineFleet()
-                val list = cloud.machines()
-                onLeaderLoop {
-                    val now = clock.nowMicros()
-                    fleet.updateFromList(list, cluster.types, now)
-                    val absent = cluster.forgetAbsent(fleet.machines.keys, now)
-                    if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
-                }
-            } catch (e: CloudException) {
-                log.debug("machine list: {}", e.message)
-            } catch (e: StoreException) {
-                log.debug("standing fleet: {}", e.message)
-            }
-            delay(listPeriodMillis(fleet.machines.size))
-        }
-    }
-
-    /** Listing a large fleet takes several calls: so many that rentals and returns keep the greater part of what the cloud takes. */
-    private fun listPeriodMillis(machines: Int): Long {
-        val calls = machines / MAX_MACHINES_PER_LIST_CALL + 1
-        return maxOf(LIST_MILLIS, (calls * SECOND_MILLIS / (callsPerSecond * LIST_SHARE)).toLong())
-    }
-
-    private suspend fun learnBaselineFleet() {
-        val names = baselineFleetStore.learn() ?: return
-        onLeaderLoop {
-            fleet.baselineMachines = names
-            cluster.markBaseline(names)
-        }
-    }
-
-    /** Starts the rentals and returns of [actions]. */
+    /** Starts the requests of [actions]. */
     fun run(actions: ScalingActions) {
-        actions.scaleOuts.forEach { request -> scope.launch { scaleOut(request) } }
+        actions.scaleOuts.forEach { request -> term.scope.launch { scaleOut(request) } }
         if (actions.scaleIns.isNotEmpty()) executor.split(actions.scaleIns).forEach(::scaleIn)
     }
 
-    /** A request without an answer is repeated under the same id, which rents at most once. */
+    /** A request without an answer is repeated under the same id, which the cloud carries out at most once. */
     private suspend fun scaleOut(request: ScaleOutRequest) {
         repeat(MAX_SCALE_OUT_ATTEMPTS) {
-            if (!leaderLease.mayIssueCommands(clock.nowMicros())) return@repeat
-            val result = tryScaleOut(request)
-            if (result != ScaleOutResult.Unknown) return onLeaderLoop { scaleOutFinished(request, result) }
+            if (!term.lease.mayIssueCommands(term.clock.nowMicros())) return@repeat
+            val result = requestScaleOut(request)
+            if (result != ScaleOutResult.Unknown) return term.loop.run { scaleOutFinished(request, result) }
             delay(RETRY_MILLIS)
         }
-        onLeaderLoop {
+        term.loop.run {
             fleet.scaleOutAbandoned(request)
             autoscaler.replanSoon()
         }
     }
 
-    private suspend fun tryScaleOut(request: ScaleOutRequest): ScaleOutResult = try {
+    private suspend fun requestScaleOut(request: ScaleOutRequest): ScaleOutResult = try {
         executor.scaleOut(request)
     } catch (e: CloudException) {
-        log.error("rental {}: {}", request.requestId, e.message)
+        log.error("scale-out request {}: {}", request.requestId, e.message)
         ScaleOutResult.NoCapacity
     }
 
-    /** Takes what became of a rental. */
+    /** Applies the result of a scale-out request. */
     fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult) {
-        val now = clock.nowMicros()
+        val now = term.clock.nowMicros()
         if (result == ScaleOutResult.Unknown) return fleet.scaleOutAbandoned(request)
         val granted = (result as? ScaleOutResult.Granted)?.names
-        if (granted ==
-            null
-        ) {
+        if (granted == null) {
             fleet.scaleOutRefused(request, cluster.types, now)
         } else {
             fleet.scaleOutGranted(request, granted, cluster.types, now)
@@ -118,23 +68,25 @@
         if ((granted?.size ?: 0) < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
     }
 
-    private fun scaleIn(returns: ScaleInBatch) {
-        val names = returns.keys.toList()
+    private fun scaleIn(batch: ScaleInBatch) {
+        val names = batch.keys.toList()
         for (name in names) {
             fleet.machines[name]?.scalingIn = true
             cluster.machines[name]?.draining = true
         }
-        scope.launch {
-            val isConfirmed = tryScaleIn(returns)
-            onLeaderLoop { if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.scalingIn = false } }
+        term.scope.launch {
+            val isConfirmed = requestScaleIn(batch)
+            term.loop.run {
+                if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.scalingIn = false }
+            }
         }
     }
 
-    private suspend fun tryScaleIn(returns: ScaleInBatch): Boolean = try {
-        executor.scaleIn(returns)
+    private suspend fun requestScaleIn(batch: ScaleInBatch): Boolean = try {
+        executor.scaleIn(batch)
         true
     } catch (e: CloudException) {
-        log.info("return of {}: {}", returns.keys, e.message)
+        log.info("scale-in of {}: {}", batch.keys, e.message)
         false
     }
 
@@ -146,11 +98,6 @@
     }
 
     private companion object {
-        const val LIST_MILLIS = 3_000L
-        const val SECOND_MILLIS = 1_000L
-
-        /** Of the calls that the cloud takes, for its list. */
-        const val LIST_SHARE = 0.25
         const val RETRY_MILLIS = 1_000L
         const val MAX_SCALE_OUT_ATTEMPTS = 5
     }
--- /dev/null
+++ b/src/main/kotlin/linemast/control/HeartbeatResponder.kt
@@ -0,0 +1,34 @@
+package linemast.control
+
+import kotlinx.coroutines.CompletableDeferred
+import linemast.domain.Heartbeat
+import linemast.leadership.CancellationFreshness
+import linemast.leadership.LeaderLease
+import linemast.scheduling.Cluster
+import linemast.time.Clock
+
+/** Passes heartbeats to the cluster state and makes the responses. */
+internal class HeartbeatResponder(
+    private val events: LeaderEventQueue,
+    private val lease: LeaderLease,
+    private val clock: Clock,
+    private val cluster: Cluster,
+    private val cancellationFreshness: CancellationFreshness,
+    private val permissions: HeartbeatPermissions,
+) {
+    /** The response to [heartbeat], which renews the worker's lease; null if there must be none. */
+    suspend fun respond(heartbeat: Heartbeat): HeartbeatResponse? {
+        if (heartbeat.fencingToken > lease.fencingToken) return null
+        val response = CompletableDeferred<HeartbeatResponse?>()
+        // Queued until the store has been read: a leader that knows no cancellations renews nothing.
+        val isQueued = events.tryRun { response.complete(handle(heartbeat)) }
+        return if (isQueued) response.await() else null
+    }
+
+    private fun handle(heartbeat: Heartbeat): HeartbeatResponse? {
+        val now = clock.nowMicros()
+        val permission = permissions.at(now) ?: return null
+        val commands = cluster.heartbeat(heartbeat, now, permission) ?: return null
+        return HeartbeatResponse(lease.fencingToken, commands, cancellationFreshness, lease)
+    }
+}
--- a/src/main/kotlin/linemast/control/HeartbeatResponse.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatResponse.kt
@@ -5,9 +5,10 @@
 import linemast.leadership.LeaderLease
 
 /**
- * The answer to a worker's report, and until when it may leave.
+ * The response to a worker's heartbeat, and until when it may be sent.
  *
- * It is checked again as it is written: what was known when it was made does not grow while it waits.
+ * It is checked again as it is written to the connection, by what was known when it was made: news that came while it
+ * waited is not in it.
  */
 class HeartbeatResponse(
     val fencingToken: Long,
@@ -17,10 +18,12 @@
 ) {
     private val renewalsAllowedUntilMicros = cancellationFreshness.renewalsAllowedUntilMicros
     private val startsAllowedUntilMicros = cancellationFreshness.startsAllowedUntilMicros
-    private val starts = commands.any { it is Command.Start }
+    private val startsTasks = commands.any { it is Command.Start }
 
-    /** Whether the answer may still be sent. */
+    /** Whether the response may still be sent at [nowMicros]. */
     fun isValid(nowMicros: Long): Boolean = leaderLease.mayAnswerHeartbeats(nowMicros) &&
         nowMicros < renewalsAllowedUntilMicros &&
-        (!starts || (leaderLease.mayIssueCommands(nowMicros) && nowMicros < startsAllowedUntilMicros))
+        (!startsTasks || mayStartTasks(nowMicros))
+
+    private fun mayStartTasks(nowMicros: Long) = leaderLease.mayIssueCommands(nowMicros) && nowMicros < startsAllowedUntilMicros
 }
--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -1,6 +1,5 @@
 package linemast.control
 
-import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.cloud.Fleet
@@ -13,27 +12,25 @@
 import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 
-/** Has a new leader's state know what earlier leaders have committed to do at the cloud, before anything is decided. */
+/** Adopts the scale-out and scale-in intents of previous leaders into a new leader's state, before its first decision. */
 internal class InheritedIntents(
+    private val term: LeaderTerm,
     private val duties: WriteAheadCloudActionExecutor,
     private val cluster: Cluster,
     private val fleet: Fleet,
     private val cloudOperations: CloudOperations,
-    private val scope: CoroutineScope,
-    /** Runs an action on the coroutine that owns the cluster state. */
-    private val onLeaderLoop: suspend (() -> Unit) -> Unit,
 ) : IntentResolutionEffects {
     private val log = LoggerFactory.getLogger(InheritedIntents::class.java)
 
-    /** Returns once all is read and marked; what is left to be done goes on in the leader's scope. */
+    /** Returns once all intents are read and marked; what is left to be carried out goes on in the term's scope. */
     suspend fun takeOver() {
         while (storeResultOrNull(log) { duties.load() } == null) delay(RETRY_MILLIS)
-        val pendingIntents = PendingIntentResolver(duties, this, onLeaderLoop)
+        val pendingIntents = PendingIntentResolver(duties, this, term.loop::run)
         cluster.markBeingReturned(pendingIntents.machinesScalingIn)
         fleet.markScalingIn(pendingIntents.machinesScalingIn)
         pendingIntents.scaleOuts.forEach(fleet::addPendingScaleOut)
-        scope.launch { duties.run() }
-        pendingIntents.start(scope)
+        term.scope.launch { duties.run() }
+        pendingIntents.start(term.scope)
     }
 
     override fun isFree(machineName: String): Boolean = cluster.isFree(machineName)
--- /dev/null
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -0,0 +1,56 @@
+package linemast.control
+
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import linemast.domain.Job
+import linemast.jobs.JobKeys
+import linemast.jobs.JobRecordCodec
+import linemast.scheduling.Cluster
+import linemast.store.Precondition
+import linemast.store.RequestPriority
+import linemast.store.Write
+import linemast.store.storeResultOrNull
+import org.slf4j.LoggerFactory
+
+/** Stores that tasks of a job may have been started, before its first start command is sent. */
+internal class JobActivationStore(private val term: LeaderTerm, private val cluster: Cluster) {
+    private val log = LoggerFactory.getLogger(JobActivationStore::class.java)
+
+    /** Marks [job] in the store, and then in the cluster state; gives up when the job ends or the leadership is lost. */
+    fun activate(job: Job) {
+        term.scope.launch { activateWithRetries(job) }
+    }
+
+    private suspend fun activateWithRetries(job: Job) {
+        while (true) {
+            val revision = job.revision
+            when (storeResultOrNull(log) { commitActivation(job) } ?: TermCommitResult.NoResult) {
+                is TermCommitResult.Applied -> return term.loop.run {
+                    job.opened = Job.Opened.YES
+                    cluster.dirty = true
+                }
+                TermCommitResult.LeadershipLost -> return term.lease.end()
+                is TermCommitResult.Conflict, TermCommitResult.NoResult -> Unit
+            }
+            if (job.cancelled || job.finished) return
+            // A record that changed meanwhile can be written over at once.
+            if (revision == job.revision) delay(RETRY_MILLIS)
+        }
+    }
+
+    private suspend fun commitActivation(job: Job): TermCommitResult {
+        val entry = term.store.get(JobKeys.open(job.id), RequestPriority.HIGH) ?: return TermCommitResult.NoResult
+        val record = JobRecordCodec.decodeJob(entry.value)
+        if (record.cancelled) return TermCommitResult.NoResult
+        val activated = record.with(opened = true).within(cluster.types.values)
+        return term.commit(
+            listOf(Precondition(entry.key, entry.revision)),
+            listOf(Write.Put(entry.key, JobRecordCodec.encode(activated))),
+            RequestPriority.HIGH,
+        )
+    }
+
+    private companion object {
+        const val RETRY_MILLIS = 250L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/JobOutcomeStore.kt
@@ -0,0 +1,42 @@
+package linemast.control
+
+import linemast.domain.Job
+import linemast.domain.JobOutcome
+import linemast.domain.OutcomeRecord
+import linemast.jobs.JobKeys
+import linemast.jobs.JobRecordCodec
+import linemast.store.Precondition
+import linemast.store.RequestPriority
+import linemast.store.Write
+
+/** Is told when a job has reached a terminal outcome. Called in a turn of the leader's event loop. */
+internal fun interface JobOutcomeListener {
+    /** The store holds [outcome] for the job [id]. */
+    fun jobEnded(id: String, outcome: JobOutcome)
+}
+
+/** Commits the ends of jobs: their outcome, and that their record is gone. */
+internal class JobOutcomeStore(private val term: LeaderTerm, private val completedTasks: CompletedTaskStore) {
+    /** Commits that all tasks of [job] are done; a conflict if the store has another outcome already. */
+    suspend fun commitDone(job: Job): TermCommitResult {
+        val entry = term.store.get(JobKeys.outcome(job.id), RequestPriority.HIGH) ?: return TermCommitResult.Conflict(emptyList())
+        if (JobRecordCodec.decodeOutcome(entry.value).outcome.isTerminal) return TermCommitResult.Conflict(emptyList())
+        val outcome = OutcomeRecord(JobOutcome.DONE, job.spec.taskCount)
+        val write = Write.Put(entry.key, JobRecordCodec.encode(outcome))
+        return commitEnd(job, listOf(write), Precondition(entry.key, entry.revision))
+    }
+
+    /** Deletes the record of a cancelled job; its outcome was stored with the cancellation. */
+    suspend fun commitCancelled(job: Job): TermCommitResult = commitEnd(job, emptyList(), Precondition(JobKeys.open(job.id), job.revision))
+
+    /** Deletes the record, and as many parts of the completed tasks as the transaction has room for; the others after it. */
+    private suspend fun commitEnd(job: Job, writes: List<Write>, precondition: Precondition): TermCommitResult {
+        val partKeys = job.partRevisions.keys.map { JobKeys.donePart(job.id, it) }
+        val required = writes + Write.Delete(JobKeys.open(job.id))
+        val room = term.limits.maxTxnOps - required.size
+        val deletions = partKeys.take(room).map { Write.Delete(it) }
+        val result = term.commit(listOf(precondition), required + deletions, RequestPriority.HIGH)
+        if (result is TermCommitResult.Applied) completedTasks.delete(partKeys.drop(room))
+        return result
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/JobStatistics.kt
@@ -0,0 +1,28 @@
+package linemast.control
+
+import kotlinx.coroutines.CompletableDeferred
+import linemast.admission.Flow
+import linemast.admission.FlowClassifier
+import linemast.domain.Job
+import linemast.domain.JobProgress
+import linemast.scheduling.Cluster
+
+/** Counts of the leader's jobs and their tasks. */
+internal class JobStatistics(private val loop: LeaderLoop, private val cluster: Cluster, private val flows: FlowClassifier) {
+    /** Task counts of a job; null if the leader has no such job. */
+    fun progressOf(id: String): JobProgress? = cluster.jobs[id]?.let(::progressOf)
+
+    /** Task counts of all jobs. */
+    fun progress(): Map<String, JobProgress> = cluster.jobs.values.associate { it.id to progressOf(it) }
+
+    /** Unfinished jobs of each flow, counted in a turn of the event loop. */
+    suspend fun unfinishedJobsByFlow(): Map<Flow, Int> {
+        val counts = CompletableDeferred<Map<Flow, Int>>()
+        loop.run { counts.complete(countUnfinishedJobs()) }
+        return counts.await()
+    }
+
+    private fun countUnfinishedJobs() = cluster.jobs.values.filter { !it.finished }.groupingBy { flows.flowOf(it.spec) }.eachCount()
+
+    private fun progressOf(job: Job) = JobProgress(job.doneCount, job.runningCount)
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/JobWatcher.kt
@@ -0,0 +1,107 @@
+package linemast.control
+
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import linemast.jobs.JobKeys
+import linemast.leadership.CancellationFreshness
+import linemast.store.EntryPage
+import linemast.store.KeyChange
+import linemast.store.StoreException
+import linemast.store.WatchResult
+import linemast.store.listAll
+import linemast.time.SECOND_MICROS
+import org.slf4j.LoggerFactory
+
+/** Keeps the leader's jobs up to date with the store. */
+internal class JobWatcher(
+    private val term: LeaderTerm,
+    private val openJobUpdates: OpenJobUpdates,
+    private val dependencyCoordinator: DependencyCoordinator,
+    private val cancellationFreshness: CancellationFreshness,
+) {
+    private val log = LoggerFactory.getLogger(JobWatcher::class.java)
+
+    /** What is watched under a prefix, and who takes the changes. */
+    private interface Subscription {
+        val prefix: String
+        val waitMicros: Long
+
+        fun changed(changes: List<KeyChange>)
+
+        /** All entries, after changes were missed. */
+        fun listed(page: EntryPage)
+
+        /** Everything that the store held when the call was sent at [sentMicros] has been applied. */
+        fun refreshedAt(sentMicros: Long)
+    }
+
+    private val openJobs = object : Subscription {
+        override val prefix = JobKeys.OPEN_PREFIX
+        override val waitMicros = OPEN_WATCH_MICROS
+
+        override fun changed(changes: List<KeyChange>) = changes.forEach(openJobUpdates::apply)
+
+        override fun listed(page: EntryPage) = openJobUpdates.applyAll(page)
+
+        override fun refreshedAt(sentMicros: Long) = cancellationFreshness.refreshedAt(sentMicros)
+    }
+
+    private val blockedJobs = object : Subscription {
+        override val prefix = JobKeys.WAITING_PREFIX
+        override val waitMicros = BLOCKED_WATCH_MICROS
+
+        override fun changed(changes: List<KeyChange>) = changes.forEach(dependencyCoordinator::changed)
+
+        override fun listed(page: EntryPage) = dependencyCoordinator.reload(page.entries)
+
+        override fun refreshedAt(sentMicros: Long) = Unit
+    }
+
+    /** Starts watching in the term's scope, from [revisions] on. */
+    fun start(revisions: JobRevisions) {
+        term.scope.launch { watch(openJobs, revisions.open) }
+        term.scope.launch { watch(blockedJobs, revisions.blocked) }
+    }
+
+    private suspend fun watch(subscription: Subscription, firstRevision: Long) {
+        var revision = firstRevision
+        while (true) {
+            try {
+                revision = watchOnce(subscription, revision)
+            } catch (e: StoreException) {
+                log.debug("watching {}: {}", subscription.prefix, e.message)
+                delay(RETRY_MILLIS)
+            }
+        }
+    }
+
+    /** Waits for changes after [revision] and queues them; the revision to go on from. */
+    private suspend fun watchOnce(subscription: Subscription, revision: Long): Long {
+        val sentMicros = term.clock.nowMicros()
+        return when (val result = term.store.watch(subscription.prefix, revision, subscription.waitMicros)) {
+            is WatchResult.Changes -> {
+                term.loop.run {
+                    subscription.changed(result.changes)
+                    subscription.refreshedAt(sentMicros)
+                }
+                maxOf(revision, result.revision)
+            }
+            WatchResult.TooOld -> {
+                val page = term.store.listAll(subscription.prefix)
+                term.loop.run {
+                    subscription.listed(page)
+                    subscription.refreshedAt(sentMicros)
+                }
+                page.revision
+            }
+        }
+    }
+
+    private companion object {
+        const val RETRY_MILLIS = 250L
+
+        /** Short, since cancellations are known only up to when the last answered watch was sent. */
+        const val OPEN_WATCH_MICROS = SECOND_MICROS
+        const val BLOCKED_WATCH_MICROS = 10 * SECOND_MICROS
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -0,0 +1,114 @@
+package linemast.control
+
+import linemast.admission.AdmissionLeader
+import linemast.admission.FlowClassifier
+import linemast.admission.FlowRoundRobin
+import linemast.autoscaling.Autoscaler
+import linemast.cloud.DirectCloudActionExecutor
+import linemast.cloud.Fleet
+import linemast.duties.WriteAheadCloudActionExecutor
+import linemast.leadership.CancellationFreshness
+import linemast.leadership.LeaderLease
+import linemast.planning.Planner
+import linemast.planning.TaskTimes
+import linemast.recovery.Recovery
+import linemast.recovery.RecoveryStore
+import linemast.scheduling.Cluster
+
+/** Creates the collaborators of one leader term and connects them. */
+internal class LeaderComponents(environment: LeaderEnvironment, term: LeaderTerm) {
+    private val configuration = environment.configuration
+    private val settings = configuration.settings
+    private val features = configuration.features
+    private val times = TaskTimes()
+    private val planner = Planner(settings, configuration.policy, times)
+    private val flows = FlowClassifier(settings.objectives)
+    private val recovery = features.recovery?.let(::Recovery)
+    private val effects = StoreEffects()
+
+    val cancellationFreshness = CancellationFreshness(settings.workers)
+    val cluster = Cluster(
+        settings,
+        term.lease.fencingToken,
+        LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros),
+        effects,
+        times,
+        planner,
+        term.wallMicros,
+        term.clock,
+        cancellationFreshness,
+        startTurns = features.admission?.let { FlowRoundRobin(flows) },
+        recovery,
+    )
+    val recoveryStore = recovery?.let {
+        RecoveryStore(term.store, term.lease, term.clock, term.wallMicros, it, cluster::isReconciled, term.loop::run)
+    }
+    val jobStatistics = JobStatistics(term.loop, cluster, flows)
+    val admission = features.admission?.let {
+        val limits = term.limits
+        AdmissionLeader(
+            term.store,
+            term.clock,
+            term.lease,
+            it,
+            it.capacity(limits),
+            limits.maxValueBytes,
+            jobStatistics::unfinishedJobsByFlow,
+        )
+    }
+
+    private val fleet = Fleet(settings, configuration.policy, term.lease.fencingToken)
+    private val autoscaler = Autoscaler(cluster, fleet, planner, configuration.policy)
+    private val machineRegistryStore = MachineRegistryStore(term, cluster)
+    private val baselineFleetStore = BaselineFleetStore(term, environment.cloud, settings.cloudLimits.listLagMicros)
+    private val duties = features.duties?.let {
+        WriteAheadCloudActionExecutor(it, term.store, environment.cloud, term.clock, term.wallMicros, term.lease, term.limits)
+    }
+    private val cloudOperations = CloudOperations(
+        term,
+        duties ?: DirectCloudActionExecutor(environment.cloud),
+        cluster,
+        fleet,
+        autoscaler,
+        machineRegistryStore,
+    )
+    val inheritedIntents = duties?.let { InheritedIntents(term, it, cluster, fleet, cloudOperations) }
+    val machineListWatcher = MachineListWatcher(
+        term,
+        environment.cloud,
+        settings.cloudLimits.rps,
+        cluster,
+        fleet,
+        machineRegistryStore,
+        baselineFleetStore,
+    )
+
+    private val dependencyCoordinator = DependencyCoordinator(term, cluster)
+    private val openJobUpdates = OpenJobUpdates(cluster, dependencyCoordinator)
+    private val completedTaskStore = CompletedTaskStore(term)
+    private val jobStore = JobStore(term, cluster, completedTaskStore, openJobUpdates, dependencyCoordinator)
+    val stateLoader = StateLoader(
+        term,
+        environment.types,
+        cluster,
+        completedTaskStore,
+        machineRegistryStore,
+        dependencyCoordinator,
+        cancellationFreshness,
+    )
+    val jobWatcher = JobWatcher(term, openJobUpdates, dependencyCoordinator, cancellationFreshness)
+    val ticker = LeaderTicker(
+        term,
+        cluster,
+        autoscaler,
+        StepDownPolicy(cluster, term.lease, environment.peers),
+        dependencyCoordinator,
+        UtilizationLog(cluster, fleet),
+        cloudOperations,
+        PlanStore(term, planner),
+    )
+
+    init {
+        effects.connect(cluster, JobActivationStore(term, cluster), jobStore, machineRegistryStore)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/LeaderTicker.kt
@@ -0,0 +1,34 @@
+package linemast.control
+
+import linemast.autoscaling.Autoscaler
+import linemast.scheduling.Cluster
+
+/** The leader's periodic work, in its fixed order. */
+internal class LeaderTicker(
+    private val term: LeaderTerm,
+    private val cluster: Cluster,
+    private val autoscaler: Autoscaler,
+    private val stepDownPolicy: StepDownPolicy,
+    private val dependencyCoordinator: DependencyCoordinator,
+    private val utilizationLog: UtilizationLog,
+    private val cloudOperations: CloudOperations,
+    private val planStore: PlanStore,
+) {
+    /** One round; does nothing while the leader may not issue commands. */
+    fun tick() {
+        val now = term.clock.nowMicros()
+        if (!term.lease.mayIssueCommands(now)) return
+        stepDownPolicy.stepDownIfDue(now)
+        dependencyCoordinator.step()
+        cluster.tick(now)
+        utilizationLog.step(now)
+        cloudOperations.run(autoscaler.step(term.wallMicros(), now))
+        storeNewPlan()
+    }
+
+    private fun storeNewPlan() {
+        if (!autoscaler.hasNewPlan) return
+        autoscaler.hasNewPlan = false
+        planStore.write(cluster.jobs.values)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/MachineListWatcher.kt
@@ -0,0 +1,70 @@
+package linemast.control
+
+import kotlinx.coroutines.delay
+import linemast.cloud.Cloud
+import linemast.cloud.CloudException
+import linemast.cloud.Fleet
+import linemast.cloud.ListedMachine
+import linemast.cloud.MAX_MACHINES_PER_LIST_CALL
+import linemast.scheduling.Cluster
+import linemast.store.StoreException
+import org.slf4j.LoggerFactory
+
+/** Keeps the fleet up to date with the cloud's machine list, and finds out which machines are the baseline fleet. */
+internal class MachineListWatcher(
+    private val term: LeaderTerm,
+    private val cloud: Cloud,
+    /** How many calls the cloud takes. */
+    private val callsPerSecond: Double,
+    private val cluster: Cluster,
+    private val fleet: Fleet,
+    private val machineRegistryStore: MachineRegistryStore,
+    private val baselineFleetStore: BaselineFleetStore,
+) {
+    private val log = LoggerFactory.getLogger(MachineListWatcher::class.java)
+
+    /** Polls the list until it is cancelled. */
+    suspend fun run() {
+        while (true) {
+            try {
+                if (fleet.baselineMachines == null) findBaselineFleet()
+                val machines = cloud.machines()
+                term.loop.run { apply(machines) }
+            } catch (e: CloudException) {
+                log.debug("machine list: {}", e.message)
+            } catch (e: StoreException) {
+                log.debug("baseline fleet: {}", e.message)
+            }
+            delay(pollIntervalMillis(fleet.machines.size))
+        }
+    }
+
+    private suspend fun findBaselineFleet() {
+        val names = baselineFleetStore.loadOrCreate() ?: return
+        term.loop.run {
+            fleet.baselineMachines = names
+            cluster.markBaseline(names)
+        }
+    }
+
+    private fun apply(machines: List<ListedMachine>) {
+        val now = term.clock.nowMicros()
+        fleet.updateFromList(machines, cluster.types, now)
+        val absent = cluster.forgetAbsent(fleet.machines.keys, now)
+        if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
+    }
+
+    /** A large fleet takes several calls to list: they are spread so that scaling keeps most of the cloud's rate. */
+    private fun pollIntervalMillis(machines: Int): Long {
+        val calls = machines / MAX_MACHINES_PER_LIST_CALL + 1
+        return maxOf(MIN_POLL_INTERVAL_MILLIS, (calls * SECOND_MILLIS / (callsPerSecond * MAX_RATE_SHARE)).toLong())
+    }
+
+    private companion object {
+        const val MIN_POLL_INTERVAL_MILLIS = 3_000L
+        const val SECOND_MILLIS = 1_000L
+
+        /** Of the calls that the cloud takes, for its list. */
+        const val MAX_RATE_SHARE = 0.25
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/OpenJobUpdates.kt
@@ -0,0 +1,30 @@
+package linemast.control
+
+import linemast.domain.JobOutcome
+import linemast.jobs.JobKeys
+import linemast.jobs.JobRecordCodec
+import linemast.scheduling.Cluster
+import linemast.serialization.MalformedException
+import linemast.store.EntryPage
+import linemast.store.KeyChange
+import org.slf4j.LoggerFactory
+
+/** Applies what the store holds of open jobs to the cluster state. Used in turns of the leader's event loop. */
+internal class OpenJobUpdates(private val cluster: Cluster, private val outcomeListener: JobOutcomeListener) {
+    private val log = LoggerFactory.getLogger(OpenJobUpdates::class.java)
+
+    /** Applies a change of one record; a malformed one is logged and skipped. */
+    fun apply(change: KeyChange) {
+        val value = change.value ?: return cluster.dropJob(change.key.removePrefix(JobKeys.OPEN_PREFIX))
+        try {
+            val record = JobRecordCodec.decodeJob(value)
+            cluster.putJob(record, change.revision)
+            if (record.cancelled) outcomeListener.jobEnded(record.spec.id, JobOutcome.CANCELLED)
+        } catch (e: MalformedException) {
+            log.error("{}: malformed record: {}", change.key, e.message)
+        }
+    }
+
+    /** Applies all records, after changes were missed. */
+    fun applyAll(page: EntryPage) = page.entries.forEach { cluster.putJob(JobRecordCodec.decodeJob(it.value), it.revision) }
+}
--- a/src/main/kotlin/linemast/control/PlanStore.kt
+++ b/src/main/kotlin/linemast/control/PlanStore.kt
@@ -1,59 +1,58 @@
 package linemast.control
 
-import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import linemast.domain.Job
-import linemast.leadership.LeaderLease
+import linemast.planning.JobPlan
 import linemast.planning.Planner
 import linemast.serialization.Cbor
-import linemast.store.KeyValueStore
 import linemast.store.RequestPriority
 import linemast.store.Write
 import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
 
-/** Writes the plans as they stand to the store, for operators to read: as many jobs as fit a value. Nothing reads them back. */
-internal class PlanStore(
-    private val store: KeyValueStore,
-    private val scope: CoroutineScope,
-    private val leaderLease: LeaderLease,
-    private val planner: Planner,
-    private val maxValueBytes: Int,
-    private val wallMicros: () -> Long,
-) {
+/** Writes the current plans to the store, for operators to read: of as many jobs as fit a value. Nothing reads them back. */
+internal class PlanStore(private val term: LeaderTerm, private val planner: Planner) {
     private val log = LoggerFactory.getLogger(PlanStore::class.java)
 
-    /** Replaces the stored plans by those of [jobs]. */
+    /** Replaces the stored plans by those of [jobs]; a failed write is not repeated. */
     fun write(jobs: Collection<Job>) {
-        var plans = jobs.take(MAX_PLANS).mapNotNull(::encode)
-        scope.launch {
-            while (plans.isNotEmpty() && Cbor.jsonSize(value(plans)) > maxValueBytes) {
-                plans = plans.dropLast((plans.size + DROPPED_PARTS - 1) / DROPPED_PARTS)
-            }
-            storeResultOrNull(log) {
-                store.commit(listOf(leaderLease.fence), listOf(Write.Put(KEY, value(plans))), RequestPriority.BACKGROUND)
-            }
+        val plans = jobs.take(MAX_PLANS).mapNotNull { job -> planner.planOf(job)?.let { PlanCodec.encode(job.id, it) } }
+        term.scope.launch {
+            val fitting = fitting(plans)
+            storeResultOrNull(log) { term.commit(emptyList(), listOf(Write.Put(KEY, value(fitting))), RequestPriority.BACKGROUND) }
         }
     }
 
-    private fun value(plans: List<Map<String, Any?>>) = mapOf("at_us" to wallMicros(), "plans" to plans)
-
-    private fun encode(job: Job): Map<String, Any?>? {
-        val plan = planner.planOf(job) ?: return null
-        return mapOf(
-            "job" to job.id,
-            "owned" to plan.baseline.map { Math.round(it) },
-            "rented" to plan.rented.map { Math.round(it) },
-            "backup" to Math.round(plan.backup),
-            "top_up" to Math.round(plan.topUp),
-        )
+    private fun fitting(plans: List<Map<String, Any?>>): List<Map<String, Any?>> {
+        var fitting = plans
+        while (fitting.isNotEmpty() && Cbor.jsonSize(value(fitting)) > term.limits.maxValueBytes) {
+            fitting = fitting.dropLast((fitting.size + DROPPED_PARTS - 1) / DROPPED_PARTS)
+        }
+        return fitting
     }
 
+    private fun value(plans: List<Map<String, Any?>>) = PlanCodec.encode(term.wallMicros(), plans)
+
     private companion object {
         const val KEY = "plan"
         const val MAX_PLANS = 40
 
-        /** As long as the plans do not fit, one part in this many is left out. */
+        /** As long as the plans do not fit, one in this many is left out. */
         const val DROPPED_PARTS = 4
     }
 }
+
+/** The stored form of plans; see docs/glossary.md for the names. */
+internal object PlanCodec {
+    /** The stored form of one job's plan. */
+    fun encode(jobId: String, plan: JobPlan): Map<String, Any?> = mapOf(
+        "job" to jobId,
+        "owned" to plan.baseline.map { Math.round(it) },
+        "rented" to plan.rented.map { Math.round(it) },
+        "backup" to Math.round(plan.backup),
+        "top_up" to Math.round(plan.topUp),
+    )
+
+    /** The stored form of all [plans], which are in their stored form already. */
+    fun encode(atWallMicros: Long, plans: List<Map<String, Any?>>): Map<String, Any?> = mapOf("at_us" to atWallMicros, "plans" to plans)
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -0,0 +1,81 @@
+package linemast.control
+
+import kotlinx.coroutines.delay
+import linemast.domain.MachineType
+import linemast.jobs.JobKeys
+import linemast.jobs.JobRecordCodec
+import linemast.leadership.CancellationFreshness
+import linemast.scheduling.Cluster
+import linemast.serialization.MalformedException
+import linemast.store.Entry
+import linemast.store.StoreException
+import linemast.store.listAll
+import org.slf4j.LoggerFactory
+
+/** The store's revisions as of which jobs were read. */
+internal class JobRevisions(val open: Long, val blocked: Long)
+
+/** Reads what the store holds of jobs and machines when a term begins. */
+internal class StateLoader(
+    private val term: LeaderTerm,
+    private val types: () -> List<MachineType>?,
+    private val cluster: Cluster,
+    private val completedTasks: CompletedTaskStore,
+    private val machineRegistryStore: MachineRegistryStore,
+    private val dependencyCoordinator: DependencyCoordinator,
+    private val cancellationFreshness: CancellationFreshness,
+) {
+    private val log = LoggerFactory.getLogger(StateLoader::class.java)
+
+    /** Reads until it succeeds; the result says from where on changes have to be watched. */
+    suspend fun load(): JobRevisions {
+        while (true) {
+            val known = types()
+            if (known == null) {
+                delay(RETRY_MILLIS)
+                continue
+            }
+            cluster.types = known.associateBy { it.name }
+            try {
+                return read()
+            } catch (e: StoreException) {
+                log.debug("reading the store: {}", e.message)
+                delay(RETRY_MILLIS)
+            } catch (e: MalformedException) {
+                log.error("the store holds a malformed record: {}", e.message)
+                delay(MALFORMED_RETRY_MILLIS)
+            }
+        }
+    }
+
+    private suspend fun read(): JobRevisions {
+        val sentMicros = term.clock.nowMicros()
+        val open = term.store.listAll(JobKeys.OPEN_PREFIX)
+        val blocked = term.store.listAll(JobKeys.WAITING_PREFIX)
+        val completed = term.store.listAll(JobKeys.DONE_PREFIX)
+        val machines = machineRegistryStore.load()
+        val records = open.entries.map { JobRecordCodec.decodeJob(it.value) to it.revision }
+        cluster.load(records, machines, term.clock.nowMicros())
+        applyCompletedTasks(completed.entries)
+        dependencyCoordinator.load(blocked.entries)
+        cancellationFreshness.refreshedAt(sentMicros)
+        log.info("read {} open jobs and {} machines from the store", records.size, machines.size)
+        return JobRevisions(open.revision, blocked.revision)
+    }
+
+    /** Parts of jobs that have ended were left by a leader that failed before it had deleted them. */
+    private fun applyCompletedTasks(entries: List<Entry>) {
+        val orphaned = ArrayList<String>()
+        for (entry in entries) {
+            val (id, part) = entry.key.removePrefix(JobKeys.DONE_PREFIX).split('/')
+            val job = cluster.jobs[id]
+            if (job == null) orphaned += entry.key else completedTasks.apply(job, entry, part.toInt())
+        }
+        completedTasks.delete(orphaned)
+    }
+
+    private companion object {
+        const val RETRY_MILLIS = 250L
+        const val MALFORMED_RETRY_MILLIS = 1_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -0,0 +1,39 @@
+package linemast.control
+
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.scheduling.Cluster
+import linemast.scheduling.ClusterEffects
+
+/**
+ * Passes what the cluster state wants stored to the store writers.
+ *
+ * The writers change the cluster state when the store has answered, so that each side needs the other; [connect] closes the
+ * circle before the first event.
+ */
+internal class StoreEffects : ClusterEffects {
+    private lateinit var cluster: Cluster
+    private lateinit var activations: JobActivationStore
+    private lateinit var jobs: JobStore
+    private lateinit var machineRegistry: MachineRegistryStore
+
+    fun connect(cluster: Cluster, activations: JobActivationStore, jobs: JobStore, machineRegistry: MachineRegistryStore) {
+        this.cluster = cluster
+        this.activations = activations
+        this.jobs = jobs
+        this.machineRegistry = machineRegistry
+    }
+
+    override fun storeOpened(job: Job) = activations.activate(job)
+
+    override fun storeDone(job: Job) = jobs.storeProgress(job)
+
+    override fun dropCancelled(job: Job) = jobs.deleteCancelled(job)
+
+    override fun storeMachines(machines: List<Machine>) = machineRegistry.add(machines) {
+        machines.forEach { it.isRegistered = true }
+        cluster.dirty = true
+    }
+
+    override fun dropMachines(names: List<String>) = machineRegistry.remove(names)
+}
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -8,7 +8,7 @@
 import linemast.cloud.ScaleOutResult
 import linemast.domain.MachineType
 import linemast.leadership.LeaderKeys
-import linemast.leadership.LeaderLease
+import linemast.settings.StateLimits
 import linemast.simulation.SimStore
 import linemast.store.Write
 import linemast.time.Clock
@@ -48,8 +48,9 @@
         store.valueBytes = 16 * 1024
         val client = store.clientOf("mast-0")
         client.commit(emptyList(), listOf(Write.Put(LeaderKeys.LEADER, emptyMap())))
-        val leaderLease = LeaderLease(1, revision = 2, leaderLeaseMicros = 60_000_000, degradedModeMicros = 0, sentMicros = 0)
-        fun fleet() = BaselineFleetStore(client, ListingCloud(names), clock, leaderLease, store.valueBytes, txnOps, 10_000_000)
-        return store to (fleet().learn() to fleet().learn())
+        val limits = StateLimits(rps = 100.0, writeRps = 30.0, valueBytes = store.valueBytes, txnOps = txnOps)
+        val term = testTerm(client, backgroundScope, clock, limits)
+        fun fleet() = BaselineFleetStore(term, ListingCloud(names), listLagMicros = 10_000_000)
+        return store to (fleet().loadOrCreate() to fleet().loadOrCreate())
     }
 }
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -7,10 +7,10 @@
 import linemast.domain.JobRecord
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
-import linemast.leadership.LeaderLease
 import linemast.scheduling.ClusterFixture
 import linemast.scheduling.HandWorker
 import linemast.serialization.Fields
+import linemast.settings.StateLimits
 import linemast.simulation.SimStore
 import linemast.store.CommitResult
 import linemast.store.KeyChange
@@ -51,7 +51,7 @@
         assertEquals(JobPriority.HIGH, first.priority)
         fixture.cluster.finish(first)
         val other = fixture.submit("req-3", 1)
-        coordinator.over("req-1", JobOutcome.DONE)
+        coordinator.jobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(1_000)
         assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves it")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
@@ -86,20 +86,14 @@
         val fixture = ClusterFixture()
         val coordinator = coordinator(racing, fixture)
         coordinator.load(inner.list(JobKeys.WAITING_PREFIX, null).entries)
-        coordinator.over("req-1", JobOutcome.DONE)
+        coordinator.jobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(5_000)
         assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "nothing brings it back")
         assertEquals(emptySet<String>(), fixture.cluster.jobs.keys)
     }
 
     private fun TestScope.coordinator(store: KeyValueStore, fixture: ClusterFixture) = DependencyCoordinator(
-        store,
-        backgroundScope,
-        LeaderLease(5, revision = 2, leaderLeaseMicros = 60_000_000, degradedModeMicros = 0, sentMicros = 0),
-        { fixture.cluster },
-        5,
-        { fixture.now },
-        { fixture.now },
-        { action -> action() },
+        testTerm(store, backgroundScope, Clock { fixture.now }, StateLimits(rps = 100.0, writeRps = 30.0, valueBytes = 8_192, txnOps = 5)),
+        fixture.cluster,
     )
 }
--- /dev/null
+++ b/src/test/kotlin/linemast/control/TestTerm.kt
@@ -0,0 +1,18 @@
+package linemast.control
+
+import kotlinx.coroutines.CoroutineScope
+import linemast.leadership.LeaderLease
+import linemast.settings.StateLimits
+import linemast.store.KeyValueStore
+import linemast.time.Clock
+
+/** A term whose leader record has revision 2 in [store]; actions of its event loop run at once. */
+internal fun testTerm(store: KeyValueStore, scope: CoroutineScope, clock: Clock, limits: StateLimits) = LeaderTerm(
+    store,
+    LeaderLease(1, revision = 2, leaderLeaseMicros = 60_000_000, degradedModeMicros = 0, sentMicros = 0),
+    scope,
+    loop = { action -> action() },
+    clock,
+    wallMicros = clock::nowMicros,
+    limits,
+)
