--- a/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
@@ -19,7 +19,7 @@
         var baselineLeft = baselineHeadroom(job, maxOnBaseline)
         for (machine in cycle.machines.candidates(job)) {
             if (machine.baseline && baselineLeft <= 0) continue
-            if (cycle.machines.keepFree(job.spec, machine) || cycle.isLeftToAnother(job, machine)) continue
+            if (cycle.machines.isWithheld(job.spec, machine) || cycle.isLeftToAnother(job, machine)) continue
             val placed = pack(machine, job, left, spread, cycle)
             left -= placed
             if (machine.baseline) baselineLeft -= placed
@@ -35,7 +35,7 @@
         if (maxOnBaseline == null) Int.MAX_VALUE else maxOnBaseline - job.placements.count { it.machine.baseline }
 
     private fun reasonNotPlaced(job: Job, cycle: SchedulingCycle): PendingReason =
-        if (cycle.machines.of(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity
+        if (cycle.machines.feasibleFor(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity
 
     /** Assigns up to [maxTasks] tasks to [machine] while they fit; returns how many. */
     private fun pack(machine: Machine, job: Job, maxTasks: Int, spread: SpreadConstraint, cycle: SchedulingCycle): Int {
--- a/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
@@ -4,162 +4,132 @@
 import linemast.domain.JobPriority
 import linemast.domain.JobSpec
 import linemast.domain.Machine
-import linemast.domain.MachineType
 import linemast.domain.Placement
 
 /**
- * The machines that one pass may use, by shape and by free room.
+ * The machines that one scheduling cycle may use, by kind and by free capacity.
  *
- * A pass asks for machines once for each waiting job. Looking through the whole fleet each time grew with the product
- * of both; here a job is led to the few machines that have room for it, in the order that looking through all gives.
+ * A cycle asks for machines once for each pending job. To search the whole fleet each time would take a time that grows with
+ * the product of both; here a job is led to the few machines that it fits on, in the order of such a search.
  */
 internal class CandidateMachines(
     machines: Collection<Machine>,
-    private val scarce: ScarceTypes,
-    /** How soon a machine's next report, and with it a start, can be expected: the smaller the sooner. */
-    private val turn: (Machine) -> Int = { 0 },
+    private val scarceTypes: ScarceTypes,
+    /** How soon a machine's next heartbeat, and with it a start, can be expected: the smaller the sooner. */
+    private val nextHeartbeatOrder: (Machine) -> Int = { 0 },
 ) {
-    /** Machines of the same type, kind and owner: all that their place in the order shares. */
-    private class Pool(val type: MachineType, val spot: Boolean, val baseline: Boolean) {
-        val machines = ArrayList<Entry>()
-        val zones = LinkedHashSet<String>()
+    /** What tells apart jobs that the same machines are withheld from. */
+    private data class ScarcityKey(val jobClass: String, val priority: JobPriority, val pool: MachinePool)
 
-        /** By free room; sorted again only after some of it was taken or given back. */
-        private var byRoom: ArrayList<Entry>? = null
-        private var sorted = false
-
-        fun changed() {
-            sorted = false
-        }
+    private val pools: List<MachinePool>
+    private val poolOf = HashMap<Machine, MachinePool>()
+    private val positionOf = HashMap<Machine, Int>()
+    private val idleByType = HashMap<String, Int>()
+    private val scarcities = HashMap<ScarcityKey, ScarceTypes.Scarcity>()
 
-        /** Those with at least [vcpus] free, the fullest first. */
-        fun withRoom(vcpus: Double): List<Entry> {
-            val entries = byRoom ?: ArrayList(machines).also { byRoom = it }
-            if (!sorted) {
-                entries.sortWith(FULLEST_FIRST)
-                sorted = true
-            }
-            var low = 0
-            var high = entries.size
-            while (low < high) {
-                val middle = (low + high) ushr 1
-                if (entries[middle].machine.freeVcpus + EPSILON < vcpus) low = middle + 1 else high = middle
-            }
-            return entries.subList(low, entries.size)
-        }
+    /** Machines reserved for gangs, as they are when candidates are first asked for. */
+    private val reservedMachines: Map<Job, List<Machine>> by lazy {
+        pools.asSequence().flatMap { it.machines }
+            .filter { it.reservedFor != null }
+            .sortedBy { positionOf[it] }
+            .groupBy { requireNotNull(it.reservedFor) }
     }
 
-    private class Entry(val machine: Machine, val rank: Int)
-
-    private val pools: List<Pool>
-    private val poolOf = HashMap<Machine, Pool>()
-    private val rankOf = HashMap<Machine, Int>()
-
-    /** Idle machines by type; see [keepFree]. */
-    private val idle = HashMap<String, Int>()
-
-    /** What tells apart jobs that the same machines are kept from. */
-    private data class ScarcityKey(val jobClass: String, val priority: JobPriority, val pool: Pool)
-
-    private val scarcities = HashMap<ScarcityKey, ScarceTypes.Scarcity>()
-
     init {
-        val byKind = LinkedHashMap<Triple<MachineType, Boolean, Boolean>, Pool>()
-        for ((rank, machine) in machines.withIndex()) {
-            val pool = byKind.getOrPut(Triple(machine.type, machine.spot, machine.baseline)) {
-                Pool(machine.type, machine.spot, machine.baseline)
-            }
-            pool.machines += Entry(machine, rank)
-            pool.zones += machine.zone
+        val byKind = LinkedHashMap<MachineKind, MachinePool>()
+        for ((position, machine) in machines.withIndex()) {
+            val kind = MachineKind(machine.type, machine.spot, machine.baseline)
+            val pool = byKind.getOrPut(kind) { MachinePool(kind) }
+            pool.add(machine, position)
             poolOf[machine] = pool
-            rankOf[machine] = rank
-            if (machine.placements.isEmpty()) idle.merge(machine.type.name, 1, Int::plus)
+            positionOf[machine] = position
+            if (machine.placements.isEmpty()) idleByType.merge(machine.type.name, 1, Int::plus)
         }
-        // Cheap ones fill first, so that dear ones fall idle and can be returned.
-        pools = byKind.values.sortedWith(
-            compareBy({ !it.baseline }, { if (it.baseline) 0.0 else it.machines.first().machine.pricePerVcpu }, {
-                it.type.vcpus +
-                    it.type.gpus * GPU_WEIGHT
-            }),
-        )
+        pools = byKind.values.sortedWith(CHEAPEST_FIRST)
     }
 
-    val all: Sequence<Machine> get() = pools.asSequence().flatMap { it.machines }.map { it.machine }
+    /** All machines that tasks of [job] may run on, whatever is free there. */
+    fun feasibleFor(job: Job): Sequence<Machine> = poolsFor(job).asSequence().flatMap { it.machines }.filter { it.isFeasibleFor(job) }
 
-    /** All that a task of [job] may be on, with room or without. */
-    fun of(job: Job): Sequence<Machine> = poolsOf(job).asSequence().flatMap { it.machines }.map { it.machine }
-        .filter { it.allows(job.spec) && it.name !in job.failedOn }
+    /** The zones in which there are machines that tasks of [job] may run on. */
+    fun feasibleZones(job: Job): List<String> =
+        poolsFor(job).flatMap { it.zones }.distinct().filter { job.spec.zone == null || job.spec.zone == it }
 
-    fun zonesOf(job: Job): List<String> = poolsOf(job).flatMap {
-        it.zones
-    }.distinct().filter { job.spec.zone == null || job.spec.zone == it }
-
-    private fun poolsOf(job: Job): List<Pool> = pools.filter { it.type.takes(job.spec) && (job.spec.spot || !it.spot) }
+    private fun poolsFor(job: Job): List<MachinePool> = pools.filter { it.kind.takes(job) }
 
     /**
-     * Machines with room for a task of [job] that may get it, the best first: those kept for it, then those that no
-     * other job class needs more. Within a guarantee those that have its image come next, since there is no time to fetch it,
-     * and of them those that report soonest.
+     * Machines that a task of [job] fits on, the best first: those reserved for it, then those that no other job class needs more.
+     * For a job within its quota those that have its image come next, since there is no time to fetch it, and of them those
+     * whose next heartbeat is due soonest.
      *
-     * What is placed while going through them shows in the next call.
+     * What is placed while the sequence is read shows in the next call.
      */
     fun candidates(job: Job): Sequence<Machine> = sequence {
-        val pools = poolsOf(job).groupBy { scarcity(job.spec, it).isScarce }
-        yieldAll(keptFor(job))
-        for (scarce in listOf(false, true)) {
-            val open = pools[scarce].orEmpty().map { pool -> pool.withRoom(job.spec.vcpus).filter { isOpen(it.machine, job) } }
-            val (having, lacking) = open.map { entries -> entries.partition { job.spec.image in it.machine.images } }.unzip()
-            if (job.withinQuota) {
-                yieldAll(soonestFirst(having))
-                yieldAll(soonestFirst(lacking))
-            } else {
-                for (at in having.indices) yieldAll((having[at].asSequence() + lacking[at].asSequence()).map { it.machine })
-            }
-        }
+        val poolsByScarcity = poolsFor(job).groupBy { scarcity(job.spec, it).isScarce }
+        yieldAll(reservedMachines[job].orEmpty().filter { it.reservedFor === job && it.canPlace(job) })
+        for (isScarce in listOf(false, true)) yieldAll(unreservedCandidates(job, poolsByScarcity[isScarce].orEmpty()))
     }
 
-    private fun soonestFirst(entries: List<List<Entry>>): Sequence<Machine> =
-        sequence { yieldAll(entries.flatten().map { it.machine }.sortedBy(turn)) }
-
-    private fun isOpen(machine: Machine, job: Job): Boolean =
-        machine.reservedFor == null && machine.fits(job) && machine.allows(job.spec) && machine.name !in job.failedOn
-
-    private fun keptFor(job: Job): List<Machine> = reserved[job].orEmpty().filter { machine ->
-        machine.reservedFor === job && machine.fits(job) && machine.allows(job.spec) && machine.name !in job.failedOn
+    private fun unreservedCandidates(job: Job, pools: List<MachinePool>): Sequence<Machine> {
+        val candidates = pools.map { pool ->
+            pool.withFreeVcpus(job.spec.vcpus).mapNotNull { entry ->
+                entry.machine.takeIf { it.reservedFor == null && it.canPlace(job) }
+            }
+        }
+        val (withImage, withoutImage) = candidates.map { machines -> machines.partition { job.spec.image in it.images } }.unzip()
+        if (job.withinQuota) return soonestHeartbeatFirst(withImage) + soonestHeartbeatFirst(withoutImage)
+        return candidates.indices.asSequence().flatMap { withImage[it].asSequence() + withoutImage[it].asSequence() }
     }
 
-    private val reserved: Map<Job, List<Machine>> by lazy {
-        all.filter { it.reservedFor != null }.sortedBy { rankOf[it] }.groupBy { requireNotNull(it.reservedFor) }
-    }
+    private fun soonestHeartbeatFirst(machinesByPool: List<List<Machine>>): Sequence<Machine> =
+        machinesByPool.asSequence().flatten().sortedBy(nextHeartbeatOrder)
 
-    /** Whether [machine] had better not take a task of [spec]: others need such machines, and none would be left idle. */
-    fun keepFree(spec: JobSpec, machine: Machine): Boolean {
+    /**
+     * Whether [machine] is withheld from tasks of [spec]: other job classes need its type, and too few machines of the types that
+     * serve them would be left idle.
+     */
+    fun isWithheld(spec: JobSpec, machine: Machine): Boolean {
         val scarcity = scarcity(spec, poolOf.getValue(machine))
         if (!scarcity.isScarce || scarcity.isClosed) return scarcity.isClosed
         if (machine.placements.isNotEmpty()) return false
-        return scarcity.neededTypes.sumOf { idle[it] ?: 0 } <= KEPT_IDLE
+        return scarcity.neededTypes.sumOf { idleByType[it] ?: 0 } <= MIN_IDLE
     }
 
-    /** Whether room that comes free on [machine] is of use to [job]. */
-    fun serves(machine: Machine, job: Job): Boolean =
-        machine in poolOf && machine.allows(job.spec) && machine.name !in job.failedOn && !keepFree(job.spec, machine)
+    /** Whether capacity that frees up on [machine] is of use to [job]. */
+    fun isEligible(machine: Machine, job: Job): Boolean = machine in poolOf && machine.isFeasibleFor(job) && !isWithheld(job.spec, machine)
 
-    private fun scarcity(spec: JobSpec, pool: Pool): ScarceTypes.Scarcity =
-        scarcities.getOrPut(ScarcityKey(spec.jobClass, spec.priority, pool)) { scarce.of(pool.type, pool.spot, spec) }
+    private fun scarcity(spec: JobSpec, pool: MachinePool): ScarceTypes.Scarcity =
+        scarcities.getOrPut(ScarcityKey(spec.jobClass, spec.priority, pool)) {
+            scarceTypes.scarcityOf(pool.kind.type, pool.kind.spot, spec)
+        }
+
+    /** [placement] was assigned to its machine. */
+    fun assigned(placement: Placement) {
+        val machine = placement.machine
+        val pool = poolOf[machine] ?: return
+        pool.capacityChanged()
+        if (machine.placements.size == 1) idleByType.merge(machine.type.name, -1, Int::plus)
+    }
 
-    /** [placement] was put on its machine or taken off again. */
-    fun changed(placement: Placement, put: Boolean) {
+    /** [placement] was removed from its machine. */
+    fun unassigned(placement: Placement) {
         val machine = placement.machine
         val pool = poolOf[machine] ?: return
-        pool.changed()
-        if (put && machine.placements.size == 1) idle.merge(machine.type.name, -1, Int::plus)
-        if (!put && machine.placements.isEmpty()) idle.merge(machine.type.name, 1, Int::plus)
+        pool.capacityChanged()
+        if (machine.placements.isEmpty()) idleByType.merge(machine.type.name, 1, Int::plus)
     }
 
     private companion object {
         const val GPU_WEIGHT = 16.0
-        const val KEPT_IDLE = 1
-        const val EPSILON = 1e-6
-        val FULLEST_FIRST = compareBy<Entry>({ it.machine.freeVcpus }, { it.rank })
+
+        /** So many machines of a scarce type stay idle for the job classes that need it. */
+        const val MIN_IDLE = 1
+
+        /** Cheap machines fill first, so that dear ones become idle and can be scaled in; static ones come before all. */
+        val CHEAPEST_FIRST = compareBy<MachinePool>(
+            { !it.kind.baseline },
+            { if (it.kind.baseline) 0.0 else it.machines.first().pricePerVcpu },
+            { it.kind.type.vcpus + it.kind.type.gpus * GPU_WEIGHT },
+        )
     }
 }
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -45,7 +45,7 @@
     fun preemptForCapacity(gang: Job, zone: String?, missing: Int, cycle: SchedulingCycle): Boolean {
         // What is reserved for a starving gang frees up by itself; more would only be kept from others.
         if (gang === reservation.gang) return true
-        val machines = cycle.machines.of(gang).filter { zone == null || it.zone == zone }
+        val machines = cycle.machines.feasibleFor(gang).filter { zone == null || it.zone == zone }
         val reservedCount = machines.count { it.reservedFor === gang }
         if (reservedCount >= missing) return true
         val windowMicros = timing.gangWindowMicros(gang, cluster.wallMicros() - gang.readyWallMicros)
--- a/src/main/kotlin/linemast/scheduling/GangReservation.kt
+++ b/src/main/kotlin/linemast/scheduling/GangReservation.kt
@@ -38,7 +38,7 @@
         gang = next
     }
 
-    private fun availableMachines(gang: Job, cycle: SchedulingCycle): List<AvailableMachine> = cycle.machines.of(gang)
+    private fun availableMachines(gang: Job, cycle: SchedulingCycle): List<AvailableMachine> = cycle.machines.feasibleFor(gang)
         .filter { it.reservedFor == null || it.reservedFor === gang }
         .map { AvailableMachine(it, estimates.freeAfterMicros(it, cycle.nowMicros)) }
         .sortedBy { it.freeAfterMicros }
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/MachinePool.kt
@@ -0,0 +1,67 @@
+package linemast.scheduling
+
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.MachineType
+
+/** What machines have in common that come at the same place in the order of candidates. */
+internal data class MachineKind(val type: MachineType, val spot: Boolean, val baseline: Boolean) {
+    /** Whether tasks of [job] may run on machines of this kind. */
+    fun takes(job: Job): Boolean = type.takes(job.spec) && (job.spec.spot || !spot)
+}
+
+/** The machines of one kind, searchable by free vcpus. */
+internal class MachinePool(val kind: MachineKind) {
+    /** A machine with its [position] among all machines, which decides between equal ones. */
+    class Entry(val machine: Machine, val position: Int)
+
+    private val entries = ArrayList<Entry>()
+    private val zonesInOrder = LinkedHashSet<String>()
+
+    /** A copy of [entries], sorted again only after the free capacity of one has changed. */
+    private var byFreeVcpus: ArrayList<Entry>? = null
+    private var sorted = false
+
+    /** All machines, in the order in which they were added. */
+    val machines: Sequence<Machine> get() = entries.asSequence().map { it.machine }
+
+    /** The zones of the machines, in the order of their first machines. */
+    val zones: Set<String> get() = zonesInOrder
+
+    /** Adds a machine, before the first search. */
+    fun add(machine: Machine, position: Int) {
+        entries += Entry(machine, position)
+        zonesInOrder += machine.zone
+    }
+
+    /** The free capacity of one of the machines has changed. */
+    fun capacityChanged() {
+        sorted = false
+    }
+
+    /** The machines with at least [vcpus] free, the fullest first. */
+    fun withFreeVcpus(vcpus: Double): List<Entry> {
+        val sortedEntries = sortedEntries()
+        var low = 0
+        var high = sortedEntries.size
+        while (low < high) {
+            val middle = (low + high) ushr 1
+            if (sortedEntries[middle].machine.freeVcpus + EPSILON < vcpus) low = middle + 1 else high = middle
+        }
+        return sortedEntries.subList(low, sortedEntries.size)
+    }
+
+    private fun sortedEntries(): List<Entry> {
+        val copy = byFreeVcpus ?: ArrayList(entries).also { byFreeVcpus = it }
+        if (!sorted) {
+            copy.sortWith(FULLEST_FIRST)
+            sorted = true
+        }
+        return copy
+    }
+
+    private companion object {
+        const val EPSILON = 1e-6
+        val FULLEST_FIRST = compareBy<Entry>({ it.machine.freeVcpus }, { it.position })
+    }
+}
--- a/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
@@ -51,7 +51,7 @@
     /** Tasks that may be preempted for [job], the latest started first. */
     private fun victimsFor(job: Job): List<Placement> = borrowingJobs.filter { mayPreempt(it, job) }
         .flatMap { it.placements }
-        .filter { it.isPreemptible && it.machine.reservedFor == null && cycle.machines.serves(it.machine, job) }
+        .filter { it.isPreemptible && it.machine.reservedFor == null && cycle.machines.isEligible(it.machine, job) }
         .sortedByDescending { it.sentMicros }
 
     private fun mayPreempt(victimJob: Job, job: Job): Boolean = victimJob.spec.team != job.spec.team &&
@@ -65,8 +65,8 @@
     private fun countEndingSoon(job: Job, max: Int): Int {
         val windowMicros = timing.quotaWindowMicros(cluster.wallMicros() - job.readyWallMicros)
         if (windowMicros <= 0 || max <= 0) return 0
-        val ending = cycle.machines.of(job)
-            .filter { !cycle.machines.keepFree(job.spec, it) }
+        val ending = cycle.machines.feasibleFor(job)
+            .filter { !cycle.machines.isWithheld(job.spec, it) }
             .flatMap { it.placements.values }
             .filter {
                 it !in endingSoon &&
--- a/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -4,56 +4,64 @@
 import linemast.domain.MachineType
 
 /**
- * Keeps machines that only some jobs need free of tasks that fit elsewhere.
+ * Tells which machine types are scarce: some job classes fit no smaller type, so that tasks that fit elsewhere should leave
+ * such machines to them.
  *
- * Learnt from the jobs seen lately: a type is scarce for a job class whose tasks fit no smaller type.
+ * Learned from the jobs seen lately.
  */
 internal class ScarceTypes {
-    private class Need(val spec: JobSpec, val typeNames: Set<String>, var seenMicros: Long)
+    /** A job class, by one of its jobs, that fits only on the types [typeNames], while there are smaller ones. */
+    private class Demand(val spec: JobSpec, val typeNames: Set<String>, var lastSeenMicros: Long)
 
-    private val needs = HashMap<String, Need>()
+    /** What stands against placing a task on machines of one type. */
+    data class Scarcity(
+        /** Whether other job classes need such machines more; spot machines are needed only by those that may use them. */
+        val isScarce: Boolean,
+        /** Whether the task could not be preempted for those that need the machine: it must not be placed there. */
+        val isClosed: Boolean,
+        /** The types that serve those that need such machines. */
+        val neededTypes: Set<String>,
+    )
+
+    private val demands = HashMap<String, Demand>()
 
+    /** Learns from the present jobs' [specs], and forgets job classes that have not been seen for long. */
     fun learn(specs: List<JobSpec>, types: Collection<MachineType>, nowMicros: Long) {
-        needs.values.removeIf { nowMicros - it.seenMicros > MEMORY_MICROS }
+        demands.values.removeIf { nowMicros - it.lastSeenMicros > MEMORY_MICROS }
         for (spec in specs) {
-            val known = needs[spec.jobClass]
-            if (known != null) {
-                known.seenMicros = nowMicros
-                continue
-            }
-            val fitting = types.filter { it.takes(spec) }
-            val smallest = fitting.minOfOrNull { it.vcpus } ?: continue
-            if (types.any { it.vcpus < smallest }) {
-                needs[spec.jobClass] = Need(spec, fitting.mapTo(HashSet()) { it.name }, nowMicros)
+            val known = demands[spec.jobClass]
+            if (known == null) {
+                demandOf(spec, types, nowMicros)?.let { demands[spec.jobClass] = it }
+            } else {
+                known.lastSeenMicros = nowMicros
             }
         }
     }
 
-    /** What speaks against putting a task on machines of one type and kind. */
-    class Scarcity(
-        /** Whether other job classes need such machines more; spot ones are needed by those that may use them. */
-        val isScarce: Boolean,
-        /** Whether work that got there could not be stopped for those that need them: it must not get there. */
-        val isClosed: Boolean,
-        /** The types that serve those who need them. */
-        val neededTypes: Set<String>,
-    )
+    private fun demandOf(spec: JobSpec, types: Collection<MachineType>, nowMicros: Long): Demand? {
+        val fitting = types.filter { it.takes(spec) }
+        val smallestVcpus = fitting.minOfOrNull { it.vcpus } ?: return null
+        if (types.none { it.vcpus < smallestVcpus }) return null
+        return Demand(spec, fitting.mapTo(HashSet()) { it.name }, nowMicros)
+    }
 
-    fun of(type: MachineType, spot: Boolean, spec: JobSpec): Scarcity {
-        val others = others(type, spot, spec)
+    /** How scarce machines of [type], spot or not, are for tasks of [spec]. */
+    fun scarcityOf(type: MachineType, spot: Boolean, spec: JobSpec): Scarcity {
+        val others = demandsOfOthers(type, spot, spec)
         return Scarcity(
-            others.isNotEmpty(),
-            others.any { it.spec.priority >= spec.priority },
-            others.firstOrNull()?.typeNames ?: emptySet(),
+            isScarce = others.isNotEmpty(),
+            isClosed = others.any { it.spec.priority >= spec.priority },
+            neededTypes = others.firstOrNull()?.typeNames ?: emptySet(),
         )
     }
 
+    /** Whether no task of [spec] is ever placed on machines of [type], although it would fit. */
     fun isClosedTo(type: MachineType, spot: Boolean, spec: JobSpec): Boolean =
-        others(type, spot, spec).any { it.spec.priority >= spec.priority }
+        demandsOfOthers(type, spot, spec).any { it.spec.priority >= spec.priority }
 
-    private fun others(type: MachineType, spot: Boolean, spec: JobSpec): List<Need> {
-        if (needs[spec.jobClass]?.typeNames?.contains(type.name) == true) return emptyList()
-        return needs.values.filter { type.name in it.typeNames && (it.spec.spot || !spot) }
+    private fun demandsOfOthers(type: MachineType, spot: Boolean, spec: JobSpec): List<Demand> {
+        if (demands[spec.jobClass]?.typeNames?.contains(type.name) == true) return emptyList()
+        return demands.values.filter { type.name in it.typeNames && (it.spec.spot || !spot) }
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** Led by sorts and free room, a job gets the machines that looking through the whole fleet would give it. */
+/** By kind and free capacity, a job finds the same machines as by an exhaustive search of the fleet. */
 class CandidateMachinesTest {
     private val types = listOf(
         MachineType("small", 4.0, 0.0, 16.0, 10.0, 1.0, 0.4, 0.1, 30_000_000, listOf("a", "b")),
@@ -22,47 +22,48 @@
     )
 
     @Test
-    fun `candidates are those of a plain search, in its order`() {
+    fun `candidates equal those of an exhaustive search, in the same order`() {
         val seed = 23
         println("seed $seed")
         var compared = 0
         repeat(200) { round ->
             val random = Random(seed * 1_000 + round)
             val jobs = List(8) { job(it, random) }
-            val scarce = ScarceTypes().apply { learn(jobs.map { it.spec }, types, 0L) }
+            val scarceTypes = ScarceTypes().apply { learn(jobs.map { it.spec }, types, 0L) }
             val machines = List(random.nextInt(1, 60)) { machine(it, jobs, random) }
-            val usable = CandidateMachines(machines, scarce, ::turn)
+            val candidateMachines = CandidateMachines(machines, scarceTypes, ::nextHeartbeatOrder)
             for (job in jobs) {
-                val plain = plainly(job, machines, scarce)
+                val expected = exhaustiveSearch(job, machines, scarceTypes)
                 assertEquals(
-                    plain.map {
-                        it.name
-                    },
-                    usable.candidates(job).map { it.name }.toList(),
+                    expected.map { it.name },
+                    candidateMachines.candidates(job).map { it.name }.toList(),
                     "${job.spec.jobClass} ${job.spec.vcpus}",
                 )
-                compared += plain.size
-                // What is placed shows in the next search, by the room and by the machines left idle.
-                val machine = plain.randomOrNull(random) ?: continue
+                compared += expected.size
+                // What is placed shows in the next search, by the free capacity and by the machines left idle.
+                val machine = expected.randomOrNull(random) ?: continue
                 val placement = Placement(machine, TaskId(job.id, job.nextPending(0)), 1, job)
                 machine.put(placement)
-                usable.changed(placement, put = true)
-                for (other in machines) assertEquals(plainlyKeptFree(job.spec, other, machines, scarce), usable.keepFree(job.spec, other))
+                candidateMachines.assigned(placement)
+                for (other in machines) {
+                    val expectedWithheld = isWithheldByDefinition(job.spec, other, machines, scarceTypes)
+                    assertEquals(expectedWithheld, candidateMachines.isWithheld(job.spec, other))
+                }
             }
         }
         assertTrue(compared > 10_000, "only $compared machines were compared")
     }
 
-    private fun turn(machine: Machine) = machine.name.hashCode() and 3
+    private fun nextHeartbeatOrder(machine: Machine) = machine.name.hashCode() and 3
 
-    private fun plainly(job: Job, machines: List<Machine>, scarce: ScarceTypes): List<Machine> = machines
+    private fun exhaustiveSearch(job: Job, machines: List<Machine>, scarceTypes: ScarceTypes): List<Machine> = machines
         .filter { (it.reservedFor == null || it.reservedFor === job) && it.allows(job.spec) && it.fits(job) && it.name !in job.failedOn }
         .sortedWith(
             compareBy(
                 { it.reservedFor !== job },
-                { it.reservedFor !== job && scarce.of(it.type, it.spot, job.spec).isScarce },
+                { it.reservedFor !== job && scarceTypes.scarcityOf(it.type, it.spot, job.spec).isScarce },
                 { it.reservedFor !== job && job.withinQuota && job.spec.image !in it.images },
-                { if (it.reservedFor !== job && job.withinQuota) turn(it) else 0 },
+                { if (it.reservedFor !== job && job.withinQuota) nextHeartbeatOrder(it) else 0 },
                 { it.reservedFor !== job && !it.baseline },
                 { if (it.reservedFor === job || it.baseline) 0.0 else it.pricePerVcpu },
                 { if (it.reservedFor === job) 0.0 else it.type.vcpus + it.type.gpus * 16 },
@@ -71,8 +72,8 @@
             ),
         )
 
-    private fun plainlyKeptFree(spec: JobSpec, machine: Machine, machines: List<Machine>, scarce: ScarceTypes): Boolean {
-        val scarcity = scarce.of(machine.type, machine.spot, spec)
+    private fun isWithheldByDefinition(spec: JobSpec, machine: Machine, machines: List<Machine>, scarceTypes: ScarceTypes): Boolean {
+        val scarcity = scarceTypes.scarcityOf(machine.type, machine.spot, spec)
         if (!scarcity.isScarce || scarcity.isClosed) return scarcity.isClosed
         return machine.placements.isEmpty() && machines.count { it.type.name in scarcity.neededTypes && it.placements.isEmpty() } <= 1
     }
@@ -98,9 +99,8 @@
             "bundle" to "img-${random.nextInt(3)}", "yard" to listOf(null, "a", "b")[random.nextInt(3)],
             "loaners" to random.nextBoolean(), "guess_s" to 10.0, "due_s" to 100.0,
         )
-        return Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false).also {
-            it.withinQuota =
-                random.nextBoolean()
-        }
+        val job = Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
+        job.withinQuota = random.nextBoolean()
+        return job
     }
 }
