--- a/src/main/kotlin/linemast/settings/Duty.kt
+++ b/src/main/kotlin/linemast/settings/Duty.kt
@@ -1,24 +1,25 @@
 package linemast.settings
 
-/** A kind of action at the cloud that only the current leader may take; [stored] is its name in the store and in settings. */
+/** A kind of cloud action that only the current leader may begin; [stored] is its name in the store and in settings. */
 enum class Duty(val stored: String) {
-    /** Renting machines. */
+    /** Adding machines. */
     SCALE_OUT("rent"),
 
-    /** Giving back machines that nobody needs any more. */
+    /** Removing idle machines. */
     SCALE_IN("return"),
 
-    /** Taking machines out of the fleet that are lost to it: silent, deaf, faulty, preempted or absent ones. */
+    /** Removing machines that the fleet has lost: unreachable, quarantined, preempted or missing ones. */
     RECLAIM("reclaim"),
 
-    /** Deleting what is left of machines that have stopped, were taken, or never came up. */
+    /** Deleting the remains of machines that have failed, were preempted without notice, or did not start. */
     CLEAN_UP("clean-up"),
     ;
 
+    /** Lookup by the stored name. */
     companion object {
         private val byStored = entries.associateBy { it.stored }
 
-        /** The duty called [stored]; null if there is none. */
+        /** The duty stored as [stored]; null if there is none. */
         fun of(stored: String): Duty? = byStored[stored]
     }
 }
