--- a/src/main/kotlin/linemast/admission/AdmissionCodec.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionCodec.kt
@@ -20,8 +20,8 @@
     fun encode(plan: AdmissionPlan): Map<String, Any?> = mapOf(
         "epoch" to plan.epoch,
         "helm" to plan.fencingToken,
-        "flows" to plan.arcs.entries.sortedBy { it.key }.map { (flow, arc) ->
-            flowFields(flow) + mapOf("head" to arc.head, "width" to arc.width, "pace" to arc.pace)
+        "flows" to plan.ranges.entries.sortedBy { it.key }.map { (flow, range) ->
+            flowFields(flow) + mapOf("head" to range.position, "width" to range.length, "pace" to range.rate)
         },
     )
 
@@ -29,15 +29,15 @@
     fun decodePlan(fields: Fields) = AdmissionPlan(
         epoch = fields.long("epoch"),
         fencingToken = fields.long("helm"),
-        arcs = fields.children("flows").associate { flow(it) to arc(it) },
+        ranges = fields.children("flows").associate { flow(it) to range(it) },
     )
 
-    private fun arc(fields: Fields): HashRange {
-        val arc = HashRange(fields.long("head"), fields.long("width"), fields.long("pace"))
-        if (arc.head !in 0 until HashRing.SIZE) fields.fail("head", "is not a point of the circle")
-        if (arc.width !in 0..HashRing.SIZE) fields.fail("width", "is not an arc of the circle")
-        if (arc.pace !in 1..HashRing.SIZE) fields.fail("pace", "must be at least 1")
-        return arc
+    private fun range(fields: Fields): HashRange {
+        val range = HashRange(fields.long("head"), fields.long("width"), fields.long("pace"))
+        if (range.position !in 0 until HashRing.SIZE) fields.fail("head", "is not a point of the circle")
+        if (range.length !in 0..HashRing.SIZE) fields.fail("width", "is not an arc of the circle")
+        if (range.rate !in 1..HashRing.SIZE) fields.fail("pace", "must be at least 1")
+        return range
     }
 
     /** The stored form of [report]. */
--- a/src/main/kotlin/linemast/admission/AdmissionController.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionController.kt
@@ -14,7 +14,7 @@
         private set
 
     /** Takes a plan that was read from the store; an older one than that in force changes nothing. */
-    fun take(next: AdmissionPlan) {
+    fun apply(next: AdmissionPlan) {
         val isNewer = compareValuesBy(next, plan, AdmissionPlan::fencingToken, AdmissionPlan::epoch) > 0
         if (!isNewer) return
         plan = next
@@ -22,17 +22,17 @@
     }
 
     /** What to do with a submission that is not known to have been accepted before. */
-    fun decide(spec: JobSpec): Decision {
+    fun decide(spec: JobSpec): AdmissionDecision {
         val flow = flows.flowOf(spec)
         val now = clock.nowMicros()
-        meter.offered(flow, spec.id, now)
+        meter.recordOffered(flow, spec.id, now)
         // Without a leader nobody moves the arcs on: rather than to keep the rest out for ever, all are let in.
-        if (now - seenMicros > PLAN_VALID_MICROS) return Decision.Admitted
+        if (now - seenMicros > PLAN_VALID_MICROS) return AdmissionDecision.Admitted
         return plan.decide(flow, spec.id)
     }
 
     /** A submission that was admitted has been accepted. */
-    fun accepted(id: String) = meter.accepted(id, clock.nowMicros())
+    fun recordAccepted(id: String) = meter.recordAccepted(id, clock.nowMicros())
 
     /** What the flows ask for here. */
     fun demands(): Map<Flow, FlowDemand> = meter.demands(clock.nowMicros())
--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -66,7 +66,7 @@
     }
 
     private suspend fun take(value: Fields) {
-        storeResultOrNull(logger) { AdmissionCodec.decodePlan(value) }?.let(gate::take)
+        storeResultOrNull(logger) { AdmissionCodec.decodePlan(value) }?.let(gate::apply)
     }
 
     private suspend fun tellDemand() {
--- a/src/main/kotlin/linemast/admission/AdmissionLeader.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionLeader.kt
@@ -53,19 +53,19 @@
     private suspend fun step() {
         val now = clock.nowMicros()
         board.take(store.listAll(AdmissionCodec.DEMAND_PREFIX).entries, now)
-        val arcs = planner.next(plan.arcs, board.demands(now), openJobs(), now - plannedMicros)
-        if (arcs.isEmpty() && plan.arcs.isEmpty()) {
+        val ranges = planner.next(plan.ranges, board.demands(now), openJobs(), now - plannedMicros)
+        if (ranges.isEmpty() && plan.ranges.isEmpty()) {
             plannedMicros = now
             return
         }
-        publish(fitting(AdmissionPlan(plan.epoch + 1, leaderLease.fencingToken, arcs)), now)
+        publish(fitting(AdmissionPlan(plan.epoch + 1, leaderLease.fencingToken, ranges)), now)
     }
 
     /** Without the arcs that let in most, until the plan fits a value. */
     private fun fitting(plan: AdmissionPlan): AdmissionPlan {
         var fitting = plan
-        while (fitting.arcs.isNotEmpty() && Cbor.jsonSize(AdmissionCodec.encode(fitting)) > maxValueBytes) {
-            fitting = fitting.copy(arcs = fitting.arcs - fitting.arcs.maxBy { it.value.pace }.key)
+        while (fitting.ranges.isNotEmpty() && Cbor.jsonSize(AdmissionCodec.encode(fitting)) > maxValueBytes) {
+            fitting = fitting.copy(ranges = fitting.ranges - fitting.ranges.maxBy { it.value.rate }.key)
         }
         return fitting
     }
@@ -75,7 +75,7 @@
         val put = Write.Put(AdmissionCodec.PLAN_KEY, AdmissionCodec.encode(next))
         when (val result = store.commit(preconditions, listOf(put), RequestPriority.CRITICAL)) {
             is CommitResult.Applied -> {
-                if (plan.arcs.keys != next.arcs.keys) logger.info("admission epoch {}: limited {}", next.epoch, next.arcs.keys)
+                if (plan.ranges.keys != next.ranges.keys) logger.info("admission epoch {}: limited {}", next.epoch, next.ranges.keys)
                 plan = next
                 revision = result.revision
                 plannedMicros = nowMicros
--- a/src/main/kotlin/linemast/admission/AdmissionPlan.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionPlan.kt
@@ -1,12 +1,12 @@
 package linemast.admission
 
 /** What a controller does with a new submission. */
-sealed interface Decision {
+sealed interface AdmissionDecision {
     /** It is taken. */
-    data object Admitted : Decision
+    data object Admitted : AdmissionDecision
 
-    /** It is not taken now; asked again after [seconds] it will be, unless the flow grows meanwhile. */
-    data class Later(val seconds: Int) : Decision
+    /** It is not taken now; asked again after [retryAfterSeconds] it will be, unless the flow grows meanwhile. */
+    data class Deferred(val retryAfterSeconds: Int) : AdmissionDecision
 }
 
 /**
@@ -20,14 +20,14 @@
     val epoch: Long,
     /** The term that made it. */
     val fencingToken: Long,
-    val arcs: Map<Flow, HashRange>,
+    val ranges: Map<Flow, HashRange>,
 ) {
     /** What to do with the submission of [id] in [flow]. */
-    fun decide(flow: Flow, id: String): Decision {
-        val arc = arcs[flow] ?: return Decision.Admitted
-        val point = HashRing.pointOf(id)
-        if (arc.contains(point)) return Decision.Admitted
-        return Decision.Later(arc.secondsUntil(point).coerceIn(1, MAX_RETRY_SECONDS).toInt())
+    fun decide(flow: Flow, id: String): AdmissionDecision {
+        val range = ranges[flow] ?: return AdmissionDecision.Admitted
+        val point = HashRing.positionOf(id)
+        if (range.contains(point)) return AdmissionDecision.Admitted
+        return AdmissionDecision.Deferred(range.secondsUntil(point).coerceIn(1, MAX_RETRY_SECONDS).toInt())
     }
 
     companion object {
--- a/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
@@ -13,9 +13,9 @@
     /** By how much more or less than computed a flow is let in, learnt from what was accepted. */
     private val corrections = HashMap<Flow, Double>()
 
-    /** The arcs of the next plan, [elapsedMicros] after the one with [arcs]. */
+    /** The arcs of the next plan, [elapsedMicros] after the one with [ranges]. */
     fun next(
-        arcs: Map<Flow, HashRange>,
+        ranges: Map<Flow, HashRange>,
         demands: Map<Flow, FlowDemand>,
         openJobs: Map<Flow, Int>,
         elapsedMicros: Long,
@@ -25,11 +25,11 @@
         val next = LinkedHashMap<Flow, HashRange>()
         for ((flow, demand) in demands) {
             val rate = allowed.getValue(flow)
-            val arc = arcs[flow]
+            val range = ranges[flow]
             // One that is limited stays so a little longer: what waits has been told when to come.
-            val bound = if (arc == null) rate else rate * RELEASE_SHARE
+            val bound = if (range == null) rate else rate * RELEASE_SHARE
             if (wanted.getValue(flow) <= bound) continue
-            arc(flow, demand, rate, arc, elapsedMicros)?.let { next[flow] = it }
+            range(flow, demand, rate, range, elapsedMicros)?.let { next[flow] = it }
         }
         corrections.keys.retainAll(next.keys)
         return next
@@ -47,21 +47,21 @@
     }
 
     /** Null if the flow need not be limited after all. */
-    private fun arc(flow: Flow, demand: FlowDemand, rate: Double, arc: HashRange?, elapsedMicros: Long): HashRange? {
+    private fun range(flow: Flow, demand: FlowDemand, rate: Double, range: HashRange?, elapsedMicros: Long): HashRange? {
         val dwellSeconds = settings.dwellMicros / 1e6
         // What comes anew meets an arc that is as wide as the head moves in the dwell time; what waits is met by the head.
         val met = demand.offered * dwellSeconds + demand.waiting
-        val share = rate / maxOf(met, MIN_RATE) * correction(flow, demand, rate, arc)
+        val share = rate / maxOf(met, MIN_RATE) * correction(flow, demand, rate, range)
         if (share * dwellSeconds >= 1.0) return null
-        val pace = (share * HashRing.SIZE).toLong().coerceAtLeast(1)
-        val head = arc?.after(elapsedMicros)?.head ?: 0L
-        return HashRange(head, width = pace * settings.dwellMicros / SECOND_MICROS, pace = pace)
+        val rangeRate = (share * HashRing.SIZE).toLong().coerceAtLeast(1)
+        val position = range?.after(elapsedMicros)?.position ?: 0L
+        return HashRange(position, length = rangeRate * settings.dwellMicros / SECOND_MICROS, rate = rangeRate)
     }
 
-    private fun correction(flow: Flow, demand: FlowDemand, rate: Double, arc: HashRange?): Double {
+    private fun correction(flow: Flow, demand: FlowDemand, rate: Double, range: HashRange?): Double {
         val last = corrections[flow] ?: 1.0
         val next = when {
-            arc == null -> 1.0
+            range == null -> 1.0
             demand.accepted > rate * CLEARLY_MORE -> last / CORRECTION_STEP
             demand.accepted < rate / CLEARLY_MORE -> last * CORRECTION_STEP
             else -> last
--- a/src/main/kotlin/linemast/admission/DemandMeter.kt
+++ b/src/main/kotlin/linemast/admission/DemandMeter.kt
@@ -23,13 +23,13 @@
     private val seen = LinkedHashMap<String, Seen>()
 
     /** A submission of [id] that is not known to have been accepted before has come. */
-    fun offered(flow: Flow, id: String, nowMicros: Long) {
+    fun recordOffered(flow: Flow, id: String, nowMicros: Long) {
         forget(nowMicros)
         seen.getOrPut(id) { Seen(flow, nowMicros) }
     }
 
     /** The submission of [id] has been accepted. */
-    fun accepted(id: String, nowMicros: Long) {
+    fun recordAccepted(id: String, nowMicros: Long) {
         seen[id]?.let { if (it.acceptedMicros == 0L) it.acceptedMicros = nowMicros }
     }
 
--- a/src/main/kotlin/linemast/admission/FlowRoundRobin.kt
+++ b/src/main/kotlin/linemast/admission/FlowRoundRobin.kt
@@ -13,7 +13,7 @@
     private var turns = 0L
 
     /** The jobs among [waiting] whose turn it is, the first to go first. [waiting] is in the order in which each flow's jobs go. */
-    fun choose(waiting: List<Job>): List<Job> {
+    fun next(waiting: List<Job>): List<Job> {
         val byFlow = waiting.groupBy { flows.flowOf(it.spec) }
         lastTurns.keys.retainAll(byFlow.keys)
         val inTurn = byFlow.entries.sortedBy { lastTurns[it.key] ?: 0L }.map { it.value }
@@ -21,7 +21,7 @@
     }
 
     /** [job] has got room. */
-    fun served(job: Job) {
+    fun recordServed(job: Job) {
         lastTurns[flows.flowOf(job.spec)] = ++turns
     }
 
--- a/src/main/kotlin/linemast/admission/HashRing.kt
+++ b/src/main/kotlin/linemast/admission/HashRing.kt
@@ -13,23 +13,24 @@
     const val SIZE = 1L shl 32
 
     /** The point of [id]. */
-    fun pointOf(id: String): Long = CRC32().apply { update(id.encodeToByteArray()) }.value
+    fun positionOf(id: String): Long = CRC32().apply { update(id.encodeToByteArray()) }.value
 
     /** How far [to] lies ahead of [from]. */
     fun distance(from: Long, to: Long): Long = Math.floorMod(to - from, SIZE)
 
     /** The point [distance] ahead of [from]. */
-    fun ahead(from: Long, distance: Long): Long = Math.floorMod(from + distance, SIZE)
+    fun advance(from: Long, distance: Long): Long = Math.floorMod(from + distance, SIZE)
 }
 
-/** The ids that a limited flow admits: those from [width] behind the [head] up to it; the head moves on by [pace] each second. */
-data class HashRange(val head: Long, val width: Long, val pace: Long) {
+/** The ids that a limited flow admits: those from [length] behind the [position] up to it; the head moves on by [rate] each second. */
+data class HashRange(val position: Long, val length: Long, val rate: Long) {
     /** Whether [point] lies in the arc. */
-    fun contains(point: Long): Boolean = HashRing.distance(point, head) <= width
+    fun contains(point: Long): Boolean = HashRing.distance(point, position) <= length
 
     /** Whole seconds until the head reaches [point]. */
-    fun secondsUntil(point: Long): Long = (HashRing.distance(head, point) + pace - 1) / pace
+    fun secondsUntil(point: Long): Long = (HashRing.distance(position, point) + rate - 1) / rate
 
     /** The arc [micros] later. */
-    fun after(micros: Long): HashRange = copy(head = HashRing.ahead(head, (pace * (micros / 1e6)).toLong().coerceAtMost(HashRing.SIZE)))
+    fun after(micros: Long): HashRange =
+        copy(position = HashRing.advance(position, (rate * (micros / 1e6)).toLong().coerceAtMost(HashRing.SIZE)))
 }
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -22,7 +22,7 @@
     /** Serves until it is cancelled. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
-        val store = KeyValueStoreClient(loop, settings.state, settings.stateLimits, settings.controllers, clock)
+        val store = KeyValueStoreClient(loop, settings.state, settings.storeLimits, settings.controllers, clock)
         val node = Node(
             settings = settings,
             policy = policy,
@@ -41,12 +41,12 @@
             loop.onTurn = metrics::turn
             launch { metrics.run() }
         }
-        val server = HttpServer(loop, settings.serveOn, settings.processLimits.fdLimit - RESERVED_SOCKETS, handler)
+        val server = HttpServer(loop, settings.listenAddress, settings.processLimits.fdLimit - RESERVED_SOCKETS, handler)
         launch { server.serve(this) }
         val links = PeerLinks(settings, loop, node::peerStatus, node::receivePeerStatus)
         launch { links.run(this) }
         node.start()
-        log.info("{} serving on {}", settings.nodeName, settings.serveOn)
+        log.info("{} serving on {}", settings.nodeName, settings.listenAddress)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/app/InspectionCommand.kt
+++ b/src/main/kotlin/linemast/app/InspectionCommand.kt
@@ -23,7 +23,7 @@
         val loop = EventLoop()
         try {
             loop.run {
-                val store = KeyValueStoreClient(loop, settings.state, settings.stateLimits, settings.controllers, SteadyClock)
+                val store = KeyValueStoreClient(loop, settings.state, settings.storeLimits, settings.controllers, SteadyClock)
                 report = IntentInspection(store, duties) { System.currentTimeMillis() * MICROS_PER_MILLI }.report()
             }
             val found = checkNotNull(report)
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -77,7 +77,7 @@
         types = { types },
         progress = { id -> leader?.progressOf(id) ?: peers.progressOf(id) },
         wallMicros = wallMicros,
-        maxValueBytes = settings.stateLimits.maxValueBytes,
+        maxValueBytes = settings.storeLimits.maxValueBytes,
         clock = clock,
         cancelMicros = settings.workers.cancelMicros,
         admission = admissionGate,
@@ -107,8 +107,8 @@
     private fun startAdmission() {
         val admission = features.admission ?: return
         val gate = admissionGate ?: return
-        val quietRate = admission.capacity(settings.stateLimits) / (settings.controllers * QUIET_PARTS)
-        AdmissionFollower(store, gate, admission, settings.nodeName, settings.stateLimits.maxValueBytes, quietRate).start(scope)
+        val quietRate = admission.capacity(settings.storeLimits) / (settings.controllers * QUIET_PARTS)
+        AdmissionFollower(store, gate, admission, settings.nodeName, settings.storeLimits.maxValueBytes, quietRate).start(scope)
     }
 
     private fun startLeader(leaderLease: LeaderLease) {
--- a/src/main/kotlin/linemast/app/Rehearsal.kt
+++ b/src/main/kotlin/linemast/app/Rehearsal.kt
@@ -41,7 +41,7 @@
             val store = RehearsalStore()
             launch { HttpServer(loop, outside, 64, store::answer).serve(this) }
             launch { Controller(settings, Policy(), features(), loop).run() }
-            play(HttpClient(loop, settings.serveOn, 4))
+            play(HttpClient(loop, settings.listenAddress, 4))
             coroutineContext.cancelChildren()
         }
         return 0
--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -64,7 +64,7 @@
     fun replanSoon() = scalingTimer.expire()
 
     private fun scale(jobs: List<Job>, nowMicros: Long): ScalingActions {
-        val demands = planner.wishes(jobs, { it.baseline }, nowMicros)
+        val demands = planner.scaleOutDemands(jobs, { it.baseline }, nowMicros)
         val scaleOuts = fleet.planScaleOut(demands, cluster.types.values, cluster.machines, constraints, nowMicros)
         val scalingOut = demands.filter { it.slots >= 1.0 }.map { it.job }
         val scaleIns = fleet.planScaleIn(cluster.machines, neededBy(scalingOut, jobs), demand.hasCeased(), nowMicros)
@@ -99,7 +99,7 @@
     /** No machines are requested for a job beyond what its team's quota lets it use at once. */
     private fun maxSlots(job: Job): Double {
         val team = cluster.quota.team(job.spec.team) ?: return 0.0
-        return if (job.spec.vcpus > 0) team.cpusMax / job.spec.vcpus else job.spec.taskCount.toDouble()
+        return if (job.spec.vcpus > 0) team.maxVcpus / job.spec.vcpus else job.spec.taskCount.toDouble()
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -28,7 +28,7 @@
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
         val baseline = cluster.machines.values.filter { it.baseline && !it.draining && nowMicros < it.leaseEndMicros }
         // Waiting stages get what the other jobs leave, and are planned anew when they are released.
-        planner.drop(waitingIds)
+        planner.dropPlans(waitingIds)
         waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
         waitingIds = waitingStages.mapTo(HashSet()) { it.job.id }
         planner.plan(
@@ -44,7 +44,7 @@
         )
         plannedIds.clear()
         jobs.forEach { plannedIds += it.id }
-        planner.forget(plannedIds + waitingIds)
+        planner.retainPlans(plannedIds + waitingIds)
         cluster.bookings = { job -> baselineSlots(job, nowMicros) }
         cluster.dirty = true
         if (isFull) logPlans(jobs)
@@ -62,10 +62,10 @@
                 "plan of {}: baseline {}, scaled out {} ({} at once), backup {}, top-up {}",
                 job.id,
                 plan.baseline.sum().toInt(),
-                plan.rented.sum().toInt(),
-                plan.rentedSlots,
-                plan.backup,
-                plan.topUp,
+                plan.scaleOut.sum().toInt(),
+                plan.scaleOutSlots,
+                plan.backupSlots,
+                plan.topUpTasks,
             )
         }
     }
--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -109,7 +109,7 @@
          */
         fun scaleOutLimits(settings: Settings, policy: Policy) = ScaleOutLimits(
             maxPendingRequests = Math.ceil(settings.cloudLimits.rps).toInt().coerceAtLeast(MIN_PENDING_REQUESTS),
-            maxVcpus = policy.maxRentedVcpus,
+            maxVcpus = policy.maxScaleOutVcpus,
             defaultZones = settings.zones,
         )
     }
--- a/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
@@ -63,7 +63,7 @@
         val isOutdated = situation.nowMicros - worker.lastHeartbeatMicros > maxHeartbeatAgeMicros
         if (isBusy || isOutdated || situation.isNeeded(worker)) return null
         val idleMicros = situation.nowMicros - worker.idleSinceMicros
-        val usualMicros = if (isBaseline) policy.baselineIdleMicros else policy.idleReturnMicros
+        val usualMicros = if (isBaseline) policy.baselineIdleScaleInMicros else policy.idleScaleInMicros
         if (idleMicros <= maxIdleMicros(usualMicros, situation)) return null
         return if (isBaseline) ScaleInReason.BASELINE_IDLE else ScaleInReason.IDLE
     }
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -22,7 +22,7 @@
         events,
         environment.clock,
         environment.wallMicros,
-        environment.configuration.settings.stateLimits,
+        environment.configuration.settings.storeLimits,
     )
     private val components = LeaderComponents(environment, term)
     private val responder = HeartbeatResponder(
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -10,7 +10,7 @@
 import linemast.leadership.CancellationFreshness
 import linemast.leadership.LeaderLease
 import linemast.planning.Planner
-import linemast.planning.TaskTimes
+import linemast.planning.RunTimeEstimates
 import linemast.recovery.Recovery
 import linemast.recovery.RecoveryStore
 import linemast.scheduling.Cluster
@@ -20,7 +20,7 @@
     private val configuration = environment.configuration
     private val settings = configuration.settings
     private val features = configuration.features
-    private val times = TaskTimes()
+    private val times = RunTimeEstimates()
     private val planner = Planner(settings, configuration.policy, times)
     private val flows = FlowClassifier(settings.objectives)
     private val recovery = features.recovery?.let(::Recovery)
--- a/src/main/kotlin/linemast/control/LeaderTerm.kt
+++ b/src/main/kotlin/linemast/control/LeaderTerm.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import linemast.leadership.LeaderKeys
 import linemast.leadership.LeaderLease
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import linemast.store.CommitResult
 import linemast.store.KeyValueStore
 import linemast.store.Precondition
@@ -22,7 +22,7 @@
     val clock: Clock,
     /** Time of day in microseconds. */
     val wallMicros: () -> Long,
-    val limits: StateLimits,
+    val limits: StoreLimits,
 ) {
     /** Applies [writes] together if this term still leads and all [preconditions] hold. */
     suspend fun commit(
--- a/src/main/kotlin/linemast/control/PlanStore.kt
+++ b/src/main/kotlin/linemast/control/PlanStore.kt
@@ -48,9 +48,9 @@
     fun encode(jobId: String, plan: JobPlan): Map<String, Any?> = mapOf(
         "job" to jobId,
         "owned" to plan.baseline.map { Math.round(it) },
-        "rented" to plan.rented.map { Math.round(it) },
-        "backup" to Math.round(plan.backup),
-        "top_up" to Math.round(plan.topUp),
+        "rented" to plan.scaleOut.map { Math.round(it) },
+        "backup" to Math.round(plan.backupSlots),
+        "top_up" to Math.round(plan.topUpTasks),
     )
 
     /** The stored form of all [plans], which are in their stored form already. */
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -11,7 +11,7 @@
 import linemast.serialization.Cbor
 import linemast.settings.Duty
 import linemast.settings.DutySettings
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import linemast.store.KeyValueStore
 import linemast.time.Clock
 
@@ -29,7 +29,7 @@
     clock: Clock,
     wallMicros: () -> Long,
     private val leaderLease: LeaderLease,
-    private val limits: StateLimits,
+    private val limits: StoreLimits,
 ) : CloudActionExecutor {
     private val writer = IntentWriter(store, leaderLease, settings.slots, limits.maxTxnOps, wallMicros)
 
--- a/src/main/kotlin/linemast/jobs/JobService.kt
+++ b/src/main/kotlin/linemast/jobs/JobService.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.coroutines.CoroutineScope
 import linemast.admission.AdmissionController
-import linemast.admission.Decision
+import linemast.admission.AdmissionDecision
 import linemast.domain.JobOutcome
 import linemast.domain.JobProgress
 import linemast.domain.JobRecord
@@ -98,14 +98,14 @@
      */
     private suspend fun putOff(spec: JobSpec): HttpResponse? {
         val gate = admission ?: return null
-        val later = gate.decide(spec) as? Decision.Later ?: return null
+        val deferred = gate.decide(spec) as? AdmissionDecision.Deferred ?: return null
         val known = knownCheaply(spec.id)
         if (known != null) {
-            gate.accepted(spec.id)
+            gate.recordAccepted(spec.id)
             return answer(spec.id, known)
         }
-        log.debug("{}: put off for {} s", spec.id, later.seconds)
-        return HttpResponse(HttpStatus.TOO_MANY_REQUESTS, retryAfterSeconds = later.seconds)
+        log.debug("{}: put off for {} s", spec.id, deferred.retryAfterSeconds)
+        return HttpResponse(HttpStatus.TOO_MANY_REQUESTS, retryAfterSeconds = deferred.retryAfterSeconds)
     }
 
     /**
@@ -151,13 +151,13 @@
         return when (result) {
             is CommitResult.Applied -> {
                 outcomes.remember(spec.id, outcomeRecord, sentMicros)
-                admission?.accepted(spec.id)
+                admission?.recordAccepted(spec.id)
                 val state = if (outcome.isTerminal) JobState.CANCELLED else JobState.PENDING
                 HttpResponse(HttpStatus.CREATED, JobResponses.accepted(spec.id, state))
             }
             is CommitResult.Conflict ->
                 outcomes.fresh(spec.id)?.let {
-                    admission?.accepted(spec.id)
+                    admission?.recordAccepted(spec.id)
                     answer(spec.id, it)
                 } ?: HttpResponse.unavailable()
             is CommitResult.NoSuchLease -> HttpResponse.unavailable()
@@ -226,7 +226,7 @@
     private fun canEverRun(spec: JobSpec, machineTypes: List<MachineType>): Boolean {
         val team = teams[spec.team] ?: return false
         val asOne = if (spec.isGang) spec.taskCount else 1
-        if (spec.vcpus * asOne > team.cpusMax || spec.gpus * asOne > team.gpusMax) return false
+        if (spec.vcpus * asOne > team.maxVcpus || spec.gpus * asOne > team.maxGpus) return false
         return machineTypes.any { type ->
             type.takes(spec) && (spec.zone == null || type.zones.isEmpty() || spec.zone in type.zones)
         }
--- a/src/main/kotlin/linemast/peers/PeerLinks.kt
+++ b/src/main/kotlin/linemast/peers/PeerLinks.kt
@@ -33,8 +33,8 @@
 
     /** Sends and receives statuses until [scope] is cancelled. */
     suspend fun run(scope: CoroutineScope) {
-        for (member in settings.members) scope.launch { keepSendingTo(member.peerAddr) }
-        Listener(loop, settings.peerListen, MAX_ACCEPTED).serve(scope) { connection -> logFailure { receiveFrom(connection) } }
+        for (member in settings.members) scope.launch { keepSendingTo(member.peerAddress) }
+        Listener(loop, settings.peerListenAddress, MAX_ACCEPTED).serve(scope) { connection -> logFailure { receiveFrom(connection) } }
     }
 
     private suspend fun keepSendingTo(address: Address) {
--- a/src/main/kotlin/linemast/planning/Forecast.kt
+++ b/src/main/kotlin/linemast/planning/BaselineForecast.kt
@@ -11,12 +11,12 @@
  * Waiting demand comes off as jobs book their targets in their order; no room is below zero. Machines of one shape are
  * kept as counts by how much room they have, in [LEVELS] steps, so that a look or a booking does not go over the fleet.
  */
-class Forecast(
+class BaselineForecast(
     machines: Collection<Machine>,
     private val startMicros: Long,
     val intervalMicros: Long,
     val intervals: Int,
-    times: TaskTimes,
+    runTimes: RunTimeEstimates,
     private val closed: (MachineType, Boolean, Job) -> Boolean,
 ) {
     /** How many machines have room of how many steps, now and in each interval. */
@@ -56,9 +56,9 @@
         }
     }
 
-    private val rows: List<Rows> = rowsOf(machines, times)
+    private val rows: List<Rows> = rowsOf(machines, runTimes)
 
-    private fun rowsOf(machines: Collection<Machine>, times: TaskTimes): List<Rows> {
+    private fun rowsOf(machines: Collection<Machine>, runTimes: RunTimeEstimates): List<Rows> {
         val byShape = LinkedHashMap<MachineShape, Rows>()
         val room = DoubleArray(intervals)
         for (machine in machines) {
@@ -67,7 +67,7 @@
             for (placement in machine.placements.values) {
                 val job = placement.job
                 if (placement.isAssigned || job == null) continue
-                val left = maxOf(placement.runningSinceMicros, placement.sentMicros) + times.estimateMicros(job) - startMicros
+                val left = maxOf(placement.runningSinceMicros, placement.sentMicros) + runTimes.estimateMicros(job) - startMicros
                 for (i in 0 until intervals) {
                     // The part of the interval in which the task still runs is not free.
                     val busy = (left - i * intervalMicros).coerceAtMost(intervalMicros).toDouble() / intervalMicros
@@ -85,10 +85,10 @@
     fun freeSlots(job: Job, i: Int): Double = rows.sumOf { if (isOpen(it, job)) it.places(it.byInterval[i], job.spec.vcpus) else 0.0 }
 
     /** Tasks of [job] that could start at once. */
-    fun freeNow(job: Job): Double = rows.sumOf { if (isOpen(it, job)) it.places(it.now, job.spec.vcpus) else 0.0 }
+    fun freeSlotsNow(job: Job): Double = rows.sumOf { if (isOpen(it, job)) it.places(it.now, job.spec.vcpus) else 0.0 }
 
     /** Takes room for [tasks] tasks side by side in interval [i]. */
-    fun book(job: Job, i: Int, tasks: Double) {
+    fun reserve(job: Job, i: Int, tasks: Double) {
         var left = tasks * job.spec.vcpus
         for (row in rows) {
             if (left <= EPSILON) return
--- a/src/main/kotlin/linemast/planning/TaskTimes.kt
+++ b/src/main/kotlin/linemast/planning/RunTimeEstimates.kt
@@ -9,11 +9,11 @@
  * Guesses of a job class are often wrong in the same direction, so each job class has a running ratio of measured to
  * estimated; a job's own finished tasks say more still once there are a few.
  */
-class TaskTimes {
+class RunTimeEstimates {
     private val ratios = HashMap<String, Double>()
 
     /** A task of [spec] ran for [measuredMicros]. */
-    fun finished(spec: JobSpec, measuredMicros: Long) {
+    fun recordFinished(spec: JobSpec, measuredMicros: Long) {
         if (spec.estimatedRunMicros <= 0) return
         val ratio = (measuredMicros.toDouble() / spec.estimatedRunMicros).coerceIn(MIN_RATIO, MAX_RATIO)
         val weight = SMOOTHING / minOf(spec.taskCount, MANY_TASKS)
--- a/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
@@ -10,19 +10,19 @@
  * When there is more work than room, the order in which it is done decides how many jobs reach their aims:
  * one that has missed all of them already should not make the next one miss as well.
  */
-class ServiceLevelObjectives(objectives: List<Objective>, teams: List<Team>, private val times: TaskTimes) {
-    private val limits = teams.associate { it.name to it.cpusMax }
+class ServiceLevelObjectives(objectives: List<Objective>, teams: List<Team>, private val runTimes: RunTimeEstimates) {
+    private val limits = teams.associate { it.name to it.maxVcpus }
     private val byJobClass = objectives.filter { it.jobClass != null }.groupBy { it.jobClass }
 
     /** 0: all aims can still be reached; one more for each that cannot; back to 0 when it has waited too long. */
-    fun missed(job: Job, wallMicros: Long): Int {
+    fun countUnreachable(job: Job, wallMicros: Long): Int {
         val objectives = byJobClass[job.spec.jobClass] ?: return 0
         if (job.placements.any { !it.isAssigned }) return 0
         val age = wallMicros - job.readyWallMicros
-        val run = times.estimateMicros(job)
-        val missed = objectives.count { objective -> latestStart(objective, job, run)?.let { age > it } ?: false }
-        val patience = objectives.mapNotNull { latestStart(it, job, run) }.maxOrNull() ?: return missed
-        return if (age > maxOf(patience, run) * PATIENCE) 0 else missed
+        val run = runTimes.estimateMicros(job)
+        val unreachable = objectives.count { objective -> latestStart(objective, job, run)?.let { age > it } ?: false }
+        val patience = objectives.mapNotNull { latestStart(it, job, run) }.maxOrNull() ?: return unreachable
+        return if (age > maxOf(patience, run) * MAX_DEFERRAL_FACTOR) 0 else unreachable
     }
 
     /** How long after it was ready the job may start and still reach the aim. */
@@ -43,6 +43,6 @@
 
     private companion object {
         /** No job is put off for longer than this many times its latest start. */
-        const val PATIENCE = 5
+        const val MAX_DEFERRAL_FACTOR = 5
     }
 }
--- a/src/main/kotlin/linemast/planning/WaitingStage.kt
+++ b/src/main/kotlin/linemast/planning/WaitingStage.kt
@@ -19,8 +19,8 @@
  *
  * Stages that are connected by dependencies make up one pipeline; each pipeline begins with its costliest stage.
  */
-fun costliestFirst(stages: List<WaitingStage>, rentedCost: (WaitingStage) -> Double): List<OrderedStage> {
-    val costs = stages.associateWith(rentedCost)
+fun costliestFirst(stages: List<WaitingStage>, scaleOutCost: (WaitingStage) -> Double): List<OrderedStage> {
+    val costs = stages.associateWith(scaleOutCost)
     val neighbours = neighbours(stages)
     val ordered = LinkedHashMap<WaitingStage, OrderedStage>()
     for (first in stages.sortedByDescending { costs.getValue(it) }) {
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -12,7 +12,7 @@
 import linemast.domain.TaskId
 import linemast.leadership.CancellationFreshness
 import linemast.planning.Planner
-import linemast.planning.TaskTimes
+import linemast.planning.RunTimeEstimates
 import linemast.planning.WaitingStage
 import linemast.recovery.Recovery
 import linemast.settings.Settings
@@ -32,7 +32,7 @@
     val fencingToken: Long,
     private val degradedModeMicros: Long,
     private val effects: ClusterEffects,
-    val times: TaskTimes,
+    val times: RunTimeEstimates,
     val planner: Planner,
     val wallMicros: () -> Long,
     private val clock: Clock,
--- a/src/main/kotlin/linemast/scheduling/CompletionEstimates.kt
+++ b/src/main/kotlin/linemast/scheduling/CompletionEstimates.kt
@@ -2,10 +2,10 @@
 
 import linemast.domain.Machine
 import linemast.domain.Placement
-import linemast.planning.TaskTimes
+import linemast.planning.RunTimeEstimates
 
 /** Estimates when running tasks complete and machines become free, from the measured run times of their jobs. */
-internal class CompletionEstimates(private val times: TaskTimes) {
+internal class CompletionEstimates(private val times: RunTimeEstimates) {
     /** Whether [placement] is expected to end by itself within [windowMicros]; false once it has run longer than estimated. */
     fun endsWithin(placement: Placement, nowMicros: Long, windowMicros: Long): Boolean {
         val job = placement.job ?: return false
--- a/src/main/kotlin/linemast/scheduling/ExpectedGangs.kt
+++ b/src/main/kotlin/linemast/scheduling/ExpectedGangs.kt
@@ -19,7 +19,7 @@
     /** What tasks of [spec] have to leave to the next gang of their team; null if nothing. */
     fun reservedAgainst(spec: JobSpec): Resources? {
         val gang = latestByTeam[spec.team]?.takeIf { it.priority < spec.priority } ?: return null
-        val maxVcpus = (quota.team(gang.team)?.cpusMax ?: 0.0) * MAX_SHARE_OF_LIMIT
+        val maxVcpus = (quota.team(gang.team)?.maxVcpus ?: 0.0) * MAX_SHARE_OF_LIMIT
         val vcpus = gang.taskCount * gang.vcpus
         return if (vcpus > maxVcpus) null else Resources(vcpus, gang.taskCount * gang.gpus)
     }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -147,7 +147,7 @@
             if (!placement.isRunning || job.spec.neverSaves || placement.stopReason != null) continue
             val stopped = if (job.spec.isGang) job.placements.filter { !it.isAssigned } else listOf(placement)
             for (mate in stopped) {
-                cluster.stop(mate, StopReason.MachinePreempted(machine.name), job.spec.checkpointMicros + workers.gangPeerMicros)
+                cluster.stop(mate, StopReason.MachinePreempted(machine.name), job.spec.checkpointMicros + workers.gangPeerTimeoutMicros)
             }
         }
     }
@@ -189,7 +189,7 @@
         if (placement != null && placement.runningSinceMicros > 0 && !job.spec.isGang) {
             job.measuredMicros += nowMicros - placement.runningSinceMicros
             job.measuredTasks++
-            cluster.times.finished(job.spec, nowMicros - placement.runningSinceMicros)
+            cluster.times.recordFinished(job.spec, nowMicros - placement.runningSinceMicros)
         }
         if (job.finished || job.cancelled) return
         // A gang completes together: the end of one of its tasks is the end of all.
--- a/src/main/kotlin/linemast/scheduling/JobRanking.kt
+++ b/src/main/kotlin/linemast/scheduling/JobRanking.kt
@@ -35,8 +35,8 @@
             .map { job ->
                 val spec = job.spec
                 val vcpus = requestedVcpus.merge(spec.team, spec.taskCount * spec.vcpus, Double::plus) ?: 0.0
-                val withinQuota = vcpus <= (quota.team(spec.team)?.cpus ?: 0.0)
-                RankedJob(job, withinQuota, planner.objectives.missed(job, wallMicros), planner.deadlineWallMicros(job))
+                val withinQuota = vcpus <= (quota.team(spec.team)?.guaranteedVcpus ?: 0.0)
+                RankedJob(job, withinQuota, planner.objectives.countUnreachable(job, wallMicros), planner.deadlineWallMicros(job))
             }
             .sortedWith(order)
     }
--- a/src/main/kotlin/linemast/scheduling/PreemptionTiming.kt
+++ b/src/main/kotlin/linemast/scheduling/PreemptionTiming.kt
@@ -15,7 +15,7 @@
     private val replacementMicros = settings.workers.heartbeatIntervalMicros * 2 + IMAGE_FETCH_MICROS
 
     /** What a preempted task gets beyond the time of a checkpoint. */
-    val gracePeriodMicros = settings.workers.gangPeerMicros
+    val gracePeriodMicros = settings.workers.gangPeerTimeoutMicros
 
     /**
      * For how much longer a job within its quota, ready for [ageMicros], can wait for tasks to end by themselves; not positive
--- a/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
@@ -30,13 +30,13 @@
     /** How many more tasks of [spec] its team's quota limit allows if [reserved] is kept free. */
     internal fun headroom(spec: JobSpec, reserved: Resources): Int {
         val usage = usageByTeam[spec.team] ?: return 0
-        val byVcpus = tasksWithin(usage.team.cpusMax - usage.vcpus - reserved.vcpus, spec.vcpus)
-        val byGpus = tasksWithin(usage.team.gpusMax - usage.gpus - reserved.gpus, spec.gpus)
+        val byVcpus = tasksWithin(usage.team.maxVcpus - usage.vcpus - reserved.vcpus, spec.vcpus)
+        val byGpus = tasksWithin(usage.team.maxGpus - usage.gpus - reserved.gpus, spec.gpus)
         return minOf(byVcpus, byGpus).coerceAtLeast(0)
     }
 
     /** How many vcpus team [name] uses beyond its quota; negative while it uses less. */
-    fun excessVcpus(name: String): Double = usageByTeam[name]?.let { it.vcpus - it.team.cpus } ?: 0.0
+    fun excessVcpus(name: String): Double = usageByTeam[name]?.let { it.vcpus - it.team.guaranteedVcpus } ?: 0.0
 
     private fun tasksWithin(free: Double, perTask: Double): Int =
         if (perTask <= 0.0) Int.MAX_VALUE else Math.floor(free / perTask + EPSILON).toInt()
--- a/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -58,7 +58,7 @@
      */
     private fun selectArrays(starving: List<Job>): List<Job> {
         if (roundRobin == null) return starving
-        val selected = roundRobin.choose(starving.filter { !it.spec.isGang })
+        val selected = roundRobin.next(starving.filter { !it.spec.isGang })
         val selectedSet = selected.toSet()
         val nextSelected = selected.iterator()
         return starving.mapNotNull { job ->
@@ -70,7 +70,7 @@
 
     private fun placeFirstTasks(job: Job, cycle: SchedulingCycle) {
         arrays.place(job, cycle, maxTasks = FIRST_TASKS)
-        if (job.placements.isNotEmpty()) roundRobin?.served(job)
+        if (job.placements.isNotEmpty()) roundRobin?.recordServed(job)
     }
 
     private fun isReservationOfUse(gang: Job): Boolean = gang.placements.isEmpty() && gang.pendingReason != PendingReason.QuotaLimit
--- a/src/main/kotlin/linemast/settings/AdmissionSettings.kt
+++ b/src/main/kotlin/linemast/settings/AdmissionSettings.kt
@@ -16,7 +16,7 @@
     val maxOpenJobs: Int = DEFAULT_OPEN_JOBS,
 ) {
     /** Submissions a second that the state service has room for. */
-    fun capacity(limits: StateLimits): Double = limits.maxWriteRps * intakeShare / CHANGES_A_JOB
+    fun capacity(limits: StoreLimits): Double = limits.maxWriteRps * intakeShare / CHANGES_A_JOB
 
     companion object {
         private const val DEFAULT_EPOCH_MICROS = 2 * SECOND_MICROS
--- a/src/main/kotlin/linemast/settings/Policy.kt
+++ b/src/main/kotlin/linemast/settings/Policy.kt
@@ -9,13 +9,13 @@
     /** Between two looks at which backups are still needed. */
     val shortIntervalMicros: Long = SHORT_INTERVAL_MICROS,
     /** A rented machine without work or plan is returned after this long. */
-    val idleReturnMicros: Long = IDLE_RETURN_MICROS,
+    val idleScaleInMicros: Long = IDLE_RETURN_MICROS,
     /** An owned machine without work is returned after this long. */
-    val baselineIdleMicros: Long = BASELINE_IDLE_MICROS,
+    val baselineIdleScaleInMicros: Long = BASELINE_IDLE_MICROS,
     /** Lease of the leader on its key. */
     val leaderLeaseMicros: Long = LEADER_LEASE_MICROS,
     /** Rented vcpus at one time, at most. */
-    val maxRentedVcpus: Double = MAX_RENTED_VCPUS,
+    val maxScaleOutVcpus: Double = MAX_RENTED_VCPUS,
 ) {
     /** The values that hold without a policy file. */
     companion object {
--- a/src/main/kotlin/linemast/settings/PolicyScript.kt
+++ b/src/main/kotlin/linemast/settings/PolicyScript.kt
@@ -30,10 +30,10 @@
         private val defaults = Policy()
         var longInterval = defaults.longIntervalMicros
         var shortInterval = defaults.shortIntervalMicros
-        var idleReturn = defaults.idleReturnMicros
-        var baselineIdle = defaults.baselineIdleMicros
+        var idleReturn = defaults.idleScaleInMicros
+        var baselineIdle = defaults.baselineIdleScaleInMicros
         var leaderLease = defaults.leaderLeaseMicros
-        var maxRented = defaults.maxRentedVcpus
+        var maxRented = defaults.maxScaleOutVcpus
 
         fun build() = Policy(longInterval, shortInterval, idleReturn, baselineIdle, leaderLease, maxRented)
     }
--- a/src/main/kotlin/linemast/settings/Settings.kt
+++ b/src/main/kotlin/linemast/settings/Settings.kt
@@ -6,17 +6,17 @@
 class Settings(
     val nodeName: String,
     val domain: String,
-    val serveOn: Address,
-    val peerListen: Address,
+    val listenAddress: Address,
+    val peerListenAddress: Address,
     val members: List<Member>,
     val cloud: Address,
     val state: Address,
     val zones: List<String>,
-    val clockOffMicros: Long,
+    val maxClockErrorMicros: Long,
     val teams: List<Team>,
     val objectives: List<Objective>,
     val workers: WorkerSettings,
-    val stateLimits: StateLimits,
+    val storeLimits: StoreLimits,
     val cloudLimits: CloudLimits,
     val processLimits: ProcessLimits,
 ) {
@@ -25,28 +25,28 @@
 }
 
 /** Another controller. */
-class Member(val nodeName: String, val domain: String, val peerAddr: Address)
+class Member(val nodeName: String, val domain: String, val peerAddress: Address)
 
 /** A team with its guarantees and limits. */
-class Team(val name: String, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double)
+class Team(val name: String, val guaranteedVcpus: Double, val maxVcpus: Double, val guaranteedGpus: Double, val maxGpus: Double)
 
 /** How workers report, and the durations they keep to. */
 class WorkerSettings(
     val heartbeatIntervalMicros: Long,
     val leaseMicros: Long,
-    val gangWaitMicros: Long,
-    val gangPeerMicros: Long,
+    val gangStartTimeoutMicros: Long,
+    val gangPeerTimeoutMicros: Long,
     val cancelMicros: Long,
 )
 
 /** What the state service takes. */
-class StateLimits(
+class StoreLimits(
     val rps: Double,
     val writeRps: Double,
     val valueBytes: Int,
     val txnOps: Int,
     /** The limits that will hold from some moment on, which is not announced. */
-    val next: StateLimits? = null,
+    val next: StoreLimits? = null,
 ) {
     /** What values have to keep within: what is written now may have to be written again then. */
     val maxValueBytes: Int get() = minOf(valueBytes, next?.valueBytes ?: valueBytes)
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -62,17 +62,17 @@
         return Settings(
             nodeName = nodeName,
             domain = root.text("domain"),
-            serveOn = address(root, "serve_on"),
-            peerListen = address(root, "peer_listen"),
+            listenAddress = address(root, "serve_on"),
+            peerListenAddress = address(root, "peer_listen"),
             members = members,
             cloud = address(external, "cloud"),
             state = address(external, "state"),
             zones = shared.textsOrNull("zones") ?: emptyList(),
-            clockOffMicros = (atLeast(shared, "clock_off_ms", 0.0) * 1_000).toLong(),
+            maxClockErrorMicros = (atLeast(shared, "clock_off_ms", 0.0) * 1_000).toLong(),
             teams = teams(shared),
             objectives = shared.children("objectives").map(::objective),
             workers = workers(shared.child("workers")),
-            stateLimits = stateLimits(shared.child("state")),
+            storeLimits = storeLimits(shared.child("state")),
             cloudLimits = shared.child("cloud").let { CloudLimits(positive(it, "rps"), duration(it, "list_lag_s")) },
             processLimits = shared.child("limits").let {
                 ProcessLimits(positive(it, "cpu_share"), positive(it, "mem_mb"), count(it, "fd_limit", MIN_SOCKETS))
@@ -84,10 +84,10 @@
         val teams = shared.children("teams").map {
             Team(
                 name = it.text("name"),
-                cpus = atLeast(it, "cpus", 0.0),
-                cpusMax = atLeast(it, "cpus_max", 0.0),
-                gpus = atLeast(it, "gpus", 0.0),
-                gpusMax = atLeast(it, "gpus_max", 0.0),
+                guaranteedVcpus = atLeast(it, "cpus", 0.0),
+                maxVcpus = atLeast(it, "cpus_max", 0.0),
+                guaranteedGpus = atLeast(it, "gpus", 0.0),
+                maxGpus = atLeast(it, "gpus_max", 0.0),
             )
         }
         if (teams.isEmpty()) shared.fail("teams", "must name at least one team")
@@ -115,28 +115,28 @@
         val workers = WorkerSettings(
             heartbeatIntervalMicros = duration(fields, "report_s"),
             leaseMicros = duration(fields, "lease_s"),
-            gangWaitMicros = duration(fields, "gang_wait_s"),
-            gangPeerMicros = duration(fields, "gang_peer_s"),
+            gangStartTimeoutMicros = duration(fields, "gang_wait_s"),
+            gangPeerTimeoutMicros = duration(fields, "gang_peer_s"),
             cancelMicros = duration(fields, "cancel_s"),
         )
         if (workers.cancelMicros <= workers.leaseMicros) fields.fail("cancel_s", "must be more than lease_s")
         return workers
     }
 
-    private fun stateLimits(fields: Fields): StateLimits {
+    private fun storeLimits(fields: Fields): StoreLimits {
         val rps = positive(fields, "rps")
         val writeRps = positive(fields, "write_rps")
         val valueBytes = valueBytes(fields)
         val txnOps = count(fields, "txn_ops", MIN_TXN_OPS)
         val next = fields.childOrNull("next")?.let {
-            StateLimits(
+            StoreLimits(
                 rps = if (it.has("rps")) positive(it, "rps") else rps,
                 writeRps = if (it.has("write_rps")) positive(it, "write_rps") else writeRps,
                 valueBytes = if (it.has("value_kb")) valueBytes(it) else valueBytes,
                 txnOps = if (it.has("txn_ops")) count(it, "txn_ops", MIN_TXN_OPS) else txnOps,
             )
         }
-        return StateLimits(rps, writeRps, valueBytes, txnOps, next)
+        return StoreLimits(rps, writeRps, valueBytes, txnOps, next)
     }
 
     /** A part of a done set alone takes nearly 1.5 KiB. */
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -2,7 +2,7 @@
 
 import linemast.serialization.Fields
 import linemast.serialization.MalformedException
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
 import linemast.transport.Address
@@ -18,7 +18,7 @@
  * Calls fail with a [StoreException]. Renewals of leases and watches have connections of their own, so that neither waits
  * behind other calls.
  */
-class KeyValueStoreClient(loop: EventLoop, address: Address, limits: StateLimits, controllers: Int, clock: Clock) : KeyValueStore {
+class KeyValueStoreClient(loop: EventLoop, address: Address, limits: StoreLimits, controllers: Int, clock: Clock) : KeyValueStore {
     private val calls = HttpClient(loop, address, MAX_CALLS, MAX_REPLY_BYTES)
     private val leaseCalls = HttpClient(loop, address, 1)
     private val watches = HttpClient(loop, address, MAX_WATCHES, MAX_REPLY_BYTES)
--- a/src/main/kotlin/linemast/store/StoreRateLimiter.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimiter.kt
@@ -1,7 +1,7 @@
 package linemast.store
 
 import kotlinx.coroutines.delay
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
@@ -10,7 +10,7 @@
  *
  * A call that would have to wait for longer than the queue timeout of its priority fails with [StoreException.RateLimited].
  */
-internal class StoreRateLimiter(limits: StateLimits, controllers: Int, private val clock: Clock) {
+internal class StoreRateLimiter(limits: StoreLimits, controllers: Int, private val clock: Clock) {
     private val log = LoggerFactory.getLogger(StoreRateLimiter::class.java)
     private val rates = StoreRateLimits(limits, controllers)
     private val requests = TokenBucket(rates.requestsPerSecond)
--- a/src/main/kotlin/linemast/store/StoreRateLimits.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimits.kt
@@ -1,6 +1,6 @@
 package linemast.store
 
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 
 /**
  * This controller's share of the store's rate limits.
@@ -8,7 +8,7 @@
  * The store's next limits take effect at a moment that is not announced. A refusal while all controllers keep within their
  * shares shows that it has come; from then on the next limits are kept, those of writes and of requests each by itself.
  */
-class StoreRateLimits(private val limits: StateLimits, private val controllers: Int) {
+class StoreRateLimits(private val limits: StoreLimits, private val controllers: Int) {
     /** Whether this controller leads, and so has a larger share of the writes. */
     var isLeader = false
     private var clusterRequestsPerSecond = limits.rps
--- a/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
@@ -16,26 +16,30 @@
 class AdmissionPlanTest {
     private val flow = Flow("north", "tiny")
 
-    private fun arc(random: Random): HashRange {
-        val pace = random.nextLong(1L shl 20, HashRing.SIZE / 20)
-        return HashRange(random.nextLong(HashRing.SIZE), pace * 12, pace)
+    private fun range(random: Random): HashRange {
+        val rate = random.nextLong(1L shl 20, HashRing.SIZE / 20)
+        return HashRange(random.nextLong(HashRing.SIZE), rate * 12, rate)
     }
 
     @Test
     fun `whoever comes back when told is admitted, and every id has its turn within a round`() {
         val random = Random(32)
         repeat(400) { number ->
-            var plan = AdmissionPlan(1, 1, mapOf(flow to arc(random)))
-            val roundSeconds = HashRing.SIZE / plan.arcs.getValue(flow).pace + 1
+            var plan = AdmissionPlan(1, 1, mapOf(flow to range(random)))
+            val roundSeconds = HashRing.SIZE / plan.ranges.getValue(flow).rate + 1
             val id = "req-%06d".format(number)
             var waited = 0L
             while (true) {
                 val decision = plan.decide(flow, id)
-                if (decision !is Decision.Later) break
-                waited += decision.seconds
-                val next = plan.arcs.getValue(flow).after(decision.seconds * 1_000_000L)
+                if (decision !is AdmissionDecision.Deferred) break
+                waited += decision.retryAfterSeconds
+                val next = plan.ranges.getValue(flow).after(decision.retryAfterSeconds * 1_000_000L)
                 plan = AdmissionPlan(plan.epoch + 1, 1, mapOf(flow to next))
-                if (decision.seconds < 30) assertEquals(Decision.Admitted, plan.decide(flow, id), "told ${decision.seconds} s")
+                if (decision.retryAfterSeconds <
+                    30
+                ) {
+                    assertEquals(AdmissionDecision.Admitted, plan.decide(flow, id), "told ${decision.retryAfterSeconds} s")
+                }
             }
             assertTrue(waited <= roundSeconds + 1, "$waited s in a round of $roundSeconds s")
         }
@@ -45,19 +49,19 @@
     fun `an id that had its turn stays admitted for the dwell time`() {
         val random = Random(33)
         repeat(200) { number ->
-            val arc = arc(random)
+            val range = range(random)
             val id = "req-%06d".format(number)
-            val turn = arc.after(HashRing.distance(arc.head, HashRing.pointOf(id)) * 1_000_000 / arc.pace + 1_000_000)
+            val turn = range.after(HashRing.distance(range.position, HashRing.positionOf(id)) * 1_000_000 / range.rate + 1_000_000)
             for (seconds in 0L..10L) {
                 val plan = AdmissionPlan(1, 1, mapOf(flow to turn.after(seconds * 1_000_000)))
-                assertEquals(Decision.Admitted, plan.decide(flow, id), "$seconds s after its turn")
+                assertEquals(AdmissionDecision.Admitted, plan.decide(flow, id), "$seconds s after its turn")
             }
         }
     }
 
     @Test
     fun `consecutive ids are spread over the hash ring`() {
-        val quarters = (0 until 10_000).groupingBy { HashRing.pointOf("req-%06d".format(it)) * 4 / HashRing.SIZE }.eachCount()
+        val quarters = (0 until 10_000).groupingBy { HashRing.positionOf("req-%06d".format(it)) * 4 / HashRing.SIZE }.eachCount()
         assertTrue(quarters.size == 4 && quarters.values.all { it in 2_300..2_700 }, "$quarters")
     }
 
@@ -66,7 +70,7 @@
         val random = Random(34)
         repeat(200) {
             val flows = List(random.nextInt(5)) { Flow("team-$it", "class-${random.nextInt(3)}") }
-            val plan = AdmissionPlan(random.nextLong(1L shl 40), random.nextLong(1L shl 40), flows.associateWith { arc(random) })
+            val plan = AdmissionPlan(random.nextLong(1L shl 40), random.nextLong(1L shl 40), flows.associateWith { range(random) })
             val stored = AdmissionCodec.encode(plan)
             assertEquals(plan, AdmissionCodec.decodePlan(Cbor.decodeMap(Cbor.encode(stored))))
             for (field in listOf("epoch", "helm")) {
@@ -77,8 +81,8 @@
             assertEquals("mast-1" to demands, read.node to read.demands)
         }
         val bad = mapOf("crew" to "north", "lane" to "x", "head" to HashRing.SIZE, "width" to 1L, "pace" to 1L)
-        for (arc in listOf(bad, bad + ("head" to 0L) + ("pace" to 0L), bad + ("head" to 0L) + ("width" to -1L))) {
-            val stored = mapOf("epoch" to 1L, "helm" to 1L, "flows" to listOf(arc))
+        for (range in listOf(bad, bad + ("head" to 0L) + ("pace" to 0L), bad + ("head" to 0L) + ("width" to -1L))) {
+            val stored = mapOf("epoch" to 1L, "helm" to 1L, "flows" to listOf(range))
             assertThrows(MalformedException::class.java) { AdmissionCodec.decodePlan(Fields(stored)) }
         }
     }
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -45,7 +45,7 @@
                 val demands = meters.flatMap { it.demands(now).entries }.groupBy({ it.key }, { it.value }).mapValues { (_, parts) ->
                     FlowDemand(parts.sumOf { it.offered }, parts.sumOf { it.accepted }, parts.sumOf { it.waiting })
                 }
-                plan = AdmissionPlan(plan.epoch + 1, 1, planner.next(plan.arcs, demands, open, 2_000_000))
+                plan = AdmissionPlan(plan.epoch + 1, 1, planner.next(plan.ranges, demands, open, 2_000_000))
             }
             var taken = 0
             for (each in users) {
@@ -57,11 +57,11 @@
                         continue
                     }
                     val meter = meters[each.entry(second)]
-                    meter.offered(each.flow, id, now)
+                    meter.recordOffered(each.flow, id, now)
                     when (val decision = plan.decide(each.flow, id)) {
-                        is Decision.Later -> each.nextTry[id] = second + decision.seconds
-                        Decision.Admitted -> {
-                            meter.accepted(id, now)
+                        is AdmissionDecision.Deferred -> each.nextTry[id] = second + decision.retryAfterSeconds
+                        AdmissionDecision.Admitted -> {
+                            meter.recordAccepted(id, now)
                             each.nextTry.remove(id)
                             each.waits += second - each.firstTry.getValue(id)
                             open.merge(each.flow, 1, Int::plus)
@@ -128,13 +128,13 @@
         var waiting = flood + others
         val served = ArrayList<Job>()
         repeat(30) {
-            val next = turns.choose(waiting).first()
-            turns.served(next)
+            val next = turns.next(waiting).first()
+            turns.recordServed(next)
             served += next
             waiting = waiting - next
         }
         assertTrue(served.take(4).containsAll(others), served.take(4).map { it.id }.toString())
         assertEquals(flood.take(27), served - others.toSet(), "its own order is kept")
-        assertTrue(turns.choose(waiting).size <= FlowRoundRobin.JOBS_A_FLOW)
+        assertTrue(turns.next(waiting).size <= FlowRoundRobin.JOBS_A_FLOW)
     }
 }
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -8,7 +8,7 @@
 import linemast.cloud.ScaleOutResult
 import linemast.domain.MachineType
 import linemast.leadership.LeaderKeys
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import linemast.simulation.SimStore
 import linemast.store.Write
 import linemast.time.Clock
@@ -48,7 +48,7 @@
         store.valueBytes = 16 * 1024
         val client = store.clientOf("mast-0")
         client.commit(emptyList(), listOf(Write.Put(LeaderKeys.LEADER, emptyMap())))
-        val limits = StateLimits(rps = 100.0, writeRps = 30.0, valueBytes = store.valueBytes, txnOps = txnOps)
+        val limits = StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = store.valueBytes, txnOps = txnOps)
         val term = testTerm(client, backgroundScope, clock, limits)
         fun fleet() = BaselineFleetStore(term, ListingCloud(names), listLagMicros = 10_000_000)
         return store to (fleet().loadOrCreate() to fleet().loadOrCreate())
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -10,7 +10,7 @@
 import linemast.scheduling.ClusterFixture
 import linemast.scheduling.HandWorker
 import linemast.serialization.Fields
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import linemast.simulation.SimStore
 import linemast.store.CommitResult
 import linemast.store.KeyChange
@@ -93,7 +93,7 @@
     }
 
     private fun TestScope.coordinator(store: KeyValueStore, fixture: ClusterFixture) = DependencyCoordinator(
-        testTerm(store, backgroundScope, Clock { fixture.now }, StateLimits(rps = 100.0, writeRps = 30.0, valueBytes = 8_192, txnOps = 5)),
+        testTerm(store, backgroundScope, Clock { fixture.now }, StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = 8_192, txnOps = 5)),
         fixture.cluster,
     )
 }
--- a/src/test/kotlin/linemast/control/TestTerm.kt
+++ b/src/test/kotlin/linemast/control/TestTerm.kt
@@ -2,12 +2,12 @@
 
 import kotlinx.coroutines.CoroutineScope
 import linemast.leadership.LeaderLease
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import linemast.store.KeyValueStore
 import linemast.time.Clock
 
 /** A term whose leader record has revision 2 in [store]; actions of its event loop run at once. */
-internal fun testTerm(store: KeyValueStore, scope: CoroutineScope, clock: Clock, limits: StateLimits) = LeaderTerm(
+internal fun testTerm(store: KeyValueStore, scope: CoroutineScope, clock: Clock, limits: StoreLimits) = LeaderTerm(
     store,
     LeaderLease(1, revision = 2, leaderLeaseMicros = 60_000_000, degradedModeMicros = 0, sentMicros = 0),
     scope,
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -24,7 +24,7 @@
     /** Machines come and go within seconds, so that some cloud action is in progress at every failover. */
     private val busyPolicy = Policy(
         shortIntervalMicros = 1_000_000,
-        idleReturnMicros = 1_500_000,
+        idleScaleInMicros = 1_500_000,
         leaderLeaseMicros = 1_500_000,
     )
 
--- a/src/test/kotlin/linemast/planning/PlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/PlannerTest.kt
@@ -35,13 +35,13 @@
             }
             val plan = plan(job, machines)
             val tasks = job.spec.taskCount.toDouble()
-            assertTrue(plan.baseline.all { it >= 0 } && plan.rented.all { it >= -1e-6 })
-            assertEquals(tasks, plan.baseline.sum() + plan.rented.sum(), tasks * 1e-6 + 1e-6, "all tasks are planned, once")
-            if (machines.isEmpty()) assertEquals(tasks, plan.rented.sum(), 1e-6, "with no owned room all is rented")
+            assertTrue(plan.baseline.all { it >= 0 } && plan.scaleOut.all { it >= -1e-6 })
+            assertEquals(tasks, plan.baseline.sum() + plan.scaleOut.sum(), tasks * 1e-6 + 1e-6, "all tasks are planned, once")
+            if (machines.isEmpty()) assertEquals(tasks, plan.scaleOut.sum(), 1e-6, "with no owned room all is rented")
             // Nothing is planned into intervals that end after the deadline, but for the first.
             val due = job.spec.deadlineMicros ?: 0L
             for (i in 1 until plan.baseline.size) {
-                if (i * 60_000_000L + plan.taskMicros > due) assertEquals(0.0, plan.baseline[i] + plan.rented[i], 1e-9)
+                if (i * 60_000_000L + plan.taskMicros > due) assertEquals(0.0, plan.baseline[i] + plan.scaleOut[i], 1e-9)
             }
         }
     }
@@ -51,19 +51,19 @@
         val machine = Machine("host-1", type, "z", false)
         val plan = plan(job("req-1", 12, estimateS = 30, deadlineS = 180), listOf(machine))
         assertEquals(listOf(4.0, 4.0, 4.0), plan.baseline.take(3))
-        assertEquals(0.0, plan.rented.sum(), 1e-9)
+        assertEquals(0.0, plan.scaleOut.sum(), 1e-9)
     }
 
     @Test
-    fun `what fell short is rented in the next plan`() {
+    fun `what fell short is scaleOut in the next plan`() {
         val machine = Machine("host-1", type, "z", false)
         val planner = planner()
         val job = job("req-1", 16, estimateS = 30, deadlineS = 300)
         planner.plan(listOf(job), listOf(machine), true, { 0L }, 0L, 0L)
         planner.plan(listOf(job), listOf(machine), true, { 0L }, 60_000_000L, 60_000_000L)
         val plan = requireNotNull(planner.planOf(job))
-        assertTrue(plan.topUp > 3.0, "top-up ${plan.topUp}")
-        assertEquals(plan.topUp, plan.rented.sum(), 1e-6)
+        assertTrue(plan.topUpTasks > 3.0, "top-up ${plan.topUpTasks}")
+        assertEquals(plan.topUpTasks, plan.scaleOut.sum(), 1e-6)
     }
 
     @Test
@@ -78,23 +78,23 @@
         val planner = planner()
         val job = job("req-1", 8, estimateS = 30, deadlineS = 60)
         planner.plan(listOf(job), listOf(machine), true, { 0L }, 0L, 0L)
-        val backed = planner.wishes(listOf(job), { it === machine }, 0L).single().slots
+        val backed = planner.scaleOutDemands(listOf(job), { it === machine }, 0L).single().slots
         assertTrue(backed > 0.0)
         repeat(8) { index ->
             val granted = Placement(machine, TaskId("req-1", index), 2, job)
             granted.phase = Placement.Phase.RUNNING
             job.add(granted)
         }
-        assertEquals(0.0, planner.wishes(listOf(job), { it === machine }, 0L).single().slots, 1e-9)
+        assertEquals(0.0, planner.scaleOutDemands(listOf(job), { it === machine }, 0L).single().slots, 1e-9)
     }
 
     @Test
-    fun `work for rented machines is not put off to a distant deadline`() {
+    fun `work for scaleOut machines is not put off to a distant deadline`() {
         val tasks = 40
         // Two long intervals hold three tasks of 40 s one after another.
-        assertEquals(tasks / 3.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 600), emptyList()).rentedSlots, 1e-6)
-        assertEquals(tasks / 2.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 100), emptyList()).rentedSlots, 1e-6)
-        assertEquals(tasks / 3.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 30), emptyList()).rentedSlots, 1e-6)
+        assertEquals(tasks / 3.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 600), emptyList()).scaleOutSlots, 1e-6)
+        assertEquals(tasks / 2.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 100), emptyList()).scaleOutSlots, 1e-6)
+        assertEquals(tasks / 3.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 30), emptyList()).scaleOutSlots, 1e-6)
     }
 
     private fun plan(job: Job, machines: List<Machine>): JobPlan {
@@ -103,7 +103,7 @@
         return requireNotNull(planner.planOf(job))
     }
 
-    private fun planner() = Planner(settings, Policy(), TaskTimes())
+    private fun planner() = Planner(settings, Policy(), RunTimeEstimates())
 
     private fun job(id: String, taskCount: Int, estimateS: Int, deadlineS: Int): Job {
         val spec = testSpec(id, "pieces" to taskCount, "guess_s" to estimateS, "due_s" to deadlineS)
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -33,14 +33,14 @@
         planner.plan(emptyList(), machines, true, { 0L }, 0L, 0L, stages = listOf(slow))
         val alone = requireNotNull(planner.planOf(slow.job))
         assertEquals(0.0, alone.baseline[0], 1e-9, "nothing before it can start")
-        assertEquals(40.0, alone.baseline.sum() + alone.rented.sum(), 1e-6, "all tasks are planned, once")
+        assertEquals(40.0, alone.baseline.sum() + alone.scaleOut.sum(), 1e-6, "all tasks are planned, once")
         val first = stage(2, 200, setOf(1), startsInS = 0, estimateS = 20, deadlineS = 60)
         val child = stage(3, 40, setOf(2), startsInS = 70, estimateS = 20, deadlineS = 400)
         val other = planner()
         other.plan(emptyList(), emptyList(), true, { 0L }, 0L, 0L, stages = listOf(first, child))
         val paced = requireNotNull(other.planOf(child.job))
         assertEquals(3L, requireNotNull(other.planOf(first.job)).spanMicros / 20_000_000, "three rounds until it is due")
-        assertEquals(40.0 / 3, paced.rentedSlots, 1e-6, "as long as its neighbour, where its window alone would allow sixteen rounds")
+        assertEquals(40.0 / 3, paced.scaleOutSlots, 1e-6, "as long as its neighbour, where its window alone would allow sixteen rounds")
     }
 
     /** Whatever waits, jobs that may start are planned as without it. */
@@ -68,8 +68,8 @@
                 val one = requireNotNull(without.planOf(job))
                 val other = requireNotNull(with.planOf(job))
                 assertEquals(
-                    one.baseline.toList() + one.rented.toList() + one.rentedSlots,
-                    other.baseline.toList() + other.rented.toList() + other.rentedSlots,
+                    one.baseline.toList() + one.scaleOut.toList() + one.scaleOutSlots,
+                    other.baseline.toList() + other.scaleOut.toList() + other.scaleOutSlots,
                 )
             }
         }
@@ -86,7 +86,7 @@
         assertTrue(planner.isOutdated(job))
         planner.plan(listOf(job), machines, false, { 0L }, 0L, 0L)
         val after = requireNotNull(planner.planOf(job))
-        assertTrue(after.rentedSlots > before.rentedSlots, "${before.rentedSlots} -> ${after.rentedSlots}")
+        assertTrue(after.scaleOutSlots > before.scaleOutSlots, "${before.scaleOutSlots} -> ${after.scaleOutSlots}")
         assertFalse(planner.isOutdated(job))
     }
 
@@ -103,7 +103,7 @@
         assertTrue(planner().deadlineWallMicros(withoutDeadline) > 80_000_000, "planned as if due some time after it could start")
     }
 
-    private fun planner() = Planner(testSettings(), Policy(), TaskTimes())
+    private fun planner() = Planner(testSettings(), Policy(), RunTimeEstimates())
 
     private fun stage(id: Int, tasks: Int, dependencies: Set<Int>, startsInS: Int = 10, estimateS: Int = 20, deadlineS: Int = 300) =
         WaitingStage(job(id, tasks, estimateS, deadlineS), dependencies.mapTo(LinkedHashSet()) { "req-$it" }, startsInS * 1_000_000L)
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -11,7 +11,7 @@
 import linemast.domain.TaskState
 import linemast.domain.TaskStatus
 import linemast.planning.Planner
-import linemast.planning.TaskTimes
+import linemast.planning.RunTimeEstimates
 import linemast.settings.Policy
 import linemast.testSettings
 import linemast.testSpec
@@ -27,7 +27,7 @@
     val droppedMachines = ArrayList<String>()
     private val settings = testSettings(teams)
     val workers get() = settings.workers
-    private val times = TaskTimes()
+    private val times = RunTimeEstimates()
     private val effects = object : ClusterEffects {
         override fun storeOpened(job: Job) {
             job.opened = Job.Opened.YES
--- a/src/test/kotlin/linemast/settings/SettingsTest.kt
+++ b/src/test/kotlin/linemast/settings/SettingsTest.kt
@@ -59,7 +59,7 @@
         val settings = SettingsReader.parse(good)
         assertEquals(2, settings.controllers)
         assertEquals(11_000_000L, settings.workers.leaseMicros)
-        assertEquals(16 * 1024, settings.stateLimits.valueBytes)
+        assertEquals(16 * 1024, settings.storeLimits.valueBytes)
         assertEquals(Objective.Wait("lane", 12_000_000L), settings.objectives.single())
     }
 
@@ -83,12 +83,12 @@
 
     @Test
     fun `next limits of the state service are optional, and what they leave out stays`() {
-        val without = SettingsReader.parse(good).stateLimits
+        val without = SettingsReader.parse(good).storeLimits
         assertEquals(listOf(16 * 1024, 16), listOf(without.maxValueBytes, without.maxTxnOps))
         val with = SettingsReader.parse(
             good.replace("[settings.cloud]", "[settings.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\n[settings.cloud]"),
         )
-        val limits = with.stateLimits
+        val limits = with.storeLimits
         assertEquals(listOf(2_048, 16), listOf(limits.maxValueBytes, limits.maxTxnOps))
         assertEquals(listOf(100.0, 21.0), listOf(limits.next?.rps, limits.next?.writeRps))
         for (bad in listOf("value_kb = 1.0", "txn_ops = 1", "write_rps = 0", "rps = \"many\"")) {
@@ -125,7 +125,7 @@
         val policy = PolicyScript.parse("local m = 60\nreturn { long_interval_s = 2 * m, short_interval_s = math.max(5, 3) }", "p.lua")
         assertEquals(120_000_000L, policy.longIntervalMicros)
         assertEquals(5_000_000L, policy.shortIntervalMicros)
-        assertEquals(Policy().idleReturnMicros, policy.idleReturnMicros)
+        assertEquals(Policy().idleScaleInMicros, policy.idleScaleInMicros)
     }
 
     @Test
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -221,7 +221,7 @@
             fail("ran_twice: ${task.job}/${task.index} on ${worker.name}")
         }
         val used = liveTasks().filter { jobs.getValue(it.second.job).team == job.team }.sumOf { jobs.getValue(it.second.job).vcpus }
-        if (used + job.vcpus > teams.getValue(job.team).cpusMax + 1e-6) fail("quota: ${job.team} uses ${used + job.vcpus}")
+        if (used + job.vcpus > teams.getValue(job.team).maxVcpus + 1e-6) fail("quota: ${job.team} uses ${used + job.vcpus}")
         if (worker.spot && !job.spot) fail("wrong_place: ${job.id} on a spot machine")
         if (job.sameZone && others.any { it.first.zone != worker.zone }) fail("wrong_place: ${job.id} in two zones")
         val here = others.count { it.first.zone == worker.zone } + 1
@@ -276,7 +276,7 @@
         if (open == 0 || (job.gang && mine.isNotEmpty())) return false
         val wanted = if (job.gang) job.taskCount else 1
         val used = live.filter { jobs.getValue(it.second.job).team == job.team }.sumOf { jobs.getValue(it.second.job).vcpus }
-        if (used + wanted * job.vcpus > teams.getValue(job.team).cpusMax) return false
+        if (used + wanted * job.vcpus > teams.getValue(job.team).maxVcpus) return false
         val bound = mine.map { it.first.zone }.toSet()
         val room = workers.values.filter {
             (job.spot || !it.spot) && (!job.sameZone || bound.isEmpty() || it.zone in bound)
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -15,7 +15,7 @@
 import linemast.domain.TaskState
 import linemast.domain.TaskStatus
 import linemast.planning.Planner
-import linemast.planning.TaskTimes
+import linemast.planning.RunTimeEstimates
 import linemast.scheduling.Cluster
 import linemast.scheduling.ClusterEffects
 import linemast.settings.Policy
@@ -80,7 +80,7 @@
 
     /** All that a leader holds in memory; a take-over begins with another one. */
     private inner class LeaderState(val fencingToken: Long) {
-        private val times = TaskTimes()
+        private val times = RunTimeEstimates()
         private val planner = Planner(settings, Policy(), times)
         val fleet = Fleet(settings, Policy(), fencingToken)
         val cluster: Cluster = Cluster(settings, fencingToken, GRACE_MICROS, effects, times, planner, { now }, { now })
--- a/src/test/kotlin/linemast/size/FleetScenarioSettings.kt
+++ b/src/test/kotlin/linemast/size/FleetScenarioSettings.kt
@@ -3,8 +3,8 @@
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
 
-/** The settings of a [FleetScenario]: [teams] with [cpus] guaranteed to each, and [cpusMax] at most. */
-internal fun fleetPlaySettings(teams: List<String>, cpus: Int, cpusMax: Int): Settings = SettingsReader.parse(
+/** The settings of a [FleetScenario]: [teams] with [cpus] guaranteed to each, and [maxVcpus] at most. */
+internal fun fleetPlaySettings(teams: List<String>, cpus: Int, maxVcpus: Int): Settings = SettingsReader.parse(
     """
     node_name = "mast-0"
     domain = "a"
@@ -16,7 +16,7 @@
     [settings]
     zones = ["a", "b", "c", "d"]
     clock_off_ms = 0.0
-    teams = [${teams.joinToString { """{ name = "$it", cpus = $cpus.0, cpus_max = $cpusMax.0, gpus = 0.0, gpus_max = 0.0 }""" }}]
+    teams = [${teams.joinToString { """{ name = "$it", cpus = $cpus.0, cpus_max = $maxVcpus.0, gpus = 0.0, gpus_max = 0.0 }""" }}]
     objectives = [
       { kind = "wait", class = "gangs", within_s = 15.0, share = 0.9 },
       { kind = "finished", class = "gangs", within_s = 200.0, share = 0.9 },
--- a/src/test/kotlin/linemast/size/FleetSizeTest.kt
+++ b/src/test/kotlin/linemast/size/FleetSizeTest.kt
@@ -17,7 +17,7 @@
         val large = MachineType("large", 32.0, 0.0, 64.0, 40.0, 0.8, 1.3, 0.33, 30_000_000, zones)
         val baselineMachines = List(370) { small to zones[it % 4] } + List(120) { large to zones[it % 4] }
         val teams = listOf("t1", "t2", "t3", "t4", "t5")
-        val play = FleetScenario(fleetPlaySettings(teams, cpus = 1_500, cpusMax = 4_000), listOf(small, large), baselineMachines, seed)
+        val play = FleetScenario(fleetPlaySettings(teams, cpus = 1_500, maxVcpus = 4_000), listOf(small, large), baselineMachines, seed)
         var id = 0
         fun gang() = play.submit(
             FleetScenario.spec(
--- a/src/test/kotlin/linemast/size/LargeFleetTest.kt
+++ b/src/test/kotlin/linemast/size/LargeFleetTest.kt
@@ -15,7 +15,7 @@
         val seed = 31
         val random = Random(seed)
         val baselineMachines = List(machines * 3 / 4) { SMALL to ZONES[it % ZONES.size] }
-        val settings = fleetPlaySettings(TEAMS, cpus = machines * 2, cpusMax = machines * 8)
+        val settings = fleetPlaySettings(TEAMS, cpus = machines * 2, maxVcpus = machines * 8)
         val play = FleetScenario(settings, listOf(SMALL, LARGE), baselineMachines, seed, maxMachines = machines)
         var submitted = 0
         fun id() = "req-%06d".format(submitted++)
--- a/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
@@ -1,14 +1,14 @@
 package linemast.store
 
-import linemast.settings.StateLimits
+import linemast.settings.StoreLimits
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 class StoreRateLimitsTest {
-    private val next = StateLimits(rps = 60.0, writeRps = 20.0, valueBytes = 2_048, txnOps = 5)
-    private val limits = StateLimits(rps = 90.0, writeRps = 40.0, valueBytes = 16_384, txnOps = 16, next = next)
+    private val next = StoreLimits(rps = 60.0, writeRps = 20.0, valueBytes = 2_048, txnOps = 5)
+    private val limits = StoreLimits(rps = 90.0, writeRps = 40.0, valueBytes = 16_384, txnOps = 16, next = next)
 
     @Test
     fun `three controllers together keep within the rates, before a refusal and after it`() {
@@ -26,7 +26,7 @@
 
     @Test
     fun `without next limits a refusal changes nothing`() {
-        val rates = StoreRateLimits(StateLimits(90.0, 40.0, 16_384, 16), 3)
+        val rates = StoreRateLimits(StoreLimits(90.0, 40.0, 16_384, 16), 3)
         val before = rates.writesPerSecond to rates.requestsPerSecond
         assertFalse(rates.tightenAfterRefusal(isCommit = true) || rates.tightenAfterRefusal(isCommit = false))
         assertEquals(before, rates.writesPerSecond to rates.requestsPerSecond)
