--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -1,6 +1,5 @@
 package linemast.control
 
-import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.cloud.Fleet
 import linemast.cloud.ScaleOutRequest
@@ -9,7 +8,7 @@
 import linemast.duties.PendingIntentResolver
 import linemast.duties.WriteAheadCloudActionExecutor
 import linemast.scheduling.Cluster
-import linemast.store.storeResultOrNull
+import linemast.store.RetryPolicy
 import org.slf4j.LoggerFactory
 
 /** Adopts the scale-out and scale-in intents of previous leaders into a new leader's state, before its first decision. */
@@ -24,7 +23,7 @@
 
     /** Returns once all intents are read and marked; what is left to be carried out goes on in the term's scope. */
     suspend fun takeOver() {
-        while (storeResultOrNull(log) { duties.load() } == null) delay(RETRY_MILLIS)
+        RETRY.untilResult(log) { duties.load() }
         val pendingIntents = PendingIntentResolver(duties, this, term.loop::run)
         cluster.markBeingReturned(pendingIntents.machinesScalingIn)
         fleet.markScalingIn(pendingIntents.machinesScalingIn)
@@ -40,6 +39,6 @@
     override fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult) = cloudOperations.scaleOutFinished(request, result)
 
     private companion object {
-        const val RETRY_MILLIS = 250L
+        val RETRY = RetryPolicy(delayMillis = 250)
     }
 }
--- a/src/main/kotlin/linemast/control/JobActivationStore.kt
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -1,6 +1,5 @@
 package linemast.control
 
-import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.domain.Job
 import linemast.jobs.JobKeys
@@ -8,6 +7,7 @@
 import linemast.scheduling.Cluster
 import linemast.store.Precondition
 import linemast.store.RequestPriority
+import linemast.store.RetryPolicy
 import linemast.store.Write
 import linemast.store.storeResultOrNull
 import org.slf4j.LoggerFactory
@@ -34,7 +34,7 @@
             }
             if (job.cancelled || job.finished) return
             // A record that changed meanwhile can be written over at once.
-            if (revision == job.revision) delay(RETRY_MILLIS)
+            if (revision == job.revision) RETRY.pause()
         }
     }
 
@@ -51,6 +51,6 @@
     }
 
     private companion object {
-        const val RETRY_MILLIS = 250L
+        val RETRY = RetryPolicy(delayMillis = 250)
     }
 }
--- a/src/main/kotlin/linemast/control/JobWatcher.kt
+++ b/src/main/kotlin/linemast/control/JobWatcher.kt
@@ -1,12 +1,11 @@
 package linemast.control
 
-import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.jobs.JobKeys
 import linemast.leadership.CancellationFreshness
 import linemast.store.EntryPage
 import linemast.store.KeyChange
-import linemast.store.StoreException
+import linemast.store.RetryPolicy
 import linemast.store.WatchResult
 import linemast.store.listAll
 import linemast.time.SECOND_MICROS
@@ -65,14 +64,7 @@
 
     private suspend fun watch(subscription: Subscription, firstRevision: Long) {
         var revision = firstRevision
-        while (true) {
-            try {
-                revision = watchOnce(subscription, revision)
-            } catch (e: StoreException) {
-                log.debug("watching {}: {}", subscription.prefix, e.message)
-                delay(RETRY_MILLIS)
-            }
-        }
+        RETRY.repeatForever(log, "watching ${subscription.prefix}") { revision = watchOnce(subscription, revision) }
     }
 
     /** Waits for changes after [revision] and queues them; the revision to go on from. */
@@ -98,7 +90,7 @@
     }
 
     private companion object {
-        const val RETRY_MILLIS = 250L
+        val RETRY = RetryPolicy(delayMillis = 250)
 
         /** Short, since cancellations are known only up to when the last answered watch was sent. */
         const val OPEN_WATCH_MICROS = SECOND_MICROS
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -1,14 +1,12 @@
 package linemast.control
 
-import kotlinx.coroutines.delay
 import linemast.domain.MachineType
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
 import linemast.leadership.CancellationFreshness
 import linemast.scheduling.Cluster
-import linemast.serialization.MalformedException
 import linemast.store.Entry
-import linemast.store.StoreException
+import linemast.store.RetryPolicy
 import linemast.store.listAll
 import org.slf4j.LoggerFactory
 
@@ -28,23 +26,10 @@
     private val log = LoggerFactory.getLogger(StateLoader::class.java)
 
     /** Reads until it succeeds; the result says from where on changes have to be watched. */
-    suspend fun load(): JobRevisions {
-        while (true) {
-            val known = types()
-            if (known == null) {
-                delay(RETRY_MILLIS)
-                continue
-            }
+    suspend fun load(): JobRevisions = RETRY.untilResult(log, "reading the store") {
+        types()?.let { known ->
             cluster.types = known.associateBy { it.name }
-            try {
-                return read()
-            } catch (e: StoreException) {
-                log.debug("reading the store: {}", e.message)
-                delay(RETRY_MILLIS)
-            } catch (e: MalformedException) {
-                log.error("the store holds a malformed record: {}", e.message)
-                delay(MALFORMED_RETRY_MILLIS)
-            }
+            read()
         }
     }
 
@@ -75,7 +60,6 @@
     }
 
     private companion object {
-        const val RETRY_MILLIS = 250L
-        const val MALFORMED_RETRY_MILLIS = 1_000L
+        val RETRY = RetryPolicy(delayMillis = 250, malformedDelayMillis = 1_000)
     }
 }
--- a/src/main/kotlin/linemast/control/UtilizationLog.kt
+++ b/src/main/kotlin/linemast/control/UtilizationLog.kt
@@ -1,42 +1,54 @@
 package linemast.control
 
 import linemast.cloud.Fleet
+import linemast.domain.Machine
 import linemast.domain.Placement
 import linemast.scheduling.Cluster
 import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
-/** Logs now and then, at `debug`, what the machines are paid for: running tasks, image fetches, saves, boots, idle room. */
+/** Logs at `debug`, each [PERIOD_MICROS], what the machines are used for: running tasks, image fetches, checkpoints, idle capacity. */
 internal class UtilizationLog(private val cluster: Cluster, private val fleet: Fleet) {
     private val log = LoggerFactory.getLogger(UtilizationLog::class.java)
-    private var loggedMicros = Long.MIN_VALUE / 2
 
-    /** Logs a line if the last one is old enough and the level asks for it. */
+    /** Null before the first lines. */
+    private var loggedMicros: Long? = null
+
+    /** Logs if the last lines are old enough and the level is enabled. */
     fun step(nowMicros: Long) {
-        if (!log.isDebugEnabled || nowMicros < loggedMicros + PERIOD_MICROS) return
+        if (!log.isDebugEnabled) return
+        loggedMicros?.let { if (nowMicros < it + PERIOD_MICROS) return }
         loggedMicros = nowMicros
-        val machines = cluster.machines.values.filter { nowMicros < it.leaseEndMicros }
-        val booting = fleet.machines.values.count { it.name !in cluster.machines }
-        val byPhase = machines.flatMap { it.placements.values }.groupingBy { it.phase }
+        logMachines(cluster.machines.values.filter { nowMicros < it.leaseEndMicros })
+        logJobs()
+    }
+
+    private fun logMachines(machines: List<Machine>) {
+        val vcpusByPhase = machines.flatMap { it.placements.values }.groupingBy { it.phase }
             .fold(0.0) { vcpus, placement -> vcpus + (placement.job?.spec?.vcpus ?: 0.0) }
+        fun vcpusIn(phase: Placement.Phase) = vcpusByPhase[phase]?.toInt() ?: 0
         log.debug(
-            "usage: {} owned, {} ordinary, {} spot, {} booting; vcpus {} in all, {} running, {} fetching, {} saving, {} sent, {} idle",
+            "usage: {} baseline, {} on-demand, {} spot, {} booting; vcpus {} total, {} running, {} fetching, {} saving, {} sent, {} idle",
             machines.count { it.baseline },
             machines.count { !it.baseline && !it.spot },
             machines.count { it.spot },
-            booting,
+            fleet.machines.values.count { it.name !in cluster.machines },
             machines.sumOf { it.type.vcpus }.toInt(),
-            byPhase[Placement.Phase.RUNNING]?.toInt() ?: 0,
-            byPhase[Placement.Phase.FETCHING]?.toInt() ?: 0,
-            byPhase[Placement.Phase.SAVING]?.toInt() ?: 0,
-            byPhase[Placement.Phase.SENT]?.toInt() ?: 0,
+            vcpusIn(Placement.Phase.RUNNING),
+            vcpusIn(Placement.Phase.FETCHING),
+            vcpusIn(Placement.Phase.SAVING),
+            vcpusIn(Placement.Phase.SENT),
             machines.filter { it.placements.isEmpty() }.sumOf { it.type.vcpus }.toInt(),
         )
+    }
+
+    private fun logJobs() {
+        val jobs = cluster.jobs.values
         log.debug(
-            "usage: {} jobs, {} tasks pending, {} of them within a guarantee",
-            cluster.jobs.size,
-            cluster.jobs.values.sumOf { it.pendingCount },
-            cluster.jobs.values.sumOf { if (it.withinQuota) it.pendingCount else 0 },
+            "usage: {} jobs, {} tasks pending, {} of them within quota",
+            jobs.size,
+            jobs.sumOf { it.pendingCount },
+            jobs.sumOf { if (it.withinQuota) it.pendingCount else 0 },
         )
     }
 
--- /dev/null
+++ b/src/main/kotlin/linemast/control/dependencies/StartPrediction.kt
@@ -0,0 +1,38 @@
+package linemast.control.dependencies
+
+import linemast.domain.JobRecord
+
+/** A blocked job of which it can be told when its last dependency ends. */
+class PredictedStart(val job: BlockedJob, val startsInMicros: Long)
+
+/** Predicts when blocked jobs can start. */
+internal class StartPrediction(
+    /** Whether a job is still going to be released when its dependencies are done. */
+    private val isWaiting: (BlockedJob) -> Boolean,
+    private val dependentsOf: (String) -> Collection<BlockedJob>,
+    /** How long a running job still takes; null for a job that is not running. */
+    private val remainingMicros: (String) -> Long?,
+    /** How long a job that has not started will take. */
+    private val durationMicros: (JobRecord) -> Long,
+) {
+    private val starts = LinkedHashMap<String, PredictedStart>()
+
+    /** Those of [jobs] whose unmet dependencies all run, or are predicted themselves; dependencies before their dependents. */
+    fun predict(jobs: Collection<BlockedJob>): List<PredictedStart> {
+        val queue = ArrayDeque(jobs)
+        var visits = 0
+        while (queue.isNotEmpty() && visits++ < MAX_VISITS) {
+            val job = queue.removeFirst()
+            if (!isWaiting(job) || job.id in starts) continue
+            val startsInMicros = startsInMicros(job) ?: continue
+            starts[job.id] = PredictedStart(job, startsInMicros)
+            queue += dependentsOf(job.id)
+        }
+        return starts.values.toList()
+    }
+
+    private fun startsInMicros(job: BlockedJob): Long? = job.unmetDependencies.map { endsInMicros(it) ?: return null }.max()
+
+    private fun endsInMicros(id: String): Long? =
+        starts[id]?.let { it.startsInMicros + durationMicros(it.job.record) } ?: remainingMicros(id)
+}
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The names of a standing fleet of any size are stored within what the store takes, and read back whole. */
+/** The names of a baseline fleet of any size are stored within the limits of the store, and read back whole. */
 class BaselineFleetStoreTest {
     private class ListingCloud(private val names: List<String>) : Cloud {
         override suspend fun types(): List<MachineType> = emptyList()
@@ -33,15 +33,15 @@
         for (txnOps in listOf(2, 16, 24, 40)) {
             for (machines in listOf(1, 200, 4_000, 6_000)) {
                 val names = List(machines) { "host-%06d".format(it + 998_000) }
-                val (store, learned) = learn(names, txnOps)
+                val (store, loaded) = loadTwice(names, txnOps)
                 assertEquals(emptyList<String>(), store.tooLarge, "$machines machines, $txnOps changes")
-                assertEquals(names.toSet(), learned.first)
-                assertEquals(names.toSet(), learned.second, "as the next leader reads them")
+                assertEquals(names.toSet(), loaded.first)
+                assertEquals(names.toSet(), loaded.second, "as the next leader reads them")
             }
         }
     }
 
-    private suspend fun TestScope.learn(names: List<String>, txnOps: Int): Pair<SimStore, Pair<Set<String>?, Set<String>?>> {
+    private suspend fun TestScope.loadTwice(names: List<String>, txnOps: Int): Pair<SimStore, Pair<Set<String>?, Set<String>?>> {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(1))
         store.txnOps = txnOps
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -26,13 +26,13 @@
 import kotlin.random.Random
 
 class DependencyCoordinatorTest {
-    /** What waiting jobs ask of others, and room rented ahead for them, must not outlast them. */
+    /** Requirements of blocked jobs, and capacity planned ahead for them, must not outlast them. */
     @Test
-    fun `when the last waiting job is released nothing is asked of others any more`() = runTest {
+    fun `when the last blocked job is released no job has inherited requirements any more`() = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(1))
         val client = store.clientOf("mast-0")
-        val waiting =
+        val blocked =
             JobRecord(
                 testSpec("req-2", "awaits" to listOf("req-1"), "urgency" to "high", "due_s" to 90.0),
                 0,
@@ -40,7 +40,7 @@
                 cancelled = false,
             )
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(waiting))))
+        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
         val fixture = ClusterFixture()
         val first = fixture.submit("req-1", 2)
         HandWorker(fixture, "host-000001").reportFor(3)
@@ -74,9 +74,9 @@
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(2))
         val inner = store.clientOf("mast-0")
-        val waiting = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, opened = false, cancelled = false)
+        val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, opened = false, cancelled = false)
         inner.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(waiting))))
+        inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
         val racing = object : KeyValueStore by inner {
             override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
                 inner.commit(emptyList(), listOf(Write.Delete(JobKeys.waiting("req-2"))))
--- /dev/null
+++ b/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
@@ -0,0 +1,151 @@
+package linemast.control.dependencies
+
+import linemast.domain.JobOutcome
+import linemast.domain.JobPriority
+import linemast.domain.JobRecord
+import linemast.testSpec
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+import kotlin.random.Random
+
+private fun blockedRecord(id: Int, dependencies: Collection<Int>, vararg fields: Pair<String, Any?>) = JobRecord(
+    testSpec("req-$id", "awaits" to dependencies.map { "req-$it" }, *fields),
+    1_000,
+    opened = false,
+    cancelled = false,
+)
+
+class DependencyGraphTest {
+    /** Jobs that depend on earlier ones at random; news in any order, commits that fail and reads without an answer. */
+    @ParameterizedTest
+    @ValueSource(ints = [3])
+    fun `a job is released when all its dependencies are done and cancelled with any of them`(seed: Int) {
+        repeat(60) { round ->
+            val pipeline = RandomPipeline(Random(seed + round))
+            repeat(3_000) { pipeline.step() }
+            pipeline.checkAllEnded("seed $seed, round $round")
+        }
+    }
+
+    @Test
+    fun `a chain of any depth is cancelled without recursion`() {
+        val graph = DependencyGraph()
+        val depth = 30_000
+        for (id in depth downTo 1) graph.put(blockedRecord(id, listOf(id - 1)), id.toLong())
+        graph.outcomeKnown("req-0", JobOutcome.CANCELLED)
+        assertEquals(depth, graph.nextStep({ false }, 0).cancelled.size)
+        assertEquals(0, graph.nextStep({ false }, 0).cancelled.size, "each is committed once at a time")
+    }
+
+    @Test
+    fun `deadline and priority of the last job pass back through a diamond`() {
+        val graph = DependencyGraph()
+        graph.put(blockedRecord(2, listOf(1), "urgency" to "idle", "due_s" to null), 1)
+        graph.put(blockedRecord(3, listOf(1), "urgency" to "normal", "due_s" to null), 1)
+        graph.put(blockedRecord(4, listOf(2, 3), "urgency" to "high", "due_s" to 100.0), 1)
+        val durations = mapOf("req-2" to 30_000_000L, "req-3" to 10_000_000L, "req-4" to 5_000_000L)
+        val requirements = graph.inheritedRequirements { durations.getValue(it.spec.id) }
+        val due = 1_000 + 100_000_000L
+        assertEquals(due - 5_000_000, requirements.getValue("req-2").endByWallMicros)
+        assertEquals(due - 35_000_000, requirements.getValue("req-1").endByWallMicros, "the critical path counts")
+        assertEquals(setOf(JobPriority.HIGH), requirements.values.map { it.priority }.toSet())
+        graph.remove("req-4")
+        assertEquals(JobPriority.NORMAL, graph.inheritedRequirements { 0 }.getValue("req-1").priority)
+        assertFalse("req-3" in graph.inheritedRequirements { 0 })
+    }
+
+    @Test
+    fun `the start of a job is predicted once all its unmet dependencies run`() {
+        val graph = DependencyGraph()
+        graph.put(blockedRecord(3, listOf(1, 2)), 1)
+        graph.put(blockedRecord(4, listOf(3)), 2)
+        val remaining = mutableMapOf("req-1" to 20L)
+        fun predicted() = graph.predictedStarts(remaining::get) { 7L }.map { it.job.id to it.startsInMicros }
+        assertEquals(emptyList<Pair<String, Long>>(), predicted(), "the second dependency does not run yet")
+        remaining["req-2"] = 50L
+        assertEquals(listOf("req-3" to 50L, "req-4" to 57L), predicted(), "the last of them counts, and a blocked job passes it on")
+        graph.outcomeKnown("req-2", JobOutcome.DONE)
+        assertEquals(listOf("req-3" to 20L, "req-4" to 27L), predicted())
+        graph.outcomeKnown("req-1", JobOutcome.CANCELLED)
+        assertEquals(emptyList<Pair<String, Long>>(), predicted())
+    }
+}
+
+/** A random DAG of jobs whose store and users are played by [random]; checks each decision of its graph. */
+private class RandomPipeline(private val random: Random) {
+    private val count = 5 + random.nextInt(40)
+    private val dependencies = (0 until count).associateWith { id ->
+        List(random.nextInt(4)) { random.nextInt(maxOf(1, id)) }.filter { it < id }.toSet()
+    }
+    private val outcomes = arrayOfNulls<JobOutcome>(count)
+    private val graph = DependencyGraph()
+    private val blocked = HashSet<Int>()
+    private val unseen = dependencies.keys.filter { dependencies.getValue(it).isNotEmpty() }.shuffled(random).toMutableList()
+    private val active = dependencies.keys.filterTo(HashSet()) { dependencies.getValue(it).isEmpty() }
+    private var revision = 0L
+    private var nowMicros = 0L
+
+    fun step() {
+        nowMicros += 300_000
+        if (unseen.isNotEmpty() && random.nextInt(3) == 0) showBlockedJob(unseen.removeLast())
+        if (active.isNotEmpty() && random.nextInt(8) == 0) endActiveJob(active.random(random))
+        val step = graph.nextStep({ numberOf(it) in active }, nowMicros)
+        step.released.forEach(::release)
+        step.cancelled.forEach(::cancel)
+        step.outcomesToRead.forEach(::readOutcome)
+    }
+
+    private fun showBlockedJob(id: Int) {
+        blocked += id
+        graph.put(blockedRecord(id, dependencies.getValue(id)), ++revision)
+    }
+
+    private fun endActiveJob(id: Int) {
+        active -= id
+        val outcome = if (random.nextInt(6) == 0) JobOutcome.CANCELLED else JobOutcome.DONE
+        outcomes[id] = outcome
+        // News of it may never come: then the outcome has to be read.
+        if (random.nextBoolean()) graph.outcomeKnown("req-$id", outcome)
+    }
+
+    private fun release(job: BlockedJob) {
+        val id = numberOf(job.id)
+        assertTrue(dependencies.getValue(id).all { outcomes[it] == JobOutcome.DONE }, "$id is released too early")
+        if (random.nextInt(3) == 0) return graph.commitFailed(listOf(job))
+        graph.remove(job.id)
+        blocked -= id
+        active += id
+    }
+
+    private fun cancel(job: BlockedJob) {
+        val id = numberOf(job.id)
+        assertTrue(dependsOnCancelled(id), "$id depends on nothing that was cancelled")
+        if (random.nextInt(3) == 0) return graph.commitFailed(listOf(job))
+        outcomes[id] = JobOutcome.CANCELLED
+        graph.remove(job.id)
+        blocked -= id
+    }
+
+    private fun readOutcome(jobId: String) {
+        if (random.nextInt(4) != 0) graph.outcomeKnown(jobId, outcomes[numberOf(jobId)] ?: JobOutcome.OPEN)
+    }
+
+    fun checkAllEnded(description: String) {
+        assertEquals(emptySet<Int>(), blocked, "$description: none is blocked for ever")
+        assertTrue(graph.isEmpty)
+        for (id in 0 until count) {
+            val isCancelledWithDependency = outcomes[id] == JobOutcome.CANCELLED && dependencies.getValue(id).any(::isCancelled)
+            assertEquals(dependsOnCancelled(id), isCancelledWithDependency, "$description: job $id")
+        }
+    }
+
+    private fun isCancelled(id: Int): Boolean = outcomes[id] == JobOutcome.CANCELLED || dependsOnCancelled(id)
+
+    private fun dependsOnCancelled(id: Int): Boolean = dependencies.getValue(id).any(::isCancelled)
+
+    private fun numberOf(jobId: String): Int = jobId.removePrefix("req-").toInt()
+}
