--- a/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
@@ -9,8 +9,8 @@
 /**
  * The machines that one scheduling cycle may use, by kind and by free capacity.
  *
- * A cycle asks for machines once for each pending job. To search the whole fleet each time would take a time that grows with
- * the product of both; here a job is led to the few machines that it fits on, in the order of such a search.
+ * A cycle asks for machines once for each pending job. Searching the whole fleet each time would cost the product of both; the
+ * pools give only the machines that a task fits on, in the same order as such a search.
  */
 internal class CandidateMachines(
     machines: Collection<Machine>,
@@ -120,12 +120,13 @@
     }
 
     private companion object {
+        /** How many vcpus a gpu counts for in the order of machine sizes. */
         const val GPU_WEIGHT = 16.0
 
-        /** So many machines of a scarce type stay idle for the job classes that need it. */
+        /** How many machines of scarce types stay idle for the job classes that need them. */
         const val MIN_IDLE = 1
 
-        /** Cheap machines fill first, so that dear ones become idle and can be scaled in; static ones come before all. */
+        /** Static machines first; then cheap machines fill up, so that expensive ones become idle and can be scaled in. */
         val CHEAPEST_FIRST = compareBy<MachinePool>(
             { !it.kind.baseline },
             { if (it.kind.baseline) 0.0 else it.machines.first().pricePerVcpu },
--- a/src/main/kotlin/linemast/scheduling/ExpectedGangs.kt
+++ b/src/main/kotlin/linemast/scheduling/ExpectedGangs.kt
@@ -5,8 +5,8 @@
 /**
  * The gangs that teams are expected to submit next: like the last one of each.
  *
- * A part of a team's quota limit is kept free for its next gang, since preempting tasks for it would lose more work than
- * the free part costs.
+ * Part of a team's quota limit is reserved for its next gang: preempting tasks for it would lose more work than the reserved
+ * capacity costs.
  */
 internal class ExpectedGangs(private val quota: QuotaUsage) {
     private val latestByTeam = HashMap<String, JobSpec>()
@@ -25,7 +25,7 @@
     }
 
     private companion object {
-        /** For a gang that needs a larger share of its team's limit, nothing is kept. */
+        /** Nothing is reserved for a gang that needs a larger share of its team's limit. */
         const val MAX_SHARE_OF_LIMIT = 0.25
     }
 }
--- a/src/main/kotlin/linemast/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPlacement.kt
@@ -55,7 +55,7 @@
         if (gang.placements.isNotEmpty()) return !gang.gangRan && gang.placements.all { it.attempt == gang.gangAttempt }
         gang.gangRan = false
         if (gang.gangAttempt == 0L || gang.gangAttemptUsed) {
-            // Kept until the gang can start as a whole, however many cycles that takes.
+            // The number is used for all cycles until the gang can start as a whole.
             gang.gangAttempt = cluster.attemptNumbers.next().also(cluster.attemptNumbers::use)
             gang.gangAttemptUsed = false
         }
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -25,14 +25,14 @@
         val team = gang.spec.team
         var neededVcpus = (missing - withinLimit) * gang.spec.vcpus
         neededVcpus -= taskPreemption.stoppingVcpus(team)
-        if (neededVcpus <= EPSILON) return
+        if (neededVcpus <= ROUNDING_TOLERANCE) return
         val candidates = cycle.jobs.map { it.job }
             .filter { it.spec.team == team && !it.spec.isGang && it.priority > gang.priority }
             .flatMap { it.placements }
             .filter { it.isPreemptible }
         if (candidates.sumOf { it.requestedVcpus } < neededVcpus) return
         for (victim in candidates.sortedByDescending { it.sentMicros }) {
-            if (neededVcpus <= EPSILON) return
+            if (neededVcpus <= ROUNDING_TOLERANCE) return
             taskPreemption.preempt(victim, StopReason.PreemptedAtQuotaLimit(gang.id))
             neededVcpus -= victim.requestedVcpus
         }
@@ -43,7 +43,7 @@
      * machines for it. Returns whether the gang can expect its capacity; nothing is preempted otherwise.
      */
     fun preemptForCapacity(gang: Job, zone: String?, missing: Int, cycle: SchedulingCycle): Boolean {
-        // What is reserved for a starving gang frees up by itself; more would only be kept from others.
+        // The reserved machines become free by themselves; preempting more would only withhold capacity from other jobs.
         if (gang === reservation.gang) return true
         val machines = cycle.machines.feasibleFor(gang).filter { zone == null || it.zone == zone }
         val reservedCount = machines.count { it.reservedFor === gang }
@@ -60,8 +60,7 @@
     }
 
     private fun carryOut(preemption: Preemption, gang: Job, windowMicros: Long, cycle: SchedulingCycle) {
-        preemption.machine.reservedFor = gang
-        preemption.machine.reservedUntilMicros = cycle.nowMicros + windowMicros + GangReservation.RESERVATION_MICROS
+        preemption.machine.reserveFor(gang, cycle.nowMicros + windowMicros + GangReservation.RESERVATION_MICROS)
         for (victim in preemption.victims) {
             // A task whose start has not left need not be started and stopped again.
             if (victim.isAssigned) {
@@ -72,15 +71,15 @@
         }
     }
 
-    /** Unlike [isPreemptible], also what is only assigned and what is being stopped already: their capacity counts as well. */
+    /** Unlike [isPreemptible], this includes tasks that are only assigned or already being stopped: their capacity counts as well. */
     private fun isLessUrgent(placement: Placement, gang: Job): Boolean {
         val job = placement.job ?: return false
         return job.priority > gang.priority && !job.spec.isGang && !placement.exemptFromPreemption
     }
 
-    /** Whether preempting all less urgent tasks of [machine] would do: asked first, since most often it would not. */
+    /** Whether preempting all less urgent tasks of [machine] frees enough: a cheap check that rules out most machines. */
     private fun couldFit(gang: Job, machine: Machine): Boolean {
-        var vcpus = machine.freeVcpus + EPSILON
+        var vcpus = machine.freeVcpus + ROUNDING_TOLERANCE
         if (vcpus >= gang.spec.vcpus) return true
         for (placement in machine.placements.values) {
             if (!isLessUrgent(placement, gang)) continue
@@ -91,20 +90,20 @@
     }
 
     /**
-     * The tasks to preempt on [machine] so that one of [gang] fits; null if that is not allowed or not enough.
+     * The tasks to preempt on [machine] so that one of [gang] fits; null if preempting all that is allowed is not enough.
      *
-     * Tasks that end by themselves within [windowMicros] go on: they have the most work to lose.
+     * Tasks that end by themselves within [windowMicros] are not preempted: they would lose the most work.
      */
     private fun victimsOn(machine: Machine, gang: Job, windowMicros: Long, nowMicros: Long): List<Placement>? {
         var vcpus = machine.freeVcpus
         val victims = ArrayList<Placement>()
         val order = compareBy<Placement>({ !estimates.endsWithin(it, nowMicros, windowMicros) }, { -it.sentMicros })
         for (placement in machine.placements.values.filter { isLessUrgent(it, gang) }.sortedWith(order)) {
-            if (vcpus + EPSILON >= gang.spec.vcpus) break
+            if (vcpus + ROUNDING_TOLERANCE >= gang.spec.vcpus) break
             if (!estimates.endsWithin(placement, nowMicros, windowMicros)) victims += placement
             vcpus += placement.requestedVcpus
         }
-        return if (vcpus + EPSILON >= gang.spec.vcpus) victims else null
+        return if (vcpus + ROUNDING_TOLERANCE >= gang.spec.vcpus) victims else null
     }
 
     /** Work that a preemption loses, in microseconds of one vcpu: all since the start, or the time to save a checkpoint. */
@@ -112,8 +111,4 @@
         val spec = placement.job?.spec ?: return 0.0
         return if (spec.neverSaves) (nowMicros - placement.sentMicros) * spec.vcpus else spec.checkpointMicros * spec.vcpus
     }
-
-    private companion object {
-        const val EPSILON = 1e-6
-    }
 }
--- a/src/main/kotlin/linemast/scheduling/GangReservation.kt
+++ b/src/main/kotlin/linemast/scheduling/GangReservation.kt
@@ -21,10 +21,7 @@
         val available = availableMachines(gang, cycle)
         val chosen = soonestFree(gang, available) ?: return false
         for ((machine, _) in available) if (machine !in chosen) machine.reservedFor = null
-        for (machine in chosen) {
-            machine.reservedFor = gang
-            machine.reservedUntilMicros = cycle.nowMicros + RESERVATION_MICROS
-        }
+        for (machine in chosen) machine.reserveFor(gang, cycle.nowMicros + RESERVATION_MICROS)
         return true
     }
 
@@ -58,3 +55,9 @@
         const val RESERVATION_MICROS = 15_000_000L
     }
 }
+
+/** Reserves this machine for [gang] until [untilMicros]: no other job gets its free capacity. */
+internal fun Machine.reserveFor(gang: Job, untilMicros: Long) {
+    reservedFor = gang
+    reservedUntilMicros = untilMicros
+}
--- a/src/main/kotlin/linemast/scheduling/ImageAffinity.kt
+++ b/src/main/kotlin/linemast/scheduling/ImageAffinity.kt
@@ -4,7 +4,7 @@
 import linemast.domain.Machine
 
 /**
- * Tells which machines are better left to another job, one whose image they have already.
+ * Tells which machines should be left to another job whose image they have already.
  *
  * On a machine without its image a task holds capacity for the whole fetch. So among arrays of about the same rank, each
  * takes the machines that have its image first; what is still free after that goes by rank alone.
@@ -13,7 +13,7 @@
     private val ranks = jobs.associateBy { it.job }
     private val arraysByImage = jobs.filter { !it.withinQuota && !it.job.spec.isGang }.groupBy { it.job.spec.image }
 
-    /** Whether [machine] had better run a task of another job than of [job]. */
+    /** Whether [machine] should be left to another job than [job]. */
     fun prefersAnother(job: Job, machine: Machine): Boolean {
         // Within its quota, and when it is starving, a job takes what it gets.
         if (job.withinQuota || job.isStarving || job.spec.image in machine.images) return false
--- a/src/main/kotlin/linemast/scheduling/MachinePool.kt
+++ b/src/main/kotlin/linemast/scheduling/MachinePool.kt
@@ -4,7 +4,7 @@
 import linemast.domain.Machine
 import linemast.domain.MachineType
 
-/** What machines have in common that come at the same place in the order of candidates. */
+/** What machines that are candidates at the same place in the order have in common. */
 internal data class MachineKind(val type: MachineType, val spot: Boolean, val baseline: Boolean) {
     /** Whether tasks of [job] may run on machines of this kind. */
     fun takes(job: Job): Boolean = type.takes(job.spec) && (job.spec.spot || !spot)
@@ -12,13 +12,13 @@
 
 /** The machines of one kind, searchable by free vcpus. */
 internal class MachinePool(val kind: MachineKind) {
-    /** A machine with its [position] among all machines, which decides between equal ones. */
+    /** A machine and its [position] in the fleet, which decides between machines with the same free capacity. */
     class Entry(val machine: Machine, val position: Int)
 
     private val entries = ArrayList<Entry>()
     private val zonesInOrder = LinkedHashSet<String>()
 
-    /** A copy of [entries], sorted again only after the free capacity of one has changed. */
+    /** A copy of [entries]; it is sorted again only after the free capacity of a machine has changed. */
     private var byFreeVcpus: ArrayList<Entry>? = null
     private var sorted = false
 
@@ -46,7 +46,7 @@
         var high = sortedEntries.size
         while (low < high) {
             val middle = (low + high) ushr 1
-            if (sortedEntries[middle].machine.freeVcpus + EPSILON < vcpus) low = middle + 1 else high = middle
+            if (sortedEntries[middle].machine.freeVcpus + ROUNDING_TOLERANCE < vcpus) low = middle + 1 else high = middle
         }
         return sortedEntries.subList(low, sortedEntries.size)
     }
@@ -61,7 +61,6 @@
     }
 
     private companion object {
-        const val EPSILON = 1e-6
         val FULLEST_FIRST = compareBy<Entry>({ it.machine.freeVcpus }, { it.position })
     }
 }
--- a/src/main/kotlin/linemast/scheduling/MachineReadiness.kt
+++ b/src/main/kotlin/linemast/scheduling/MachineReadiness.kt
@@ -25,6 +25,7 @@
         -((nowMicros - machine.lastHeartbeatMicros) * STEPS_PER_INTERVAL / heartbeatIntervalMicros).toInt()
 
     private companion object {
+        /** How much later than sent a heartbeat may arrive. */
         const val HEARTBEAT_DELAY_MICROS = 1_500_000L
         const val STEPS_PER_INTERVAL = 4
     }
--- a/src/main/kotlin/linemast/scheduling/PreemptionTiming.kt
+++ b/src/main/kotlin/linemast/scheduling/PreemptionTiming.kt
@@ -30,8 +30,13 @@
     }
 
     private companion object {
+        /** If the settings state no objective for jobs within their quota. */
         const val DEFAULT_QUOTA_OBJECTIVE_MICROS = 10_000_000L
+
+        /** No gang waits for longer, whatever its objective. */
         const val MAX_GANG_WINDOW_MICROS = 30_000_000L
+
+        /** How long fetching an image is assumed to take. */
         const val IMAGE_FETCH_MICROS = 2_000_000L
     }
 }
--- a/src/main/kotlin/linemast/scheduling/QuotaHeadroom.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaHeadroom.kt
@@ -11,8 +11,8 @@
     private val unconfirmedByTeam = HashMap<String, Resources>()
 
     /**
-     * How many more tasks of [job] its team's quota limit allows, beside the tasks of previous leaders that are unconfirmed, and
-     * what is kept for the team's more urgent gangs: those that only the limit keeps pending, and the next one expected.
+     * How many more tasks of [job] its team's quota limit allows, besides unconfirmed tasks of previous leaders and what is
+     * reserved for more urgent gangs of the team: those that are pending only because of the limit, and the next one expected.
      */
     fun tasksOf(job: Job): Int = tasksOf(job, if (job.isStarving) null else expectedGangs.reservedAgainst(job.spec))
 
@@ -21,7 +21,7 @@
 
     private fun tasksOf(job: Job, expectedGang: Resources?): Int {
         val unconfirmed = unconfirmedOf(job.spec.team)
-        val pendingGangs = keptForPendingGangs(job)
+        val pendingGangs = reservedForPendingGangs(job)
         val reserved = Resources(
             unconfirmed.vcpus + maxOf(pendingGangs.vcpus, expectedGang?.vcpus ?: 0.0),
             unconfirmed.gpus + maxOf(pendingGangs.gpus, expectedGang?.gpus ?: 0.0),
@@ -29,7 +29,7 @@
         return cluster.quota.headroom(job.spec, reserved)
     }
 
-    private fun keptForPendingGangs(job: Job): Resources {
+    private fun reservedForPendingGangs(job: Job): Resources {
         var vcpus = 0.0
         var gpus = 0.0
         for (gang in pendingGangsByTeam[job.spec.team].orEmpty()) {
--- a/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
@@ -27,7 +27,7 @@
         usage.gpus += sign * spec.gpus
     }
 
-    /** How many more tasks of [spec] its team's quota limit allows if [reserved] is kept free. */
+    /** How many more tasks of [spec] its team's quota limit allows besides [reserved]. */
     internal fun headroom(spec: JobSpec, reserved: Resources): Int {
         val usage = usageByTeam[spec.team] ?: return 0
         val byVcpus = tasksWithin(usage.team.maxVcpus - usage.vcpus - reserved.vcpus, spec.vcpus)
@@ -39,9 +39,5 @@
     fun excessVcpus(name: String): Double = usageByTeam[name]?.let { it.vcpus - it.team.guaranteedVcpus } ?: 0.0
 
     private fun tasksWithin(free: Double, perTask: Double): Int =
-        if (perTask <= 0.0) Int.MAX_VALUE else Math.floor(free / perTask + EPSILON).toInt()
-
-    private companion object {
-        const val EPSILON = 1e-6
-    }
+        if (perTask <= 0.0) Int.MAX_VALUE else Math.floor(free / perTask + ROUNDING_TOLERANCE).toInt()
 }
--- a/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -4,8 +4,8 @@
 import linemast.domain.MachineType
 
 /**
- * Tells which machine types are scarce: some job classes fit no smaller type, so that tasks that fit elsewhere should leave
- * such machines to them.
+ * Tells which machine types are scarce: some job classes fit no smaller type, so tasks that fit elsewhere should leave
+ * these machines to them.
  *
  * Learned from the jobs seen lately.
  */
@@ -65,6 +65,7 @@
     }
 
     private companion object {
+        /** A job class that was not seen for this long is forgotten. */
         const val MEMORY_MICROS = 900_000_000L
     }
 }
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Arrays beyond their quota are bounded to their bookings on static machines. Those within have no such bound: others' bookings
-     * would take the capacity again that tasks were preempted for.
+     * Arrays beyond their quota get at most their bookings on static machines. Those within their quota have no such limit, or
+     * other bookings would take the capacity that tasks were preempted for.
      */
     private fun placeByRank(ready: List<Job>, cycle: SchedulingCycle) {
         for (job in ready) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Arrays take free capacity whatever was booked: first machines that no other job has the image for, then any. */
+    /** Arrays take free capacity beyond their bookings: first on machines without the image of another job, then on any. */
     private fun placeRemainingArrays(ready: List<Job>, cycle: SchedulingCycle) {
         val arrayJobs = ready.filter { !it.spec.isGang }
         for (job in arrayJobs) if (job.pendingCount > 0) arrays.place(job, cycle)
--- a/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -76,6 +76,7 @@
     private fun isReservationOfUse(gang: Job): Boolean = gang.placements.isEmpty() && gang.pendingReason != PendingReason.QuotaLimit
 
     private companion object {
+        /** How many tasks of a starving array are placed first. */
         const val FIRST_TASKS = 2
         const val ARRAY_STARVING_MICROS = 60_000_000L
 
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -39,7 +39,7 @@
     }
 
     @Test
-    fun `a machine is not left to a job of another priority, with more missed objectives, without pending tasks or without quota headroom`() {
+    fun `a machine is not left to a job of another priority, with more misses, or without pending tasks or headroom`() {
         assertFalse(isLeftTo(rank(job("req-2", "held", priority = "idle"), 100)))
         assertFalse(isLeftTo(rank(job("req-2", "held"), 100, missed = 1)))
         assertFalse(isLeftTo(rank(job("req-2", "held"), 100), hasQuotaHeadroom = false))
