--- a/src/main/kotlin/linemast/control/HeartbeatResponse.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatResponse.kt
@@ -11,7 +11,9 @@
  * waited is not in it.
  */
 class HeartbeatResponse(
+    /** The token of the leader that responds. */
     val fencingToken: Long,
+    /** What the worker has to do. */
     val commands: List<Command>,
     cancellationFreshness: CancellationFreshness,
     private val leaderLease: LeaderLease,
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -26,7 +26,10 @@
     private val recovery = features.recovery?.let(::Recovery)
     private val effects = StoreEffects()
 
+    /** Up to when this term knows every cancellation. */
     val cancellationFreshness = CancellationFreshness(settings.workers)
+
+    /** Jobs, machines and placements of this term. */
     val cluster = Cluster(
         settings,
         term.lease.fencingToken,
@@ -40,10 +43,14 @@
         startTurns = features.admission?.let { FlowRoundRobin(flows) },
         recovery,
     )
+
+    /** Reads and writes of the reconciliation after an outage; null if it is not enabled. */
     val recoveryStore = recovery?.let {
         RecoveryStore(term.store, term.lease, term.clock, term.wallMicros, it, cluster::isReconciled, term.loop::run)
     }
     val jobStatistics = JobStatistics(term.loop, cluster, flows)
+
+    /** Makes the admission plan; null without fair admission. */
     val admission = features.admission?.let {
         val limits = term.limits
         AdmissionLeader(
@@ -72,6 +79,8 @@
         autoscaler,
         machineRegistryStore,
     )
+
+    /** Intents of previous leaders; null without single-holder duties. */
     val inheritedIntents = duties?.let { InheritedIntents(term, it, cluster, fleet, cloudOperations) }
     val machineListWatcher = MachineListWatcher(
         term,
--- a/src/main/kotlin/linemast/control/LeaderTerm.kt
+++ b/src/main/kotlin/linemast/control/LeaderTerm.kt
@@ -14,6 +14,7 @@
 /** What all collaborators of a leader share during one term. */
 internal class LeaderTerm(
     val store: KeyValueStore,
+    /** Says whether this term may still act, and fences its writes. */
     val lease: LeaderLease,
     /** Ends with the term. */
     val scope: CoroutineScope,
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -17,6 +17,7 @@
     private lateinit var jobs: JobStore
     private lateinit var machineRegistry: MachineRegistryStore
 
+    /** Sets the writers; to be called once, before the first event. */
     fun connect(cluster: Cluster, activations: JobActivationStore, jobs: JobStore, machineRegistry: MachineRegistryStore) {
         this.cluster = cluster
         this.activations = activations
--- a/src/main/kotlin/linemast/control/dependencies/BlockedJob.kt
+++ b/src/main/kotlin/linemast/control/dependencies/BlockedJob.kt
@@ -4,6 +4,7 @@
 
 /** A job that is blocked by its dependencies, as the store holds it at [revision]. */
 class BlockedJob(val record: JobRecord, val revision: Long) {
+    /** The id of the job. */
     val id: String get() = record.spec.id
 
     /** Ids of the jobs that it depends on, whether they are done or not. */
--- a/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
@@ -25,9 +25,14 @@
     /** Terminal outcomes of dependencies. */
     private val outcomes = HashMap<String, JobOutcome>()
     private val nextReadMicros = HashMap<String, Long>()
+
+    /** Jobs whose dependencies are all done, and which are not released yet. */
     private val ready = LinkedHashSet<BlockedJob>()
+
+    /** Jobs with a cancelled dependency, and which are not cancelled yet. */
     private val toCancel = LinkedHashSet<BlockedJob>()
 
+    /** Whether no job is blocked. */
     val isEmpty: Boolean get() = blocked.isEmpty()
 
     /** Adds or replaces a blocked job as the store holds it at [revision]; an older revision than the known one is ignored. */
