--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -73,8 +73,7 @@
     }
 
     private fun logScaleIns(scaleIns: ScaleInBatch) {
-        val namesByReason = scaleIns.entries.groupBy({ it.value }, { it.key })
-        for ((reason, names) in namesByReason) log.info("scaling in {}: {}", names, reason)
+        for ((reason, names) in scaleIns.namesByReason()) log.info("scaling in {}: {}", names, reason)
     }
 
     /**
--- a/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
+++ b/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
@@ -20,14 +20,14 @@
 
     /** Machines to be scaled in now; to be called while the cluster is not reconciled. */
     fun scaleIns(nowMicros: Long): ScaleInBatch {
-        if (!fleet.hasMachineList || !retryTimer.isDue(nowMicros)) return emptyMap()
+        if (!fleet.hasMachineList || !retryTimer.isDue(nowMicros)) return ScaleInBatch.EMPTY
         val reportingZones = cluster.failover.zonesMostlyReporting()
         val missing = cluster.failover.missingMachines(nowMicros)
             .filter { fleet.isGone(it.name) || (!it.baseline && it.zone in reportingZones) }
-        if (missing.isEmpty()) return emptyMap()
+        if (missing.isEmpty()) return ScaleInBatch.EMPTY
         retryTimer.restart(nowMicros)
         log.info("scaling in {}: {}", missing.map { it.name }, ScaleInReason.MISSING_AFTER_FAILOVER)
-        return missing.associate { it.name to ScaleInReason.MISSING_AFTER_FAILOVER }
+        return ScaleInBatch(missing.associate { it.name to ScaleInReason.MISSING_AFTER_FAILOVER })
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/autoscaling/ScalingActions.kt
+++ b/src/main/kotlin/linemast/autoscaling/ScalingActions.kt
@@ -13,6 +13,6 @@
     /** Shared values. */
     companion object {
         /** Nothing to be done. */
-        val NONE = ScalingActions(emptyList(), emptyMap())
+        val NONE = ScalingActions(emptyList(), ScaleInBatch.EMPTY)
     }
 }
--- a/src/main/kotlin/linemast/cloud/CloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/cloud/CloudActionExecutor.kt
@@ -1,8 +1,5 @@
 package linemast.cloud
 
-/** Machines to be removed, by name, each with the reason. */
-typealias ScaleInBatch = Map<String, ScaleInReason>
-
 /** Carries out the leader's decisions at the cloud. Its calls throw a [CloudException]. */
 interface CloudActionExecutor {
     /** Requests machines. After [ScaleOutResult.Unknown] the same request is to be repeated. */
@@ -21,5 +18,5 @@
 
     override fun split(batch: ScaleInBatch): List<ScaleInBatch> = listOf(batch)
 
-    override suspend fun scaleIn(batch: ScaleInBatch) = cloud.scaleIn(batch.keys.toList())
+    override suspend fun scaleIn(batch: ScaleInBatch) = cloud.scaleIn(batch.names)
 }
--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -89,7 +89,7 @@
             val reason = scaleInPolicy.reason(machine, workers[machine.name], isBaseline(machine.name), situation) ?: continue
             reasons[machine.name] = reason
         }
-        return reasons
+        return ScaleInBatch(reasons)
     }
 
     /** Whether the cloud's list shows that a machine is gone. */
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -31,7 +31,7 @@
     /** Starts the requests of [actions]. */
     fun run(actions: ScalingActions) {
         actions.scaleOuts.forEach { request -> term.scope.launch { scaleOut(request) } }
-        if (actions.scaleIns.isNotEmpty()) executor.split(actions.scaleIns).forEach(::scaleIn)
+        if (!actions.scaleIns.isEmpty) executor.split(actions.scaleIns).forEach(::scaleIn)
     }
 
     /** A request without an answer is repeated under the same id, which the cloud carries out at most once. */
@@ -69,7 +69,7 @@
     }
 
     private fun scaleIn(batch: ScaleInBatch) {
-        val names = batch.keys.toList()
+        val names = batch.names
         for (name in names) {
             fleet.machines[name]?.scalingIn = true
             cluster.machines[name]?.draining = true
@@ -86,7 +86,7 @@
         executor.scaleIn(batch)
         true
     } catch (e: CloudException) {
-        log.info("scale-in of {}: {}", batch.keys, e.message)
+        log.info("scale-in of {}: {}", batch.names, e.message)
         false
     }
 
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -59,15 +59,17 @@
         return result
     }
 
-    override fun split(batch: ScaleInBatch): List<ScaleInBatch> = batch.entries.groupBy { it.value.duty }.flatMap { (duty, machines) ->
-        if (duty in settings.suspended) return@flatMap emptyList()
-        machines.chunked(maxMachinesPerIntent(machines.map { it.key })).map { chunk -> chunk.associate { it.key to it.value } }
-    }
+    override fun split(batch: ScaleInBatch): List<ScaleInBatch> = batch.reasons.entries
+        .groupBy { it.value.duty }
+        .filterKeys { it !in settings.suspended }
+        .values
+        .flatMap { machines -> machines.chunked(maxMachinesPerIntent(machines.map { it.key })) }
+        .map { machines -> ScaleInBatch(machines.associate { it.key to it.value }) }
 
     /** All machines of [batch] belong to the same duty, as [split] sees to. */
     override suspend fun scaleIn(batch: ScaleInBatch) {
-        val names = batch.keys.toList()
-        val open = writer.open(CloudAction.ScaleIn(names, batch.values.first().duty))
+        val names = batch.names
+        val open = writer.open(CloudAction.ScaleIn(names, batch.reasons.values.first().duty))
         runner.scaleIn(names)
         runner.closeScaleIn(open, names.size)
     }
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -170,8 +170,8 @@
                 if (names.size < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
             }
         }
-        if (actions.scaleIns.isNotEmpty()) {
-            val names = actions.scaleIns.keys.toList()
+        if (!actions.scaleIns.isEmpty) {
+            val names = actions.scaleIns.names
             names.forEach {
                 fleet.machines[it]?.scalingIn = true
                 cluster.machines[it]?.draining = true
