--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -2,6 +2,8 @@
 
 import linemast.domain.Job
 import linemast.planning.Planner
+import linemast.planning.PlanningRequest
+import linemast.planning.ScaleOutEstimates
 import linemast.planning.WaitingStage
 import linemast.scheduling.Cluster
 import org.slf4j.LoggerFactory
@@ -32,15 +34,16 @@
         waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
         waitingIds = waitingStages.mapTo(HashSet()) { it.job.id }
         planner.plan(
-            jobs,
-            baseline,
-            isFull,
-            estimates::startupMicros,
-            wallMicros,
-            nowMicros,
-            cluster::isClosedTo,
-            waitingStages,
-            estimates::pricePerVcpu,
+            PlanningRequest(
+                jobs,
+                stages = waitingStages,
+                baselineMachines = baseline,
+                isClosed = cluster::isClosedTo,
+                ScaleOutEstimates(estimates::startupMicros, estimates::pricePerVcpu),
+                replanAll = isFull,
+                wallMicros,
+                nowMicros,
+            ),
         )
         plannedIds.clear()
         jobs.forEach { plannedIds += it.id }
--- /dev/null
+++ b/src/main/kotlin/linemast/planning/JobPlanner.kt
@@ -0,0 +1,122 @@
+package linemast.planning
+
+import linemast.domain.Job
+
+/** When a job has to end: on the wall clock, and how long from now. */
+internal class Due(val wallMicros: Long, val remainingMicros: Long)
+
+/** Plans jobs that may start, on the baseline capacity that jobs planned before have left in [forecast]. */
+internal class JobPlanner(
+    private val forecast: BaselineForecast,
+    private val runTimes: RunTimeEstimates,
+    private val horizon: PlanningHorizon,
+) {
+    /**
+     * The plan of [job], and its reservations in the forecast.
+     *
+     * @param previous the plan before; what the job is behind it is scaled out as a top-up.
+     * @param startupMicros how long a scaled-out machine takes to start.
+     */
+    fun plan(job: Job, due: Due, startupMicros: Long, previous: JobPlan?): JobPlan {
+        // Tasks that already run are not planned again.
+        val tasks = (job.spec.taskCount - job.doneCount - job.placements.count { !it.isAssigned }).coerceAtLeast(0).toDouble()
+        if (job.spec.isGang) return planGang(job, tasks, due)
+        val shortfall = previous?.shortfall(job.doneCount, horizon.startMicros) ?: 0.0
+        return planArray(job, tasks, shortfall, due, startupMicros)
+    }
+
+    private fun planArray(job: Job, tasks: Double, shortfall: Double, due: Due, startupMicros: Long): JobPlan {
+        val taskMicros = runTimes.estimateMicros(job)
+        val usable = UsableIntervals(horizon, taskMicros, due.remainingMicros)
+        val baseline = reserveBaseline(job, tasks, usable)
+        val scaleOutTasks = (tasks - baseline.sum() + shortfall).coerceIn(0.0, tasks)
+        val scaleOutSpanMicros = scaleOutSpanMicros(due.remainingMicros - startupMicros, taskMicros)
+        val firstSlots = baseline[0] / usable.tasksPerSlot(0)
+        return JobPlan(
+            horizon,
+            taskMicros,
+            IntervalTargets(baseline, levelWithScaleOut(baseline, usable.indices, scaleOutTasks)),
+            scaleOutSlots = scaleOutTasks / JobPlan.wholeTasksPerSlot(scaleOutSpanMicros, taskMicros),
+            backupSlots = (firstSlots - forecast.freeSlotsNow(job)).coerceAtLeast(0.0),
+            PlannedProgress(job.doneCount, shortfall),
+            due.wallMicros,
+        )
+    }
+
+    /** The baseline targets of a job by interval, which are reserved in the forecast. */
+    private fun reserveBaseline(job: Job, tasks: Double, usable: UsableIntervals): DoubleArray {
+        val throughput = DoubleArray(horizon.intervals) { i ->
+            if (i in usable.indices) forecast.freeSlots(job, i) * usable.tasksPerSlot(i) else 0.0
+        }
+        val totalThroughput = throughput.sum()
+        val baseline = DoubleArray(horizon.intervals)
+        for (i in usable.indices) {
+            baseline[i] = baselineTarget(tasks, throughput[i], totalThroughput)
+            forecast.reserve(job, i, baseline[i] / usable.tasksPerSlot(i))
+        }
+        return baseline
+    }
+
+    /**
+     * Over which time scaled-out machines work on a job, given what its deadline leaves of it after a machine's start.
+     *
+     * No longer than [JobPlan.maxScaleOutSpanMicros]: machines are paid by the second, so that a longer span saves
+     * nothing, and work deferred to its deadline leaves no time for what comes later. What no scaled-out machine can finish
+     * in time is not worth one for each task: it gets the whole span.
+     */
+    private fun scaleOutSpanMicros(remainingMicros: Long, taskMicros: Long): Long {
+        val longest = JobPlan.maxScaleOutSpanMicros(horizon.intervalMicros, taskMicros)
+        return if (remainingMicros < taskMicros) longest else minOf(remainingMicros, longest)
+    }
+
+    /** A gang is planned whole, in the first interval, on the side that has capacity for it. */
+    private fun planGang(job: Job, tasks: Double, due: Due): JobPlan {
+        val baseline = DoubleArray(horizon.intervals)
+        val scaleOut = DoubleArray(horizon.intervals)
+        val fitsBaseline = forecast.freeSlots(job, 0) >= tasks
+        if (fitsBaseline) {
+            baseline[0] = tasks
+            forecast.reserve(job, 0, tasks)
+        } else {
+            scaleOut[0] = tasks
+        }
+        return JobPlan(
+            horizon,
+            runTimes.estimateMicros(job),
+            IntervalTargets(baseline, scaleOut),
+            scaleOutSlots = scaleOut[0],
+            backupSlots = if (fitsBaseline && forecast.freeSlotsNow(job) < tasks) tasks else 0.0,
+            PlannedProgress(job.doneCount, shortfall = 0.0),
+            due.wallMicros,
+        )
+    }
+}
+
+/** The intervals in which a task of [taskMicros] can finish before the deadline; the first one is left to a job that is late already. */
+private class UsableIntervals(private val horizon: PlanningHorizon, private val taskMicros: Long, private val deadlineMicros: Long) {
+    val indices: List<Int> =
+        (0 until horizon.intervals).takeWhile { it == 0 || it * horizon.intervalMicros + taskMicros <= deadlineMicros }
+
+    /** How many tasks one slot runs, one after another, in interval [interval] before the deadline. */
+    fun tasksPerSlot(interval: Int): Double {
+        val untilDeadline = deadlineMicros - interval * horizon.intervalMicros
+        return JobPlan.tasksPerSlot(minOf(horizon.intervalMicros, maxOf(untilDeadline, taskMicros)), taskMicros)
+    }
+}
+
+/** Scale-out targets of [tasks] in all: they go first where baseline targets are lowest, so that the sum is even. */
+private fun levelWithScaleOut(baseline: DoubleArray, usable: List<Int>, tasks: Double): DoubleArray {
+    val scaleOut = DoubleArray(baseline.size)
+    if (usable.isEmpty() || tasks <= 0) return scaleOut
+    var remaining = tasks
+    val byBaseline = usable.sortedBy { baseline[it] }
+    for ((count, i) in byBaseline.withIndex()) {
+        val level = if (count + 1 < byBaseline.size) baseline[byBaseline[count + 1]] else Double.MAX_VALUE
+        val raised = byBaseline.subList(0, count + 1)
+        val each = minOf(level - baseline[i] - scaleOut[i], remaining / raised.size)
+        raised.forEach { scaleOut[it] += each }
+        remaining -= each * raised.size
+        if (remaining <= 0) break
+    }
+    return scaleOut
+}
--- a/src/main/kotlin/linemast/planning/StagePlanner.kt
+++ b/src/main/kotlin/linemast/planning/StagePlanner.kt
@@ -1,71 +1,86 @@
 package linemast.planning
 
 /**
- * Plans a stage of a pipeline before it may start: within the window from the end of the last job that it needs to the time
- * at which it has to end for the jobs that need it.
+ * Plans a stage of a pipeline before it may start: within the window from the end of the last job that it depends on to the
+ * time at which it has to end for the jobs that depend on it.
  *
- * The plan only tells what to rent: nothing of it is placed, and jobs that may start are planned before it.
+ * The plan only tells what to scale out: nothing of it is placed, and jobs that may start are planned before it.
  */
 internal class StagePlanner(
     private val forecast: BaselineForecast,
     private val runTimes: RunTimeEstimates,
-    private val intervalMicros: Long,
-    private val intervals: Int,
-    private val nowMicros: Long,
+    private val horizon: PlanningHorizon,
 ) {
+    /** The time in which a stage runs, from now, and the estimated run time of its tasks. */
+    private class Window(val startMicros: Long, val endMicros: Long, val taskMicros: Long)
+
     /**
-     * The plan of [stage], which has to end in [deadlineMicros]. With [isReserved], later stages find its owned room taken.
+     * The plan of [stage], which has to end as [due] says. With [reserve], stages planned later find its baseline capacity taken.
      *
-     * [neighbour] is the plan of a stage next to it in its pipeline: this one is given about the same throughput, as shares of
+     * [neighbour] is the plan of a stage next to it in its pipeline: this one is given about the same throughput, as the share of
      * all tasks of the stage in a time, but never less than its own window asks for.
      */
-    fun plan(
-        stage: WaitingStage,
-        neighbour: JobPlan?,
-        bootMicros: Long,
-        deadlineWallMicros: Long,
-        deadlineMicros: Long,
-        isReserved: Boolean,
-    ): JobPlan {
-        val job = stage.job
-        val task = runTimes.estimateMicros(job)
-        val tasks = job.spec.taskCount.toDouble()
-        val end = maxOf(deadlineMicros, stage.startsInMicros + task)
-        val throughput = throughput(stage, end, task)
-        val total = throughput.sum()
-        val baseline = DoubleArray(intervals) { i -> baselineTarget(stage, tasks, throughput[i], total) }
-        if (isReserved) {
-            for (i in 0 until intervals) {
-                if (baseline[i] > 0) forecast.reserve(job, i, baseline[i] / JobPlan.slots(overlapMicros(stage, end, i), task))
-            }
-        }
+    fun plan(stage: WaitingStage, neighbour: JobPlan?, startupMicros: Long, due: Due, reserve: Boolean): JobPlan {
+        val taskMicros = runTimes.estimateMicros(stage.job)
+        val window = Window(stage.startsInMicros, maxOf(due.remainingMicros, stage.startsInMicros + taskMicros), taskMicros)
+        val tasks = stage.job.spec.taskCount.toDouble()
+        val baseline = baselineTargets(stage, tasks, window)
+        if (reserve) reserveBaseline(stage, baseline, window)
         val scaleOutTasks = (tasks - baseline.sum()).coerceAtLeast(0.0)
-        val window = end - maxOf(stage.startsInMicros, bootMicros)
-        val span = if (window < task) JobPlan.maxScaleOutSpanMicros(intervalMicros, task) else window
-        val neighbourSpan = neighbour?.spanMicros?.takeIf { it > 0 } ?: span
-        val usedSpan = minOf(span, maxOf(neighbourSpan, task))
-        val rounds = Math.floor(usedSpan.toDouble() / task).coerceAtLeast(1.0)
-        val scaleOut = DoubleArray(intervals)
-        scaleOut[(stage.startsInMicros / intervalMicros).toInt().coerceIn(0, intervals - 1)] = scaleOutTasks
+        val tasksPerSlot = JobPlan.wholeTasksPerSlot(scaleOutSpanMicros(window, startupMicros, neighbour), taskMicros)
         return JobPlan(
-            nowMicros, intervalMicros, task, baseline, scaleOut, scaleOutSlots = scaleOutTasks / rounds, backupSlots = 0.0, completedWhenPlanned = 0, topUpTasks = 0.0,
-            deadlineWallMicros, spanMicros = (rounds * task).toLong(),
+            horizon,
+            taskMicros,
+            IntervalTargets(baseline, scaleOutTargets(stage, scaleOutTasks)),
+            scaleOutSlots = scaleOutTasks / tasksPerSlot,
+            backupSlots = 0.0,
+            PlannedProgress(completedTasks = 0, shortfall = 0.0),
+            due.wallMicros,
+            spanMicros = (tasksPerSlot * taskMicros).toLong(),
         )
     }
 
-    /** The paper's owned target; a gang is planned whole, on the side that has room for all of it. */
-    private fun baselineTarget(stage: WaitingStage, tasks: Double, throughput: Double, total: Double): Double = when {
-        total <= 0 -> 0.0
-        stage.job.spec.isGang && total < tasks -> 0.0
-        else -> minOf(tasks * throughput / total, throughput)
+    /** A gang is planned whole, on the side that has capacity for all of it. */
+    private fun baselineTargets(stage: WaitingStage, tasks: Double, window: Window): DoubleArray {
+        val throughput = DoubleArray(horizon.intervals) { i -> throughput(stage, window, i) }
+        val totalThroughput = throughput.sum()
+        if (stage.job.spec.isGang && totalThroughput < tasks) return DoubleArray(horizon.intervals)
+        return DoubleArray(horizon.intervals) { i -> baselineTarget(tasks, throughput[i], totalThroughput) }
+    }
+
+    private fun throughput(stage: WaitingStage, window: Window, interval: Int): Double {
+        val overlapMicros = overlapMicros(window, interval)
+        if (overlapMicros <= 0) return 0.0
+        return forecast.freeSlots(stage.job, interval) * JobPlan.tasksPerSlot(overlapMicros, window.taskMicros)
+    }
+
+    private fun reserveBaseline(stage: WaitingStage, baseline: DoubleArray, window: Window) {
+        for (i in baseline.indices) {
+            if (baseline[i] <= 0) continue
+            forecast.reserve(stage.job, i, baseline[i] / JobPlan.tasksPerSlot(overlapMicros(window, i), window.taskMicros))
+        }
     }
 
-    private fun throughput(stage: WaitingStage, end: Long, task: Long) = DoubleArray(intervals) { i ->
-        val overlap = overlapMicros(stage, end, i)
-        if (overlap <= 0) 0.0 else forecast.freeSlots(stage.job, i) * JobPlan.slots(overlap, task)
+    /** All of it counts in the interval in which the stage starts. */
+    private fun scaleOutTargets(stage: WaitingStage, tasks: Double): DoubleArray {
+        val scaleOut = DoubleArray(horizon.intervals)
+        scaleOut[(stage.startsInMicros / horizon.intervalMicros).toInt().coerceIn(0, horizon.intervals - 1)] = tasks
+        return scaleOut
+    }
+
+    /** Over which time scaled-out machines work on a stage: as long as on its neighbour, as far as its window allows. */
+    private fun scaleOutSpanMicros(window: Window, startupMicros: Long, neighbour: JobPlan?): Long {
+        val availableMicros = window.endMicros - maxOf(window.startMicros, startupMicros)
+        val longest = when {
+            availableMicros < window.taskMicros -> JobPlan.maxScaleOutSpanMicros(horizon.intervalMicros, window.taskMicros)
+            else -> availableMicros
+        }
+        val neighbourSpanMicros = neighbour?.spanMicros ?: longest
+        return minOf(longest, maxOf(neighbourSpanMicros, window.taskMicros))
     }
 
-    /** The part of interval [i] that lies in the window of [stage]. */
-    private fun overlapMicros(stage: WaitingStage, end: Long, i: Int): Long =
-        minOf(end, (i + 1) * intervalMicros) - maxOf(stage.startsInMicros, i * intervalMicros)
+    /** The part of interval [interval] that lies in [window]; not more than 0 if there is none. */
+    private fun overlapMicros(window: Window, interval: Int): Long =
+        minOf(window.endMicros, (interval + 1) * horizon.intervalMicros) -
+            maxOf(window.startMicros, interval * horizon.intervalMicros)
 }
--- a/src/main/kotlin/linemast/planning/WaitingStage.kt
+++ b/src/main/kotlin/linemast/planning/WaitingStage.kt
@@ -2,24 +2,23 @@
 
 import linemast.domain.Job
 
-/** A job that waits for others, as far as it can be planned before it may start. */
-class WaitingStage(
-    val job: Job,
-    /** The jobs that it waits for, running ones and waiting ones. */
-    val dependencies: Set<String>,
-    /** How long until the last of them ends, by estimate. */
-    val startsInMicros: Long,
-)
+/**
+ * A job that waits for others, as far as it can be planned before it may start.
+ *
+ * @property dependencies ids of the jobs that it waits for, running ones and waiting ones.
+ * @property startsInMicros how long until the last of them ends, by estimate.
+ */
+class WaitingStage(val job: Job, val dependencies: Set<String>, val startsInMicros: Long)
 
 /** A stage in the order of planning, with the stage next to it that was planned before it; null for the first of its pipeline. */
-class OrderedStage(val stage: WaitingStage, val neighbour: WaitingStage?)
+internal class OrderedStage(val stage: WaitingStage, val neighbour: WaitingStage?)
 
 /**
- * The paper's order of stages: from the one with the highest rented cost outward to its parents and children.
+ * The paper's order of stages: from the one with the highest scale-out cost outward to its parents and children.
  *
  * Stages that are connected by dependencies make up one pipeline; each pipeline begins with its costliest stage.
  */
-fun costliestFirst(stages: List<WaitingStage>, scaleOutCost: (WaitingStage) -> Double): List<OrderedStage> {
+internal fun costliestFirst(stages: List<WaitingStage>, scaleOutCost: (WaitingStage) -> Double): List<OrderedStage> {
     val costs = stages.associateWith(scaleOutCost)
     val neighbours = neighbours(stages)
     val ordered = LinkedHashMap<WaitingStage, OrderedStage>()
--- a/src/test/kotlin/linemast/planning/PlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/PlannerTest.kt
@@ -1,29 +1,23 @@
 package linemast.planning
 
 import linemast.domain.Job
-import linemast.domain.JobRecord
 import linemast.domain.Machine
-import linemast.domain.MachineType
 import linemast.domain.Placement
 import linemast.domain.TaskId
-import linemast.settings.Policy
-import linemast.testSettings
-import linemast.testSpec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
 class PlannerTest {
-    private val type = MachineType("t", 8.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("z"))
-
-    @Test
-    fun `generated plans keep the paper's targets`() {
-        val seed = 3
-        println("seed $seed")
+    @ParameterizedTest
+    @ValueSource(ints = [3])
+    fun `every task of a generated job is planned once, and in usable intervals only`(seed: Int) {
         val random = Random(seed)
         repeat(300) {
-            val machines = List(random.nextInt(6)) { Machine("host-$it", type, "z", false) }
+            val machines = List(random.nextInt(6)) { Machine("host-$it", eightVcpus, "z", false) }
             val job = job("req-1", random.nextInt(1, 400), estimateS = random.nextInt(5, 90), deadlineS = random.nextInt(20, 600))
             machines.forEach { machine ->
                 repeat(random.nextInt(9)) { index ->
@@ -37,7 +31,7 @@
             val tasks = job.spec.taskCount.toDouble()
             assertTrue(plan.baseline.all { it >= 0 } && plan.scaleOut.all { it >= -1e-6 })
             assertEquals(tasks, plan.baseline.sum() + plan.scaleOut.sum(), tasks * 1e-6 + 1e-6, "all tasks are planned, once")
-            if (machines.isEmpty()) assertEquals(tasks, plan.scaleOut.sum(), 1e-6, "with no owned room all is rented")
+            if (machines.isEmpty()) assertEquals(tasks, plan.scaleOut.sum(), 1e-6, "without baseline machines all is scaled out")
             // Nothing is planned into intervals that end after the deadline, but for the first.
             val due = job.spec.deadlineMicros ?: 0L
             for (i in 1 until plan.baseline.size) {
@@ -47,28 +41,28 @@
     }
 
     @Test
-    fun `baseline targets stand in proportion to free room when that suffices`() {
-        val machine = Machine("host-1", type, "z", false)
+    fun `baseline targets are in proportion to free capacity when that suffices`() {
+        val machine = Machine("host-1", eightVcpus, "z", false)
         val plan = plan(job("req-1", 12, estimateS = 30, deadlineS = 180), listOf(machine))
         assertEquals(listOf(4.0, 4.0, 4.0), plan.baseline.take(3))
         assertEquals(0.0, plan.scaleOut.sum(), 1e-9)
     }
 
     @Test
-    fun `what fell short is scaleOut in the next plan`() {
-        val machine = Machine("host-1", type, "z", false)
+    fun `what fell short of a plan is scaled out in the next one`() {
+        val machine = Machine("host-1", eightVcpus, "z", false)
         val planner = planner()
         val job = job("req-1", 16, estimateS = 30, deadlineS = 300)
-        planner.plan(listOf(job), listOf(machine), true, { 0L }, 0L, 0L)
-        planner.plan(listOf(job), listOf(machine), true, { 0L }, 60_000_000L, 60_000_000L)
+        planner.plan(planningRequest(listOf(job), listOf(machine)))
+        planner.plan(planningRequest(listOf(job), listOf(machine), nowMicros = 60_000_000L))
         val plan = requireNotNull(planner.planOf(job))
         assertTrue(plan.topUpTasks > 3.0, "top-up ${plan.topUpTasks}")
         assertEquals(plan.topUpTasks, plan.scaleOut.sum(), 1e-6)
     }
 
     @Test
-    fun `room that is not free at once is backed up, and released as it is granted`() {
-        val machine = Machine("host-1", type, "z", false)
+    fun `baseline capacity that is not free yet is backed up until it is granted`() {
+        val machine = Machine("host-1", eightVcpus, "z", false)
         val other = job("req-9", 8, estimateS = 30, deadlineS = 100)
         repeat(8) { index ->
             val running = Placement(machine, TaskId("req-9", index), 1, other)
@@ -77,7 +71,7 @@
         }
         val planner = planner()
         val job = job("req-1", 8, estimateS = 30, deadlineS = 60)
-        planner.plan(listOf(job), listOf(machine), true, { 0L }, 0L, 0L)
+        planner.plan(planningRequest(listOf(job), listOf(machine)))
         val backed = planner.scaleOutDemands(listOf(job), { it === machine }, 0L).single().slots
         assertTrue(backed > 0.0)
         repeat(8) { index ->
@@ -89,7 +83,7 @@
     }
 
     @Test
-    fun `work for scaleOut machines is not put off to a distant deadline`() {
+    fun `work for scaled-out machines is not deferred to a distant deadline`() {
         val tasks = 40
         // Two long intervals hold three tasks of 40 s one after another.
         assertEquals(tasks / 3.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 600), emptyList()).scaleOutSlots, 1e-6)
@@ -99,16 +93,7 @@
 
     private fun plan(job: Job, machines: List<Machine>): JobPlan {
         val planner = planner()
-        planner.plan(listOf(job), machines, true, { 0L }, 0L, 0L)
+        planner.plan(planningRequest(listOf(job), machines))
         return requireNotNull(planner.planOf(job))
     }
-
-    private fun planner() = Planner(settings, Policy(), RunTimeEstimates())
-
-    private fun job(id: String, taskCount: Int, estimateS: Int, deadlineS: Int): Job {
-        val spec = testSpec(id, "pieces" to taskCount, "guess_s" to estimateS, "due_s" to deadlineS)
-        return Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
-    }
-
-    private val settings = testSettings()
 }
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -3,22 +3,20 @@
 import linemast.domain.Job
 import linemast.domain.JobRecord
 import linemast.domain.Machine
-import linemast.domain.MachineType
-import linemast.settings.Policy
-import linemast.testSettings
 import linemast.testSpec
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
 class StagePlannerTest {
-    private val type = MachineType("t", 8.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("z"))
-    private val machines = List(2) { Machine("host-$it", type, "z", false) }
+    private val machines = List(2) { Machine("host-$it", eightVcpus, "z", false) }
 
     @Test
-    fun `stages are planned from the costliest outward, each next to one that was planned before it`() {
+    fun `stages are planned from the costliest outward, each next to one planned before it`() {
         val stages =
             listOf(stage(2, 4, setOf(1)), stage(3, 90, setOf(2)), stage(4, 8, setOf(3)), stage(5, 2, setOf(4)), stage(8, 50, setOf(7)))
         val order = costliestFirst(stages) { it.job.spec.taskCount.toDouble() }.map { it.stage.job.id to it.neighbour?.job?.id }
@@ -27,31 +25,30 @@
     }
 
     @Test
-    fun `a stage is planned into its window, and rents what its neighbour's throughput asks for`() {
+    fun `a stage is planned in its window, and scaled out for its neighbour's throughput`() {
         val planner = planner()
         val slow = stage(2, 40, setOf(1), startsInS = 70, estimateS = 20, deadlineS = 400)
-        planner.plan(emptyList(), machines, true, { 0L }, 0L, 0L, stages = listOf(slow))
+        planner.plan(planningRequest(machines = machines, stages = listOf(slow)))
         val alone = requireNotNull(planner.planOf(slow.job))
         assertEquals(0.0, alone.baseline[0], 1e-9, "nothing before it can start")
         assertEquals(40.0, alone.baseline.sum() + alone.scaleOut.sum(), 1e-6, "all tasks are planned, once")
         val first = stage(2, 200, setOf(1), startsInS = 0, estimateS = 20, deadlineS = 60)
         val child = stage(3, 40, setOf(2), startsInS = 70, estimateS = 20, deadlineS = 400)
         val other = planner()
-        other.plan(emptyList(), emptyList(), true, { 0L }, 0L, 0L, stages = listOf(first, child))
+        other.plan(planningRequest(stages = listOf(first, child)))
         val paced = requireNotNull(other.planOf(child.job))
-        assertEquals(3L, requireNotNull(other.planOf(first.job)).spanMicros / 20_000_000, "three rounds until it is due")
+        assertEquals(3L, requireNotNull(other.planOf(first.job)?.spanMicros) / 20_000_000, "three rounds until it is due")
         assertEquals(40.0 / 3, paced.scaleOutSlots, 1e-6, "as long as its neighbour, where its window alone would allow sixteen rounds")
     }
 
     /** Whatever waits, jobs that may start are planned as without it. */
-    @Test
-    fun `waiting stages change no plan of a job that may start`() {
-        val seed = 12
-        println("seed $seed")
+    @ParameterizedTest
+    @ValueSource(ints = [12])
+    fun `waiting stages change no plan of a job that may start`(seed: Int) {
         val random = Random(seed)
         repeat(100) {
             val jobs =
-                List(1 + random.nextInt(4)) { job(20 + it, 1 + random.nextInt(60), 5 + random.nextInt(60), 30 + random.nextInt(300)) }
+                List(1 + random.nextInt(4)) { job("req-${20 + it}", 1 + random.nextInt(60), 5 + random.nextInt(60), 30 + random.nextInt(300)) }
             val stages = List(random.nextInt(5)) {
                 stage(
                     40 + it,
@@ -62,8 +59,8 @@
                     30 + random.nextInt(300),
                 )
             }
-            val without = planner().also { it.plan(jobs, machines, true, { 30_000_000 }, 0L, 0L) }
-            val with = planner().also { it.plan(jobs, machines, true, { 30_000_000 }, 0L, 0L, stages = stages) }
+            val without = planner().also { it.plan(planningRequest(jobs, machines, startupMicros = 30_000_000)) }
+            val with = planner().also { it.plan(planningRequest(jobs, machines, stages, startupMicros = 30_000_000)) }
             for (job in jobs) {
                 val one = requireNotNull(without.planOf(job))
                 val other = requireNotNull(with.planOf(job))
@@ -76,15 +73,15 @@
     }
 
     @Test
-    fun `a job is planned anew once a job that was accepted later needs it sooner`() {
+    fun `a job is planned anew once a job accepted later depends on it ending sooner`() {
         val planner = planner()
-        val job = job(1, 60, 30, 600)
-        planner.plan(listOf(job), machines, true, { 0L }, 0L, 0L)
+        val job = job("req-1", 60, 30, 600)
+        planner.plan(planningRequest(listOf(job), machines))
         assertFalse(planner.isOutdated(job))
         val before = requireNotNull(planner.planOf(job))
         job.neededByWallMicros = 70_000_000
         assertTrue(planner.isOutdated(job))
-        planner.plan(listOf(job), machines, false, { 0L }, 0L, 0L)
+        planner.plan(planningRequest(listOf(job), machines, replanAll = false))
         val after = requireNotNull(planner.planOf(job))
         assertTrue(after.scaleOutSlots > before.scaleOutSlots, "${before.scaleOutSlots} -> ${after.scaleOutSlots}")
         assertFalse(planner.isOutdated(job))
@@ -92,7 +89,7 @@
 
     /** `due_s` counts from the submission, however long a job waited; all other times from when its last dependency was done. */
     @Test
-    fun `a deadline counts from the submission, the wait from the release`() {
+    fun `a deadline counts from the submission and a wait from the release`() {
         val spec = testSpec("req-1", "due_s" to 100.0, "awaits" to listOf("req-0"))
         val record = JobRecord(spec, 5_000_000, opened = false, cancelled = false).released(80_000_000)
         val job = Job(record, 1, inherited = false)
@@ -103,13 +100,6 @@
         assertTrue(planner().deadlineWallMicros(withoutDeadline) > 80_000_000, "planned as if due some time after it could start")
     }
 
-    private fun planner() = Planner(testSettings(), Policy(), RunTimeEstimates())
-
     private fun stage(id: Int, tasks: Int, dependencies: Set<Int>, startsInS: Int = 10, estimateS: Int = 20, deadlineS: Int = 300) =
-        WaitingStage(job(id, tasks, estimateS, deadlineS), dependencies.mapTo(LinkedHashSet()) { "req-$it" }, startsInS * 1_000_000L)
-
-    private fun job(id: Int, tasks: Int, estimateS: Int, deadlineS: Int): Job {
-        val spec = testSpec("req-$id", "pieces" to tasks, "guess_s" to estimateS, "due_s" to deadlineS)
-        return Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
-    }
+        WaitingStage(job("req-$id", tasks, estimateS, deadlineS), dependencies.mapTo(LinkedHashSet()) { "req-$it" }, startsInS * 1_000_000L)
 }
