--- a/src/main/kotlin/linemast/admission/AdmissionCodec.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionCodec.kt
@@ -2,10 +2,7 @@
 
 import linemast.serialization.Fields
 
-/** What one controller tells the leader of the submissions that reach it. */
-class DemandReport(val node: String, val demands: Map<Flow, FlowDemand>)
-
-/** The stored forms of plans and demand reports. Names in the store occur only here. */
+/** The stored forms of plans and demand reports. The names of fields in the store occur only here. */
 object AdmissionCodec {
     /** Key of the plan in force. */
     const val PLAN_KEY = "admission/plan"
@@ -34,8 +31,8 @@
 
     private fun range(fields: Fields): HashRange {
         val range = HashRange(fields.long("head"), fields.long("width"), fields.long("pace"))
-        if (range.position !in 0 until HashRing.SIZE) fields.fail("head", "is not a point of the circle")
-        if (range.length !in 0..HashRing.SIZE) fields.fail("width", "is not an arc of the circle")
+        if (range.position !in 0 until HashRing.SIZE) fields.fail("head", "is not a position of the hash ring")
+        if (range.length !in 0..HashRing.SIZE) fields.fail("width", "is not a length on the hash ring")
         if (range.rate !in 1..HashRing.SIZE) fields.fail("pace", "must be at least 1")
         return range
     }
@@ -44,7 +41,7 @@
     fun encode(report: DemandReport): Map<String, Any?> = mapOf(
         "node" to report.node,
         "flows" to report.demands.entries.sortedBy { it.key }.map { (flow, demand) ->
-            flowFields(flow) + mapOf("offered" to demand.offered, "accepted" to demand.accepted, "waiting" to demand.waiting)
+            flowFields(flow) + mapOf("offered" to demand.offeredRate, "accepted" to demand.acceptedRate, "waiting" to demand.deferredJobs)
         },
     )
 
--- a/src/main/kotlin/linemast/admission/AdmissionController.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionController.kt
@@ -4,21 +4,21 @@
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
 
-/** Admits or puts off new submissions at one controller, by the plan in force. */
+/** Admits or defers new submissions at one controller, by the plan in force, and meters the demand that it sees. */
 class AdmissionController(private val flows: FlowClassifier, private val clock: Clock) {
     private val meter = DemandMeter()
-    private var seenMicros = 0L
+    private var appliedMicros = 0L
 
     /** The plan in force as this controller knows it. */
     var plan = AdmissionPlan.UNLIMITED
         private set
 
-    /** Takes a plan that was read from the store; an older one than that in force changes nothing. */
+    /** Applies a plan that was read from the store; one that is older than the plan in force changes nothing. */
     fun apply(next: AdmissionPlan) {
         val isNewer = compareValuesBy(next, plan, AdmissionPlan::fencingToken, AdmissionPlan::epoch) > 0
         if (!isNewer) return
         plan = next
-        seenMicros = clock.nowMicros()
+        appliedMicros = clock.nowMicros()
     }
 
     /** What to do with a submission that is not known to have been accepted before. */
@@ -26,15 +26,15 @@
         val flow = flows.flowOf(spec)
         val now = clock.nowMicros()
         meter.recordOffered(flow, spec.id, now)
-        // Without a leader nobody moves the arcs on: rather than to keep the rest out for ever, all are let in.
-        if (now - seenMicros > PLAN_VALID_MICROS) return AdmissionDecision.Admitted
+        // Without a leader nobody advances the ranges: rather than to keep the rest out for ever, all are admitted.
+        if (now - appliedMicros > PLAN_VALID_MICROS) return AdmissionDecision.Admitted
         return plan.decide(flow, spec.id)
     }
 
-    /** A submission that was admitted has been accepted. */
+    /** The submission of job [id], which was admitted, has been accepted. */
     fun recordAccepted(id: String) = meter.recordAccepted(id, clock.nowMicros())
 
-    /** What the flows ask for here. */
+    /** The demand of each flow at this controller. */
     fun demands(): Map<Flow, FlowDemand> = meter.demands(clock.nowMicros())
 
     private companion object {
--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -10,6 +10,7 @@
 import linemast.store.KeyValueStore
 import linemast.store.Precondition
 import linemast.store.RequestPriority
+import linemast.store.RetryPolicy
 import linemast.store.WatchResult
 import linemast.store.Write
 import linemast.store.storeResultOrNull
@@ -17,96 +18,104 @@
 import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
-/** Keeps one controller's gate up to date, and tells the leader what the flows ask for here. Every controller runs it. */
+/**
+ * Keeps the plan of one controller up to date, and reports the demand there to the leader. Every controller runs it.
+ *
+ * @param minReportedRate submissions a second below which there is nothing to report.
+ */
 internal class AdmissionFollower(
     private val store: KeyValueStore,
-    private val gate: AdmissionController,
+    private val controller: AdmissionController,
     private val settings: AdmissionSettings,
     private val nodeName: String,
     private val maxValueBytes: Int,
-    /** Submissions a second below which there is nothing to tell. */
-    private val quietRate: Double,
+    private val minReportedRate: Double,
 ) {
     private val logger = LoggerFactory.getLogger(AdmissionFollower::class.java)
     private val demandKey = AdmissionCodec.demandKey(nodeName)
-    private var demandVersion = 0L
-    private var hasTold = false
+    private var demandRevision = NO_REVISION
+    private var hasReported = false
 
-    /** Begins both duties in [scope]. */
+    /** Follows the plan and reports demand in [scope], until that is cancelled. */
     fun start(scope: CoroutineScope) {
         scope.launch { followPlan() }
-        scope.launch { tellDemand() }
+        scope.launch { reportDemand() }
     }
 
     private suspend fun followPlan() {
-        var revision = -1L
         while (true) {
-            if (revision < 0) revision = storeResultOrNull(logger) { readPlan() } ?: revision
-            val result = if (revision <
-                0
-            ) {
-                null
-            } else {
-                storeResultOrNull(logger) { store.watch(AdmissionCodec.PLAN_KEY, revision, WATCH_MICROS) }
-            }
-            when (result) {
-                is WatchResult.Changes -> {
-                    result.changes.mapNotNull { it.value }.forEach { take(it) }
-                    revision = maxOf(revision, result.revision)
-                }
-                WatchResult.TooOld -> revision = -1
-                null -> delay(RETRY_MILLIS)
-            }
+            val revision = RETRY.untilResult(logger) { readPlan() }
+            watchPlan(revision)
         }
     }
 
     private suspend fun readPlan(): Long {
         val page = store.list(AdmissionCodec.PLAN_KEY, null)
-        page.entries.firstOrNull()?.let { take(it.value) }
+        page.entries.firstOrNull()?.let { apply(it.value) }
         return page.revision
     }
 
-    private suspend fun take(value: Fields) {
-        storeResultOrNull(logger) { AdmissionCodec.decodePlan(value) }?.let(gate::apply)
+    /** Applies changes after [fromRevision], until the store has no longer all of them. */
+    private suspend fun watchPlan(fromRevision: Long) {
+        var revision = fromRevision
+        while (true) {
+            val result = RETRY.untilResult(logger) { store.watch(AdmissionCodec.PLAN_KEY, revision, WATCH_MICROS) }
+            when (result) {
+                is WatchResult.Changes -> {
+                    result.changes.mapNotNull { it.value }.forEach { apply(it) }
+                    revision = maxOf(revision, result.revision)
+                }
+                WatchResult.TooOld -> return
+            }
+        }
+    }
+
+    private suspend fun apply(value: Fields) {
+        storeResultOrNull(logger) { AdmissionCodec.decodePlan(value) }?.let(controller::apply)
     }
 
-    private suspend fun tellDemand() {
+    private suspend fun reportDemand() {
         while (true) {
             delay(settings.epochMicros / MICROS_PER_MILLI)
-            val demands = gate.demands()
-            val isQuiet = demands.values.sumOf { it.offered } < quietRate && demands.values.none { it.waiting > 0 }
-            if (isQuiet && !hasTold) continue
-            hasTold = !isQuiet
-            storeResultOrNull(logger) { put(fitting(demands)) }
+            val demands = controller.demands()
+            val isLow = demands.values.sumOf { it.offeredRate } < minReportedRate && demands.values.none { it.deferredJobs > 0 }
+            // One report of low demand replaces the last one of high demand.
+            if (isLow && !hasReported) continue
+            hasReported = !isLow
+            storeResultOrNull(logger) { put(reportWithinLimit(demands)) }
         }
     }
 
-    /** The flows that ask for most, as many as fit a value. */
-    private fun fitting(demands: Map<Flow, FlowDemand>): Map<String, Any?> {
-        val largestFirst = demands.entries.sortedByDescending { it.value.offered + it.value.waiting }
-        var count = largestFirst.size
+    /** The stored report of the flows with the highest demand, as many as fit a value. */
+    private fun reportWithinLimit(demands: Map<Flow, FlowDemand>): Map<String, Any?> {
+        val highestFirst = demands.entries.sortedByDescending { it.value.offeredRate + it.value.deferredJobs }
+        var count = highestFirst.size
         while (true) {
-            val value = AdmissionCodec.encode(DemandReport(nodeName, largestFirst.take(count).associate { it.key to it.value }))
+            val report = DemandReport(nodeName, highestFirst.take(count).associate { it.key to it.value })
+            val value = AdmissionCodec.encode(report)
             if (count == 0 || JsonSize.of(value) <= maxValueBytes) return value
             count--
         }
     }
 
-    /** Depends on the version of the report before, so that a late write cannot undo a newer one. */
+    /** Depends on the revision of the report before, so that a late write cannot undo a newer one. */
     private suspend fun put(value: Map<String, Any?>) {
         val result = store.commit(
-            listOf(Precondition(demandKey, demandVersion)),
+            listOf(Precondition(demandKey, demandRevision)),
             listOf(Write.Put(demandKey, value)),
             RequestPriority.CRITICAL,
         )
-        demandVersion = when (result) {
+        demandRevision = when (result) {
             is CommitResult.Applied -> result.revision
-            else -> store.get(demandKey)?.revision ?: 0L
+            else -> store.get(demandKey)?.revision ?: NO_REVISION
         }
     }
 
     private companion object {
-        const val RETRY_MILLIS = 500L
+        val RETRY = RetryPolicy(delayMillis = 500L)
         const val WATCH_MICROS = 10 * SECOND_MICROS
+
+        /** The precondition that a key is absent. */
+        const val NO_REVISION = 0L
     }
 }
--- a/src/main/kotlin/linemast/admission/AdmissionLeader.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionLeader.kt
@@ -8,6 +8,7 @@
 import linemast.store.KeyValueStore
 import linemast.store.Precondition
 import linemast.store.RequestPriority
+import linemast.store.RetryPolicy
 import linemast.store.Write
 import linemast.store.listAll
 import linemast.store.storeResultOrNull
@@ -15,7 +16,12 @@
 import linemast.time.MICROS_PER_MILLI
 import org.slf4j.LoggerFactory
 
-/** Makes the plan that all controllers admit by, while some flow has to be limited: a duty of the leader. */
+/**
+ * Makes the plan by which all controllers admit, while some flow has to be limited. The leader runs it.
+ *
+ * @param capacity submissions a second that the store has capacity for.
+ * @param openJobs unfinished jobs of each flow.
+ */
 internal class AdmissionLeader(
     private val store: KeyValueStore,
     private val clock: Clock,
@@ -23,62 +29,61 @@
     private val settings: AdmissionSettings,
     capacity: Double,
     private val maxValueBytes: Int,
-    /** Unfinished jobs of each flow. */
     private val openJobs: suspend () -> Map<Flow, Int>,
 ) {
     private val logger = LoggerFactory.getLogger(AdmissionLeader::class.java)
     private val planner = AdmissionPlanner(settings, capacity)
-    private val board = DemandTable(settings.epochMicros * VALID_EPOCHS)
+    private val demandTable = DemandTable(settings.epochMicros * VALID_EPOCHS)
     private var plan = AdmissionPlan.UNLIMITED
-    private var revision = 0L
+    private var planRevision = NO_REVISION
     private var plannedMicros = 0L
 
-    /** Plans until it is cancelled. */
+    /** Plans in each epoch until it is cancelled. */
     suspend fun run() {
-        while (storeResultOrNull(logger) { readPlan() } == null) delay(RETRY_MILLIS)
+        RETRY.untilResult(logger) { readPlan() }
         while (true) {
             delay(settings.epochMicros / MICROS_PER_MILLI)
-            if (leaderLease.mayIssueCommands(clock.nowMicros())) storeResultOrNull(logger) { step() }
+            if (leaderLease.mayIssueCommands(clock.nowMicros())) storeResultOrNull(logger) { planEpoch() }
         }
     }
 
-    /** The arcs go on where an earlier leader left them, so that what has been told when to come still has its turn. */
+    /** The ranges go on where a previous leader left them, so that ids that were told when to retry still have their turn. */
     private suspend fun readPlan() {
         val entry = store.get(AdmissionCodec.PLAN_KEY)
-        revision = entry?.revision ?: 0L
+        planRevision = entry?.revision ?: NO_REVISION
         plannedMicros = clock.nowMicros()
-        // One that cannot be read is replaced.
+        // A plan that cannot be read is replaced.
         plan = entry?.let { storeResultOrNull(logger) { AdmissionCodec.decodePlan(it.value) } } ?: AdmissionPlan.UNLIMITED
     }
 
-    private suspend fun step() {
+    private suspend fun planEpoch() {
         val now = clock.nowMicros()
-        board.take(store.listAll(AdmissionCodec.DEMAND_PREFIX).entries, now)
-        val ranges = planner.next(plan.ranges, board.demands(now), openJobs(), now - plannedMicros)
+        demandTable.update(store.listAll(AdmissionCodec.DEMAND_PREFIX).entries, now)
+        val ranges = planner.next(plan.ranges, demandTable.demands(now), openJobs(), now - plannedMicros)
         if (ranges.isEmpty() && plan.ranges.isEmpty()) {
             plannedMicros = now
             return
         }
-        publish(fitting(AdmissionPlan(plan.epoch + 1, leaderLease.fencingToken, ranges)), now)
+        publish(withinLimit(AdmissionPlan(plan.epoch + 1, leaderLease.fencingToken, ranges)), now)
     }
 
-    /** Without the arcs that let in most, until the plan fits a value. */
-    private fun fitting(plan: AdmissionPlan): AdmissionPlan {
-        var fitting = plan
-        while (fitting.ranges.isNotEmpty() && JsonSize.of(AdmissionCodec.encode(fitting)) > maxValueBytes) {
-            fitting = fitting.copy(ranges = fitting.ranges - fitting.ranges.maxBy { it.value.rate }.key)
+    /** [plan] without the flows that are admitted fastest, as many as it takes for it to fit a value. */
+    private fun withinLimit(plan: AdmissionPlan): AdmissionPlan {
+        var reduced = plan
+        while (reduced.ranges.isNotEmpty() && JsonSize.of(AdmissionCodec.encode(reduced)) > maxValueBytes) {
+            reduced = reduced.copy(ranges = reduced.ranges - reduced.ranges.maxBy { it.value.rate }.key)
         }
-        return fitting
+        return reduced
     }
 
     private suspend fun publish(next: AdmissionPlan, nowMicros: Long) {
-        val preconditions = listOf(leaderLease.fence, Precondition(AdmissionCodec.PLAN_KEY, revision))
+        val preconditions = listOf(leaderLease.fence, Precondition(AdmissionCodec.PLAN_KEY, planRevision))
         val put = Write.Put(AdmissionCodec.PLAN_KEY, AdmissionCodec.encode(next))
         when (val result = store.commit(preconditions, listOf(put), RequestPriority.CRITICAL)) {
             is CommitResult.Applied -> {
                 if (plan.ranges.keys != next.ranges.keys) logger.info("admission epoch {}: limited {}", next.epoch, next.ranges.keys)
                 plan = next
-                revision = result.revision
+                planRevision = result.revision
                 plannedMicros = nowMicros
             }
             else -> readPlan()
@@ -86,10 +91,12 @@
     }
 
     private companion object {
-        const val RETRY_MILLIS = 500L
-        const val MICROS_PER_MILLI = 1_000L
+        val RETRY = RetryPolicy(delayMillis = 500L)
 
-        /** A controller that has not told its demand for so many epochs has none. */
+        /** The demand of a controller that has not reported for so many epochs counts as none. */
         const val VALID_EPOCHS = 3
+
+        /** The precondition that a key is absent. */
+        const val NO_REVISION = 0L
     }
 }
--- a/src/main/kotlin/linemast/admission/DemandMeter.kt
+++ b/src/main/kotlin/linemast/admission/DemandMeter.kt
@@ -1,67 +1,61 @@
 package linemast.admission
 
-/** What one controller has seen of a flow, as rates a second. */
-data class FlowDemand(
-    /** New jobs that were submitted, each counted once however often its user asks. */
-    val offered: Double,
-    /** Jobs that were taken. */
-    val accepted: Double,
-    /** Jobs that were told to come later and have not been taken since. */
-    val waiting: Int,
-)
+import linemast.time.SECOND_MICROS
 
 /**
- * Counts the submissions that reach one controller; pure.
+ * Counts the submissions that reach one controller; it has no clock of its own.
  *
- * Ids are remembered for as long as users go on asking, the oldest forgotten first when they are too many.
+ * Ids are remembered for as long as users go on asking, the oldest forgotten first when there are too many.
  */
 class DemandMeter {
-    private class Seen(val flow: Flow, val firstMicros: Long) {
-        var acceptedMicros = 0L
+    private class Submission(val flow: Flow, val firstMicros: Long) {
+        var acceptedMicros = NOT_ACCEPTED
     }
 
-    private val seen = LinkedHashMap<String, Seen>()
+    /** By job id, the oldest first. */
+    private val submissions = LinkedHashMap<String, Submission>()
 
-    /** A submission of [id] that is not known to have been accepted before has come. */
+    /** A submission of job [id] that is not known to have been accepted before has come. */
     fun recordOffered(flow: Flow, id: String, nowMicros: Long) {
-        forget(nowMicros)
-        seen.getOrPut(id) { Seen(flow, nowMicros) }
+        forgetOld(nowMicros)
+        submissions.getOrPut(id) { Submission(flow, nowMicros) }
     }
 
-    /** The submission of [id] has been accepted. */
+    /** The submission of job [id] has been accepted. */
     fun recordAccepted(id: String, nowMicros: Long) {
-        seen[id]?.let { if (it.acceptedMicros == 0L) it.acceptedMicros = nowMicros }
+        val submission = submissions[id] ?: return
+        if (submission.acceptedMicros == NOT_ACCEPTED) submission.acceptedMicros = nowMicros
     }
 
-    /** What the flows have seen lately. */
+    /** The recent demand of each flow. */
     fun demands(nowMicros: Long): Map<Flow, FlowDemand> {
-        forget(nowMicros)
-        val since = nowMicros - RATE_MICROS
-        return seen.values.groupBy { it.flow }.mapValues { (_, ids) ->
+        forgetOld(nowMicros)
+        val since = nowMicros - RATE_WINDOW_SECONDS * SECOND_MICROS
+        return submissions.values.groupBy { it.flow }.mapValues { (_, ofFlow) ->
             FlowDemand(
-                offered = ids.count { it.firstMicros > since } / RATE_SECONDS,
-                accepted = ids.count { it.acceptedMicros > since } / RATE_SECONDS,
-                waiting = ids.count { it.acceptedMicros == 0L },
+                offeredRate = ofFlow.count { it.firstMicros > since } / RATE_WINDOW_SECONDS.toDouble(),
+                acceptedRate = ofFlow.count { it.acceptedMicros > since } / RATE_WINDOW_SECONDS.toDouble(),
+                deferredJobs = ofFlow.count { it.acceptedMicros == NOT_ACCEPTED },
             )
         }
     }
 
-    private fun forget(nowMicros: Long) {
-        val ids = seen.values.iterator()
-        while (ids.hasNext()) {
-            val first = ids.next()
-            if (seen.size <= MAX_IDS && first.firstMicros > nowMicros - PATIENCE_MICROS) return
-            ids.remove()
+    private fun forgetOld(nowMicros: Long) {
+        val oldestFirst = submissions.values.iterator()
+        while (oldestFirst.hasNext()) {
+            val oldest = oldestFirst.next()
+            if (submissions.size <= MAX_IDS && oldest.firstMicros > nowMicros - RETRY_WINDOW_MICROS) return
+            oldestFirst.remove()
         }
     }
 
     private companion object {
-        /** Over so long rates are taken. */
-        const val RATE_SECONDS = 5.0
-        const val RATE_MICROS = 5_000_000L
+        /** Rates are averages over this time. */
+        const val RATE_WINDOW_SECONDS = 5L
 
-        /** Users ask for so long at most. */
-        const val PATIENCE_MICROS = 60_000_000L
+        /** Users repeat a submission for this long at most. */
+        const val RETRY_WINDOW_MICROS = 60 * SECOND_MICROS
         const val MAX_IDS = 20_000
+        const val NOT_ACCEPTED = 0L
     }
 }
--- a/src/main/kotlin/linemast/planning/JobPlan.kt
+++ b/src/main/kotlin/linemast/planning/JobPlan.kt
@@ -64,7 +64,8 @@
             (spanMicros.toDouble() / taskMicros).coerceAtLeast(MIN_TASKS_PER_SLOT)
 
         /** How many whole tasks one slot runs in [spanMicros]; at least one, however short that is. */
-        fun wholeTasksPerSlot(spanMicros: Long, taskMicros: Long): Double = Math.floor(spanMicros.toDouble() / taskMicros).coerceAtLeast(1.0)
+        fun wholeTasksPerSlot(spanMicros: Long, taskMicros: Long): Double =
+            Math.floor(spanMicros.toDouble() / taskMicros).coerceAtLeast(1.0)
 
         /** The longest time over which scaled-out machines are planned to work on one job. */
         fun maxScaleOutSpanMicros(intervalMicros: Long, taskMicros: Long): Long =
--- a/src/main/kotlin/linemast/planning/RunTimeEstimates.kt
+++ b/src/main/kotlin/linemast/planning/RunTimeEstimates.kt
@@ -28,8 +28,7 @@
     }
 
     /** How long a task of a job that has not begun runs. */
-    fun estimateMicros(spec: JobSpec): Long =
-        (spec.estimatedRunMicros * (ratioByJobClass[spec.jobClass] ?: 1.0)).toLong().coerceAtLeast(1)
+    fun estimateMicros(spec: JobSpec): Long = (spec.estimatedRunMicros * (ratioByJobClass[spec.jobClass] ?: 1.0)).toLong().coerceAtLeast(1)
 
     private companion object {
         const val SMOOTHING = 0.3
--- a/src/main/kotlin/linemast/planning/StagePlanner.kt
+++ b/src/main/kotlin/linemast/planning/StagePlanner.kt
@@ -80,7 +80,6 @@
     }
 
     /** The part of interval [interval] that lies in [window]; not more than 0 if there is none. */
-    private fun overlapMicros(window: Window, interval: Int): Long =
-        minOf(window.endMicros, (interval + 1) * horizon.intervalMicros) -
-            maxOf(window.startMicros, interval * horizon.intervalMicros)
+    private fun overlapMicros(window: Window, interval: Int): Long = minOf(window.endMicros, (interval + 1) * horizon.intervalMicros) -
+        maxOf(window.startMicros, interval * horizon.intervalMicros)
 }
--- a/src/main/kotlin/linemast/settings/Features.kt
+++ b/src/main/kotlin/linemast/settings/Features.kt
@@ -7,8 +7,4 @@
  * @property admission fair admission; see docs/admission.md.
  * @property recovery reconciliation after an outage; see docs/recovery.md.
  */
-class Features(
-    val duties: DutySettings? = null,
-    val admission: AdmissionSettings? = null,
-    val recovery: RecoverySettings? = null,
-)
+class Features(val duties: DutySettings? = null, val admission: AdmissionSettings? = null, val recovery: RecoverySettings? = null)
--- a/src/main/kotlin/linemast/settings/FieldChecks.kt
+++ b/src/main/kotlin/linemast/settings/FieldChecks.kt
@@ -20,8 +20,7 @@
 }
 
 /** A numeric network address with its port. */
-internal fun Fields.address(name: String): Address =
-    Address.parse(text(name)) ?: fail(name, "must be an address such as 10.0.0.1:8080")
+internal fun Fields.address(name: String): Address = Address.parse(text(name)) ?: fail(name, "must be an address such as 10.0.0.1:8080")
 
 /** A number above 0. */
 internal fun Fields.positive(name: String): Double = number(name).also { if (it <= 0) fail(name, "must be more than 0") }
--- a/src/main/kotlin/linemast/settings/RecoverySettings.kt
+++ b/src/main/kotlin/linemast/settings/RecoverySettings.kt
@@ -10,10 +10,7 @@
  * @property ordersPerSecond most starts and stops a second, over all workers, until what earlier leaders started is reconciled.
  * @property confirmMicros a job that the store has no record of is looked up once more after this long, before its tasks are ended.
  */
-class RecoverySettings(
-    val ordersPerSecond: Double = DEFAULT_ORDERS,
-    val confirmMicros: Long = DEFAULT_CONFIRM_MICROS,
-) {
+class RecoverySettings(val ordersPerSecond: Double = DEFAULT_ORDERS, val confirmMicros: Long = DEFAULT_CONFIRM_MICROS) {
     /** Reads the file that enables the reconciliation after an outage. */
     companion object {
         private const val DEFAULT_ORDERS = 200.0
--- a/src/main/kotlin/linemast/settings/Settings.kt
+++ b/src/main/kotlin/linemast/settings/Settings.kt
@@ -45,13 +45,7 @@
 class Member(val nodeName: String, val domain: String, val peerAddress: Address)
 
 /** A team with its quota: what it is guaranteed, and the most that its tasks may use at any time. A limit of 0 means none. */
-class Team(
-    val name: String,
-    val guaranteedVcpus: Double,
-    val maxVcpus: Double,
-    val guaranteedGpus: Double,
-    val maxGpus: Double,
-)
+class Team(val name: String, val guaranteedVcpus: Double, val maxVcpus: Double, val guaranteedGpus: Double, val maxGpus: Double)
 
 /**
  * How often workers send heartbeats, and the timeouts that they keep to.
@@ -79,13 +73,7 @@
  * @property txnOps most operations of a transaction.
  * @property next the limits that will hold from some moment on, which is not announced; null if these stay.
  */
-data class StoreLimits(
-    val rps: Double,
-    val writeRps: Double,
-    val valueBytes: Int,
-    val txnOps: Int,
-    val next: StoreLimits? = null,
-) {
+data class StoreLimits(val rps: Double, val writeRps: Double, val valueBytes: Int, val txnOps: Int, val next: StoreLimits? = null) {
     /** What values have to keep within: what is written now may have to be written again later. */
     val maxValueBytes: Int get() = minOf(valueBytes, next?.valueBytes ?: valueBytes)
 
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -8,9 +8,11 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** The leader's planning in a closed loop with users who come back when told, and the turns of starts. */
+/** The leader's planning in a closed loop with users who retry when told, and the round robin of starts. */
 class AdmissionPlannerTest {
     private val settings = AdmissionSettings()
 
@@ -43,7 +45,7 @@
             val now = second * 1_000_000L
             if (second % 2 == 0) {
                 val demands = meters.flatMap { it.demands(now).entries }.groupBy({ it.key }, { it.value }).mapValues { (_, parts) ->
-                    FlowDemand(parts.sumOf { it.offered }, parts.sumOf { it.accepted }, parts.sumOf { it.waiting })
+                    FlowDemand(parts.sumOf { it.offeredRate }, parts.sumOf { it.acceptedRate }, parts.sumOf { it.deferredJobs })
                 }
                 plan = AdmissionPlan(plan.epoch + 1, 1, planner.next(plan.ranges, demands, open, 2_000_000))
             }
@@ -74,9 +76,10 @@
         }
     }
 
-    @Test
-    fun `a flooding team is held to its part, wherever its flood arrives, and nobody else is put off`() {
-        val random = Random(35)
+    @ParameterizedTest
+    @ValueSource(ints = [35])
+    fun `a flooding team is held to its share, wherever its flood arrives, and nobody else is deferred`(seed: Int) {
+        val random = Random(seed)
         for (floodEntry in listOf<(Int) -> Int>({ 0 }, { random.nextInt(3) })) {
             val flood = Users(Flow("north", "tiny"), { if (it in 20..140) 60.0 else 0.5 }, floodEntry)
             val intake = Users(Flow("intake", "match"), { 2.0 }) { random.nextInt(3) }
@@ -91,9 +94,10 @@
         }
     }
 
-    @Test
-    fun `a short burst is worked off and nobody gives up`() {
-        val random = Random(36)
+    @ParameterizedTest
+    @ValueSource(ints = [36])
+    fun `a short burst is worked off and nobody gives up`(seed: Int) {
+        val random = Random(seed)
         val burst = Users(Flow("north", "tiny"), { if (it in 20..24) 60.0 else 0.1 }) { random.nextInt(3) }
         val other = Users(Flow("south", "pull"), { 1.0 }) { random.nextInt(3) }
         run(150, capacity = 10.0, listOf(burst, other))
@@ -102,16 +106,17 @@
         assertEquals(0, other.waits.max())
     }
 
-    @Test
-    fun `with more open jobs than there may be, the team that has most of them is held back, and not for ever`() {
-        val random = Random(37)
+    @ParameterizedTest
+    @ValueSource(ints = [37])
+    fun `beyond the limit of open jobs, the team that has most of them is limited to the minimum rate`(seed: Int) {
+        val random = Random(seed)
         val few = AdmissionSettings(maxOpenJobs = 300)
         val flood = Users(Flow("north", "tiny"), { 8.0 }) { random.nextInt(3) }
         val other = Users(Flow("south", "pull"), { 0.4 }) { random.nextInt(3) }
         val taken = run(300, capacity = 50.0, listOf(flood, other), few)
         assertEquals(0, other.waits.max())
         assertTrue(taken.takeLast(60).average() < 2.0, "${taken.takeLast(60).average()} a second")
-        assertTrue(taken.takeLast(60).sum() > 30, "the least rate is kept")
+        assertTrue(taken.takeLast(60).sum() > 30, "the minimum rate is kept")
     }
 
     private fun job(number: Int, team: String, jobClass: String): Job {
@@ -120,7 +125,7 @@
     }
 
     @Test
-    fun `a flow's waiting job has its turn after a few of each other flow, however many wait there`() {
+    fun `a flow's waiting job starts after a few of each other flow, however many wait there`() {
         val classes = listOf("match", "pull")
         val turns = FlowRoundRobin(FlowClassifier(classes.map { Objective.Wait(it, 1) }))
         val flood = List(3_000) { job(it, "north", "match") }
@@ -135,6 +140,6 @@
         }
         assertTrue(served.take(4).containsAll(others), served.take(4).map { it.id }.toString())
         assertEquals(flood.take(27), served - others.toSet(), "its own order is kept")
-        assertTrue(turns.next(waiting).size <= FlowRoundRobin.JOBS_A_FLOW)
+        assertTrue(turns.next(waiting).size <= FlowRoundRobin.JOBS_PER_FLOW)
     }
 }
--- a/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
@@ -74,13 +74,14 @@
     }
 
     @Test
-    fun `every other team and class is accepted at once and starts within a bounded time`() = check(play(seed = 51, enabled = true))
+    fun `other teams and classes are accepted at once and start within a bounded time`() = check(play(seed = 51, enabled = true))
 
     @Test
-    fun `also when one controller sees the surge before the others`() = check(play(seed = 52, enabled = true, firstSecondsAtOne = 15))
+    fun `other teams are accepted at once when one controller sees the surge before the others`() =
+        check(play(seed = 52, enabled = true, firstSecondsAtOne = 15))
 
     @Test
-    fun `also when the leader ends and another one is frozen in the middle of it`() = check(
+    fun `other teams are accepted at once when the leader ends and another controller is frozen in the middle of it`() = check(
         play(seed = 53, enabled = true) { world ->
             val leader = leaderOf(world).coerceAtLeast(0)
             restart(world, leader, 1_000)
@@ -88,9 +89,9 @@
         },
     )
 
-    /** Without the subsystem the flood is taken as it comes: far more than the store's limits have room for. */
+    /** Without the subsystem the flood is accepted as it comes: far more than the store's limits allow. */
     @Test
-    fun `without fair admission the flood is taken whole`() {
+    fun `without fair admission the whole flood is accepted`() {
         val outcome = play(seed = 51, enabled = false)
         assertEquals(0, outcome.flood.sumOf { it.putOffCount })
         assertTrue(outcome.flood.all { it.accepted })
--- a/src/test/kotlin/linemast/admission/MaxMinFairShareTest.kt
+++ b/src/test/kotlin/linemast/admission/MaxMinFairShareTest.kt
@@ -3,17 +3,20 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** Max-min sharing under generated demands. */
+/** Max-min fair shares under generated demands. */
 class MaxMinFairShareTest {
-    @Test
-    fun `nobody gets more than asked for, nothing is left over that is wanted, and nobody short gets less than another`() {
-        val random = Random(31)
+    @ParameterizedTest
+    @ValueSource(ints = [31])
+    fun `nobody gets more than asked for, nothing wanted is left over, and nobody short gets less than another`(seed: Int) {
+        val random = Random(seed)
         repeat(500) {
             val demands = (0 until random.nextInt(1, 12)).associateWith { random.nextDouble(0.0, 20.0) }
             val capacity = random.nextDouble(0.0, 80.0)
-            val shares = MaxMinFairShare.divide(capacity, demands)
+            val shares = MaxMinFairShare.allocate(capacity, demands)
             assertEquals(minOf(capacity, demands.values.sum()), shares.values.sum(), 1e-9)
             for ((key, share) in shares) {
                 assertTrue(share <= demands.getValue(key) + 1e-9)
@@ -23,9 +26,9 @@
     }
 
     @Test
-    fun `a team does not gain by having many classes`() {
+    fun `a team does not gain by having many job classes`() {
         val flood = (1..50).associate { Flow("north", "class-$it") to 10.0 }
-        val shares = MaxMinFairShare.divideAmongFlows(20.0, flood + (Flow("south", "only") to 10.0))
+        val shares = MaxMinFairShare.allocateToFlows(20.0, flood + (Flow("south", "only") to 10.0))
         assertEquals(10.0, shares.getValue(Flow("south", "only")), 1e-9)
         assertEquals(10.0, shares.filterKeys { it.team == "north" }.values.sum(), 1e-9)
     }
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -48,7 +48,9 @@
         val random = Random(seed)
         repeat(100) {
             val jobs =
-                List(1 + random.nextInt(4)) { job("req-${20 + it}", 1 + random.nextInt(60), 5 + random.nextInt(60), 30 + random.nextInt(300)) }
+                List(1 + random.nextInt(4)) {
+                    job("req-${20 + it}", 1 + random.nextInt(60), 5 + random.nextInt(60), 30 + random.nextInt(300))
+                }
             val stages = List(random.nextInt(5)) {
                 stage(
                     40 + it,
--- a/src/test/kotlin/linemast/settings/SettingsReaderTest.kt
+++ b/src/test/kotlin/linemast/settings/SettingsReaderTest.kt
@@ -112,7 +112,10 @@
         for ((line, field) in fieldsByLine) {
             val name = line.substringBefore(' ')
             for (malformed in listOf("", "$name = true", "$name = -1")) {
-                val error = assertThrows(MalformedException::class.java, { SettingsReader.parse(validFile.replace(line, malformed)) }, "$line -> $malformed")
+                val error =
+                    assertThrows(MalformedException::class.java, {
+                        SettingsReader.parse(validFile.replace(line, malformed))
+                    }, "$line -> $malformed")
                 assertTrue(error.message.orEmpty().startsWith(field), "${error.message} should name $field")
             }
         }
