--- a/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
@@ -6,6 +6,7 @@
 import linemast.settings.Features
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
+import linemast.simulation.Violation
 import linemast.simulation.leaderOf
 import linemast.simulation.restart
 import linemast.simulation.simulate
@@ -43,12 +44,12 @@
         ) { world ->
             delay(15_000)
             val began = world.clock.nowMicros()
-            world.entryOf = { if (world.clock.nowMicros() - began < firstSecondsAtOne * 1_000_000L) 0 else world.random.nextInt(3) }
+            world.users.entryOf = { if (world.clock.nowMicros() - began < firstSecondsAtOne * 1_000_000L) 0 else world.random.nextInt(3) }
             repeat(FLOOD_SECONDS) { second ->
-                repeat(FLOOD_A_SECOND) { flood += job("north", "match", 1, 1.0, 300_000).also { world.user(it, null) } }
-                if (second % 5 == 0) others += job("south", "match", 4, 1.0, 2_000_000).also { world.user(it, null) }
-                if (second % 10 == 0) others += job("south", "pull", 6, 1.0, 3_000_000).also { world.user(it, null) }
-                if (second % 15 == 0) others += job("north", "pull", 6, 1.0, 3_000_000).also { world.user(it, null) }
+                repeat(FLOOD_A_SECOND) { flood += job("north", "match", 1, 1.0, 300_000).also { world.users.submit(it, null) } }
+                if (second % 5 == 0) others += job("south", "match", 4, 1.0, 2_000_000).also { world.users.submit(it, null) }
+                if (second % 10 == 0) others += job("south", "pull", 6, 1.0, 3_000_000).also { world.users.submit(it, null) }
+                if (second % 15 == 0) others += job("north", "pull", 6, 1.0, 3_000_000).also { world.users.submit(it, null) }
                 if (second == FLOOD_SECONDS / 2) script(world)
                 delay(1_000)
             }
@@ -69,7 +70,7 @@
         assertEquals(0, outcome.others.sumOf { it.putOffCount }, "nobody else is put off")
         assertTrue(starts.max() < MAX_START_MICROS, "started after ${starts.max()} us")
         assertTrue(outcome.flood.any { it.putOffCount > 0 })
-        assertEquals(emptyList<String>(), outcome.world.broken)
+        assertEquals(emptyList<Violation>(), outcome.world.violations)
         assertEquals(emptyList<String>(), outcome.world.store.tooLarge)
     }
 
@@ -85,7 +86,7 @@
         play(seed = 53, enabled = true) { world ->
             val leader = leaderOf(world).coerceAtLeast(0)
             restart(world, leader, 1_000)
-            world.freeze((leader + 1) % 3, 3_000_000)
+            world.network.freeze((leader + 1) % 3, 3_000_000)
         },
     )
 
@@ -101,15 +102,15 @@
     fun `two controllers with the same plan never decide differently`() {
         val rulings = ArrayList<Ruling>()
         val world = simulate(seed = 54, size = 2, features = Features(admission = AdmissionSettings()), objectives = objectives) { world ->
-            world.onSubmission = { id, status, plan -> rulings += Ruling(plan.epoch, plan.fencingToken, id, status) }
+            world.users.onSubmission = { id, status, plan -> rulings += Ruling(plan.epoch, plan.fencingToken, id, status) }
             delay(15_000)
             repeat(40) { second ->
                 // The first controller sees the flood alone for a while.
-                world.entryOf = { if (second < 10) 0 else world.random.nextInt(3) }
+                world.users.entryOf = { if (second < 10) 0 else world.random.nextInt(3) }
                 repeat(FLOOD_A_SECOND) {
                     val job = job("north", "match", 1, 1.0, 300_000)
-                    world.user(job, null)
-                    repeat(2) { world.submitAlso(job) }
+                    world.users.submit(job, null)
+                    repeat(2) { world.users.submitAgain(job) }
                 }
                 delay(1_000)
             }
@@ -120,7 +121,7 @@
         val different = same.filter { made -> made.any { it.status == PUT_OFF } && made.any { it.status == NEWLY_ACCEPTED } }
         assertEquals(emptyList<Any>(), different)
         assertTrue(same.count { made -> made.all { it.status == PUT_OFF } } > 100)
-        assertEquals(emptyList<String>(), world.broken)
+        assertEquals(emptyList<Violation>(), world.violations)
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -8,6 +8,7 @@
 import linemast.settings.Policy
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
+import linemast.simulation.Violation
 import linemast.simulation.leaderOf
 import linemast.simulation.restart
 import linemast.simulation.simulate
@@ -47,7 +48,7 @@
         while (true) {
             val id = "req-70%04d".format(++number)
             val team = if (number % 2 == 0) "north" else "south"
-            world.user(SimJob(id, team, 6 + number % 9, 2.0, false, false, false, true, 2_500_000), null)
+            world.users.submit(SimJob(id, team, 6 + number % 9, 2.0, false, false, false, true, 2_500_000), null)
             delay(world.random.nextLong(8_000, 16_000))
         }
     }
@@ -73,20 +74,21 @@
             repeat(120) {
                 delay(world.random.nextLong(4_000, 20_000))
                 val leader = leaderOf(world)
-                if (leader >= 0) world.freeze(leader, world.random.nextLong(500_000, 6_000_000))
+                if (leader >= 0) world.network.freeze(leader, world.random.nextLong(500_000, 6_000_000))
                 world.store.valueOf("leader")?.let { terms += it.long("helm") }
             }
         }
         println("seed $seed: ${terms.size} terms")
         assertTrue(terms.size > 60, "only ${terms.size} terms")
         assertOnlyLeadersActed(world, minActions = 60)
-        assertEquals(emptyList<String>(), world.broken)
+        assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(emptyList<String>(), world.store.tooLarge)
     }
 
     /** Suspends the leader between the commit of its intent and the call, half of the time. */
     private fun suspendBeforeCalls(world: SimWorld) {
-        world.cloud.onOrder = { node, _ -> if (world.random.nextBoolean()) world.freeze(node, world.random.nextLong(500_000, 6_000_000)) }
+        world.cloud.onOrder =
+            { node, _ -> if (world.random.nextBoolean()) world.network.freeze(node, world.random.nextLong(500_000, 6_000_000)) }
     }
 
     private fun TestScope.launchLoad(world: SimWorld) = backgroundScope.launch { submitContinuously(world) }
@@ -105,7 +107,7 @@
             repeat(30) {
                 delay(world.random.nextLong(5_000, 20_000))
                 val leader = leaderOf(world)
-                if (leader >= 0) world.freeze(leader, world.random.nextLong(500_000, 5_000_000))
+                if (leader >= 0) world.network.freeze(leader, world.random.nextLong(500_000, 5_000_000))
             }
         }
         assertOnlyLeadersActed(world, minActions = 8)
@@ -140,10 +142,10 @@
                 val leader = leaderOf(world)
                 if (leader < 0) return@repeat
                 world.store.refused += "mast-$leader"
-                world.alone += leader
+                world.network.partitioned += leader
                 delay(world.random.nextLong(500, 6_000))
                 world.store.refused.clear()
-                world.alone.clear()
+                world.network.partitioned.clear()
             }
             world.cloud.lateOrders = 0.0
             delay(60_000)
@@ -153,7 +155,7 @@
             assertEquals(emptyList<Intent>(), stillOpen, "every action is closed")
         }
         assertOnlyLeadersActed(world, minActions = 8)
-        assertEquals(emptyList<String>(), world.broken)
+        assertEquals(emptyList<Violation>(), world.violations)
     }
 
     /**
@@ -164,7 +166,7 @@
         var number = 0
         fun submit(runMicros: Long) = listOf("north", "south").forEach { team ->
             val id = "req-61%04d".format(++number)
-            world.user(SimJob(id, team, 8, 2.0, false, false, false, true, runMicros), null)
+            world.users.submit(SimJob(id, team, 8, 2.0, false, false, false, true, runMicros), null)
         }
         world.cloud.lostAnswers = 0.0
         world.cloud.lateMillis = 14_000L..18_000L
--- a/src/test/kotlin/linemast/loopback/AdmissionLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/AdmissionLoopbackTest.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.coroutines.delay
 import linemast.simulation.SimJob
+import linemast.simulation.Violation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Tag
@@ -24,7 +25,7 @@
 
     private class Outcome(val others: List<SimJob>, val flood: List<SimJob>, val decisions: Int, val differing: Int)
 
-    private fun play(isEnabled: Boolean): Outcome {
+    private fun runScenario(isEnabled: Boolean): Outcome {
         val cluster = LoopbackCluster(
             LoopbackOptions(
                 seed = if (isEnabled) seed else seed + DISABLED_SEEDS,
@@ -40,26 +41,26 @@
         val flood = ArrayList<SimJob>()
         val others = ArrayList<SimJob>()
         val answers = HashMap<String, ArrayList<Answer>>()
-        cluster.play {
+        cluster.runScenario {
             val world = cluster.world
-            world.onAnswer = { id, status -> answers.getOrPut(id) { ArrayList() } += Answer(world.clock.nowMicros(), status) }
+            world.users.onAnswer = { id, status -> answers.getOrPut(id) { ArrayList() } += Answer(world.clock.nowMicros(), status) }
             val first = job("south", "match", 1, 100_000)
-            world.user(first, null)
+            world.users.submit(first, null)
             assertTrue(cluster.await(STARTUP_MILLIS) { first.accepted }, "no controller has accepted anything")
             val began = world.clock.nowMicros()
             // One controller sees the surge before the others.
-            world.entryOf = { if (world.clock.nowMicros() - began < ALONE_MICROS) 0 else world.random.nextInt(3) }
+            world.users.entryOf = { if (world.clock.nowMicros() - began < ALONE_MICROS) 0 else world.random.nextInt(3) }
             repeat(FLOOD_SECONDS) { second ->
-                repeat(floodPerSecond) { flood += job("north", "match", 1, 300_000).also { world.user(it, null) } }
-                flood.takeLast(CHECKED_A_SECOND).forEach { job -> repeat(2) { world.submitAlso(job) } }
-                if (second % 2 == 0) others += job("south", "match", 2, 1_000_000).also { world.user(it, null) }
-                if (second % 4 == 0) others += job("south", "pull", 4, 2_000_000).also { world.user(it, null) }
-                if (second % 5 == 0) others += job("north", "pull", 4, 2_000_000).also { world.user(it, null) }
+                repeat(floodPerSecond) { flood += job("north", "match", 1, 300_000).also { world.users.submit(it, null) } }
+                flood.takeLast(CHECKED_A_SECOND).forEach { job -> repeat(2) { world.users.submitAgain(job) } }
+                if (second % 2 == 0) others += job("south", "match", 2, 1_000_000).also { world.users.submit(it, null) }
+                if (second % 4 == 0) others += job("south", "pull", 4, 2_000_000).also { world.users.submit(it, null) }
+                if (second % 5 == 0) others += job("north", "pull", 4, 2_000_000).also { world.users.submit(it, null) }
                 delay(1_000)
             }
             delay(AFTER_MILLIS)
         }
-        assertEquals(emptyList<String>(), cluster.world.broken)
+        assertEquals(emptyList<Violation>(), cluster.world.violations)
         val together = answers.values.map(::madeTogether).filter { it.size > 1 }
         val differing = together.count { made -> made.any { it.status == PUT_OFF } && made.any { it.status == NEWLY_ACCEPTED } }
         return Outcome(others, flood, together.size, differing)
@@ -87,9 +88,9 @@
 
     @Test
     fun `every team and class is accepted and started within a bounded wait, and controllers agree`() {
-        val with = play(isEnabled = true)
+        val with = runScenario(isEnabled = true)
         report("with fair admission", with)
-        report("without", play(isEnabled = false))
+        report("without", runScenario(isEnabled = false))
         assertTrue(with.others.all { it.accepted && it.startedMicros > 0 })
     }
 
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -8,6 +8,7 @@
 import linemast.serialization.Fields
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
+import linemast.simulation.Violation
 import linemast.simulation.leaderOf
 import linemast.store.Write
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -38,7 +39,7 @@
         val terms = HashSet<Long>()
         var frozen = 0
         var afterCommit = 0
-        cluster.play {
+        cluster.runScenario {
             val world = cluster.world
             launch { submitForEver(world) }
             assertTrue(cluster.await(20_000) { world.starts > 0 }, "nothing was started")
@@ -75,10 +76,10 @@
             "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${orders.size} orders " +
                 "(${orders.count { it.rental != null }} rentals, ${orders.count { it.returned.isNotEmpty() }} returns), " +
                 "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
-                "${world.starts} starts, ${world.jobs.values.count { it.told == "done" }} of ${world.jobs.size} jobs done",
+                "${world.starts} starts, ${world.jobs.values.count { it.acknowledgedStatus == "done" }} of ${world.jobs.size} jobs done",
         )
         assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.rental ?: order.returned}" })
-        assertEquals(emptyList<String>(), world.broken)
+        assertEquals(emptyList<Violation>(), world.violations)
         assertTrue(orders.size >= frozen / 4, "only ${orders.size} orders")
     }
 
@@ -90,7 +91,7 @@
         while (true) {
             val id = "req-70%04d".format(++number)
             val team = if (number % 2 == 0) "north" else "south"
-            world.user(SimJob(id, team, 4 + number * 7 % 20, 2.0, false, false, false, true, 2_500_000), null)
+            world.users.submit(SimJob(id, team, 4 + number * 7 % 20, 2.0, false, false, false, true, 2_500_000), null)
             delay(world.random.nextLong(2_000, 6_000))
         }
     }
--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -20,7 +20,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** What a play on loopback runs with. */
+/** What a scenario on loopback runs with. */
 internal class LoopbackOptions(
     val seed: Int,
     /** Options of the program besides its settings. */
@@ -44,7 +44,7 @@
         private set
 
     /** Runs [script] with the cluster up, and ends all processes. */
-    fun play(script: suspend CoroutineScope.(LoopbackCluster) -> Unit) {
+    fun runScenario(script: suspend CoroutineScope.(LoopbackCluster) -> Unit) {
         val loop = EventLoop()
         try {
             loop.run {
--- a/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
@@ -1,7 +1,9 @@
 package linemast.loopback
 
 import kotlinx.coroutines.delay
+import linemast.simulation.CONTROLLERS
 import linemast.simulation.SimJob
+import linemast.simulation.Violation
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Tag
@@ -31,11 +33,17 @@
         var lost = emptySet<String>()
         var unregistered = emptySet<String>()
         var adopted = 0
-        cluster.play {
+        cluster.runScenario {
             val world = cluster.world
             val tasks = machines * 2
-            world.user(SimJob("req-000001", "north", tasks, 1.0, false, false, false, false, RUN_MICROS, staggerMicros = 20_000), null)
-            world.user(SimJob("req-000002", "south", tasks / 4, 1.0, false, false, false, false, RUN_MICROS, staggerMicros = 20_000), null)
+            world.users.submit(
+                SimJob("req-000001", "north", tasks, 1.0, false, false, false, false, RUN_MICROS, staggerMicros = 20_000),
+                null,
+            )
+            world.users.submit(
+                SimJob("req-000002", "south", tasks / 4, 1.0, false, false, false, false, RUN_MICROS, staggerMicros = 20_000),
+                null,
+            )
             fun live() = world.workers.values.flatMap { it.tasks.values }.filter { it.status != "ended" }
             assertTrue(cluster.await(STARTUP_MILLIS) { live().size + world.completed.size == tasks + tasks / 4 }, "not all is under way")
             repeat(CONTROLLERS) { cluster.kill(it) }
@@ -54,7 +62,7 @@
             world.onCommand = { _, verb, task -> orders += verb to task.substringBefore('#') }
             delay(OUTAGE_MILLIS)
             repeat(CONTROLLERS) { cluster.start(it) }
-            cluster.await(END_MILLIS) { world.jobs.values.all { !it.accepted || it.told == "done" } }
+            cluster.await(END_MILLIS) { world.jobs.values.all { !it.accepted || it.acknowledgedStatus == "done" } }
         }
         val byVerb = orders.groupBy({ it.first }, { it.second })
         val started = byVerb["start"].orEmpty()
@@ -62,9 +70,13 @@
         println("seed $seed, $machines workers, $adopted tasks running at the outage of $OUTAGE_MILLIS ms:")
         println("  differences: ${(lost - unregistered).size} tasks lost, ${(unregistered - lost).size} tasks of jobs without a record")
         println("  orders: ${started.size} starts, ${stopped.size} stops, ${byVerb["clear"].orEmpty().size} acknowledgements")
-        println("  jobs done: ${cluster.world.jobs.values.count { it.told == "done" }} of 2; broken rules: ${cluster.world.broken}")
-        assertEquals(emptyList<String>(), cluster.world.broken)
-        assertEquals(2, cluster.world.jobs.values.count { it.told == "done" })
+        println(
+            "  jobs done: ${cluster.world.jobs.values.count {
+                it.acknowledgedStatus == "done"
+            }} of 2; broken rules: ${cluster.world.violations}",
+        )
+        assertEquals(emptyList<Violation>(), cluster.world.violations)
+        assertEquals(2, cluster.world.jobs.values.count { it.acknowledgedStatus == "done" })
         assertEquals(lost - unregistered, started.toSet(), "started anew")
         assertEquals(unregistered - lost, stopped.toSet(), "stopped")
     }
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -6,6 +6,7 @@
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorker
 import linemast.simulation.SimWorld
+import linemast.simulation.Violation
 import linemast.simulation.simulate
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -45,8 +46,8 @@
         var completedBefore = 0
         val features = Features(recovery = RecoverySettings(ordersPerSecond).takeIf { enabled })
         val world = simulate(seed, size = 50, baselineMachines = 300, features = features) { world ->
-            repeat(4) { world.user(array(it + 1, runMicros = 35_000_000), null) }
-            repeat(10) { world.user(gang(it + 100), null) }
+            repeat(4) { world.users.submit(array(it + 1, runMicros = 35_000_000), null) }
+            repeat(10) { world.users.submit(gang(it + 100), null) }
             delay(28_000)
             val expected = 4 * TASKS + 10 * 2
             assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all is under way")
@@ -81,8 +82,10 @@
     )
 
     private fun checkAllEnded(outcome: Outcome) {
-        assertEquals(emptyList<String>(), outcome.world.broken)
-        val open = outcome.world.jobs.values.filter { it.accepted && it.told != "done" && it !== outcome.damaged }.map { it.id }
+        assertEquals(emptyList<Violation>(), outcome.world.violations)
+        val open = outcome.world.jobs.values.filter {
+            it.accepted && it.acknowledgedStatus != "done" && it !== outcome.damaged
+        }.map { it.id }
         assertEquals(emptyList<String>(), open)
         val results = outcome.tasks("clear").groupingBy { it }.eachCount().filterValues { it > 1 }.keys - outcome.lost
         assertEquals(emptySet<String>(), results, "each result is taken once")
--- /dev/null
+++ b/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
@@ -0,0 +1,122 @@
+package linemast.simulation
+
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+
+/** Cancellations that coincide with faults; [InvariantChecks] checks the rules all the while. */
+class CancellationFaultCombinationTest {
+    /**
+     * The store refuses the leader alone, or leaves its watches hanging while its renewals work; others confirm
+     * cancellations; then the store is down for all for longer than a cancellation has. What bounds the answers is what
+     * the leader knows, not what it renews.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8, 9])
+    fun `tasks end in time if the leader cannot know that their jobs were cancelled`(seed: Int) {
+        println("seed $seed")
+        val world = simulate(seed) { world ->
+            val jobs = List(3) { array("req-90000$it", runMicros = 200_000_000) }
+            jobs.forEach { world.users.submit(it, null) }
+            delay(20_000)
+            assertTrue(world.starts > 0)
+            val leader = "mast-${leaderOf(world)}"
+            if (seed % 3 != 0) world.store.refused += leader
+            if (seed % 3 != 1) world.store.watchesHang += leader
+            if (seed % 3 == 2) {
+                delay(100)
+                world.store.refused -= leader
+            }
+            jobs.forEach { world.users.cancel(it, world.random.nextLong(1_000)) }
+            delay(1_500 + world.random.nextLong(12_000))
+            world.store.startOutage()
+            delay(50_000)
+            world.store.endOutage()
+            world.store.refused.clear()
+            world.store.watchesHang.clear()
+            delay(30_000)
+            assertEquals(jobs.map { "withdrawn" }, jobs.map { it.acknowledgedStatus })
+        }
+        assertEquals(emptyList<Violation>(), world.violations)
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = [41, 42])
+    fun `jobs end if they are cancelled, asked for and submitted again when their last task ends`(seed: Int) =
+        runFaultCombination(seed) { world ->
+            world.users.cancelledAtEnd = 0.8
+            world.store.lostAnswers = if (seed % 2 == 0) 0.1 else 0.0
+            repeat(25) { number ->
+                world.users.submit(array("req-91%04d".format(number), runMicros = 2_000_000, taskCount = 1 + number % 3), null)
+                launch { repeat(4) { world.users.sendUnusualRequests() } }
+                delay(1_000)
+            }
+            world.store.lostAnswers = 0.0
+        }
+
+    @ParameterizedTest
+    @ValueSource(ints = [47, 48, 49])
+    fun `a team stays within its limit if the leader changes, machines are silent and a job is cancelled`(seed: Int) =
+        runFaultCombination(seed) { world ->
+            val first = array("req-930000", runMicros = 60_000_000, taskCount = 24)
+            world.users.submit(first, null)
+            delay(12_000)
+            val silent = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
+            silent.forEach { if (seed % 2 == 0) it.mute = true else it.hungUntilMicros = world.clock.nowMicros() + 20_000_000 }
+            world.users.submit(array("req-930001", runMicros = 5_000_000, taskCount = 24), null)
+            launch { restart(world, leaderOf(world), 1_000) }
+            delay(world.random.nextLong(6_000))
+            world.users.cancel(first, 0)
+            delay(25_000)
+            silent.forEach { it.mute = false }
+        }
+
+    @ParameterizedTest
+    @ValueSource(ints = [58, 59])
+    fun `jobs end if the store is slow, then refuses the leader, then everybody, while users cancel and ask`(seed: Int) =
+        runFaultCombination(seed) { world ->
+            submitMixedJobs(world, runMicros = 40_000_000)
+            delay(8_000)
+            world.store.maxLatencyMillis = 1_500
+            delay(5_000)
+            world.jobs.values.take(3).forEach { world.users.cancel(it, world.random.nextLong(4_000)) }
+            launch { repeat(5) { world.users.sendUnusualRequests() } }
+            world.store.refused += "mast-${leaderOf(world)}"
+            delay(world.random.nextLong(5_000))
+            world.store.startOutage()
+            delay(35_000)
+            world.store.endOutage()
+            world.store.refused.clear()
+            world.store.maxLatencyMillis = 12
+        }
+
+    @ParameterizedTest
+    @ValueSource(ints = [66, 67])
+    fun `cancelled jobs end if their workers stay with a leader that is partitioned from store and peers`(seed: Int) =
+        runFaultCombination(seed) { world ->
+            submitMixedJobs(world, runMicros = 50_000_000)
+            delay(10_000)
+            val leader = leaderOf(world)
+            world.store.refused += "mast-$leader"
+            world.network.partitioned += leader
+            world.jobs.values.take(2).forEach { world.users.cancel(it, world.random.nextLong(10_000)) }
+            delay(35_000)
+            world.store.refused -= "mast-$leader"
+            world.network.partitioned -= leader
+        }
+
+    @ParameterizedTest
+    @ValueSource(ints = [80, 81])
+    fun `cancelled jobs end if their workers reach no controller`(seed: Int) = runFaultCombination(seed) { world ->
+        submitMixedJobs(world, runMicros = 50_000_000)
+        delay(10_000)
+        val mute = world.workers.values.shuffled(world.random).take(if (seed % 2 == 0) 3 else world.workers.size)
+        mute.forEach { it.mute = true }
+        world.jobs.values.take(2).forEach { world.users.cancel(it, world.random.nextLong(3_000)) }
+        delay(40_000)
+        mute.forEach { it.mute = false }
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/linemast/simulation/FaultCombinationScenario.kt
@@ -0,0 +1,36 @@
+package linemast.simulation
+
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.test.TestScope
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+
+private const val CALM_MILLIS = 200_000L
+
+/** Arrays and gangs of both teams, more than the standing machines run at once. */
+internal suspend fun submitMixedJobs(world: SimWorld, runMicros: Long) = repeat(6) { number ->
+    val gang = number % 3 == 2
+    val team = if (number % 2 == 0) "north" else "south"
+    world.users.submit(
+        SimJob("req-90%04d".format(number), team, if (gang) 2 else 8, if (gang) 4.0 else 1.0, gang, gang, false, true, runMicros),
+        null,
+    )
+    delay(200)
+}
+
+/** Brings [faults] about; when they are over all accepted jobs have to end, none left waiting, and no rule may break. */
+internal fun runFaultCombination(seed: Int, faults: suspend TestScope.(SimWorld) -> Unit) {
+    val world = simulate(seed) { world ->
+        faults(world)
+        world.checks.calmSinceMicros = world.clock.nowMicros()
+        delay(CALM_MILLIS)
+    }
+    println("seed $seed: ${world.starts} starts, ${world.completed.size} tasks done, ${world.jobs.size} jobs")
+    assertEquals(emptyList<Violation>(), world.violations)
+    assertEquals(emptyList<String>(), world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }, "without an end")
+    assertTrue(world.completed.isNotEmpty())
+}
+
+/** An array of single-cpu tasks that may run anywhere. */
+internal fun array(id: String, runMicros: Long, taskCount: Int = 6, team: String = "north") =
+    SimJob(id, team, taskCount, 1.0, gang = false, sameZone = false, spread = false, spot = true, runMicros)
--- a/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
@@ -12,17 +12,17 @@
     /** The leader releases a job while its user cancels it, and all controllers are asked about it all the while. */
     @ParameterizedTest
     @ValueSource(ints = [201, 202, 203])
-    fun `a waiting job is cancelled while it is released`(seed: Int) = playPipelines(seed) { world ->
-        world.dependentsCancelledAtEnd = 0.7
+    fun `a waiting job is cancelled while it is released`(seed: Int) = runPipelineScenario(seed) { world ->
+        world.users.dependentsCancelledAtEnd = 0.7
         world.store.lostAnswers = if (seed % 2 == 0) 0.1 else 0.0
         world.store.repeats = 0.1
         repeat(8) { number ->
             val chain = chain("req-60%03d".format(number), 3)
-            world.pipeline(chain)
+            world.users.submitPipeline(chain)
             delay(2_000)
-            repeat(12) { chain.forEach { if (it.accepted) world.pollEverywhere(it, times = 5) }.also { delay(500) } }
+            repeat(12) { chain.forEach { if (it.accepted) world.users.pollEverywhere(it, times = 5) }.also { delay(500) } }
         }
-        world.dependentsCancelledAtEnd = 0.0
+        world.users.dependentsCancelledAtEnd = 0.0
         world.store.lostAnswers = 0.0
         world.store.repeats = 0.0
     }
@@ -30,17 +30,22 @@
     /** Users submit the jobs of a pipeline, and submit them again, while its first job is cancelled. */
     @ParameterizedTest
     @ValueSource(ints = [204, 205])
-    fun `a job is cancelled while those that need it are submitted, and submitted again`(seed: Int) = playPipelines(seed) { world ->
+    fun `a job is cancelled while those that need it are submitted, and submitted again`(seed: Int) = runPipelineScenario(seed) { world ->
         repeat(10) { number ->
             val chain = chain("req-61%03d".format(number), 5)
-            world.pipeline(chain)
-            world.cancel(chain.first(), world.random.nextLong(1_500))
-            launch { repeat(6) { world.sendUnusualRequests() } }
-            chain.forEach { world.pollEverywhere(it.takeIf(SimJob::accepted) ?: return@forEach, times = 4) }
+            world.users.submitPipeline(chain)
+            world.users.cancel(chain.first(), world.random.nextLong(1_500))
+            launch { repeat(6) { world.users.sendUnusualRequests() } }
+            chain.forEach { world.users.pollEverywhere(it.takeIf(SimJob::accepted) ?: return@forEach, times = 4) }
             delay(3_000)
         }
         delay(40_000)
-        assertTrue(world.jobs.values.all { it.told == "withdrawn" }, "${world.jobs.values.filter { it.told != "withdrawn" }.map { it.id }}")
+        assertTrue(
+            world.jobs.values.all {
+                it.acknowledgedStatus == "withdrawn"
+            },
+            "${world.jobs.values.filter { it.acknowledgedStatus != "withdrawn" }.map { it.id }}",
+        )
     }
 
     /**
@@ -51,7 +56,7 @@
     fun `jobs that wait take no room from their team`() {
         fun begun(waiting: Int): Long {
             var micros = 0L
-            playPipelines(seed = 206) { world ->
+            runPipelineScenario(seed = 206) { world ->
                 val root = SimJob("req-620000", "north", 4, 1.0, false, false, false, true, 40_000_000)
                 val wide = List(waiting) {
                     SimJob(
@@ -61,11 +66,11 @@
                         "north", 24, 1.0, false, false, false, true, 2_000_000, dependencies = listOf(root.id),
                     )
                 }
-                world.pipeline(listOf(root) + wide)
+                world.users.submitPipeline(listOf(root) + wide)
                 delay(12_000)
                 val startsBefore = world.starts
                 val submitted = world.clock.nowMicros()
-                world.user(SimJob("req-629999", "north", 12, 1.0, false, false, false, true, 15_000_000), null)
+                world.users.submit(SimJob("req-629999", "north", 12, 1.0, false, false, false, true, 15_000_000), null)
                 while (world.starts < startsBefore + 12) delay(50)
                 micros = world.clock.nowMicros() - submitted
             }
@@ -80,9 +85,9 @@
     /** As from a service whose limits drop while a new leader reads the store, or between two writes of one change. */
     @ParameterizedTest
     @ValueSource(longs = [0, 30, 200, 900])
-    fun `the store's limits drop while a leader loads`(afterMillis: Long) = playPipelines(seed = 207, size = 4) { world ->
-        repeat(6) { world.pipeline(chain("req-63%03d".format(it), 4)) }
-        world.user(SimJob("req-630900", "south", 60, 0.25, false, false, false, true, 9_000_000), 15_000)
+    fun `the store's limits drop while a leader loads`(afterMillis: Long) = runPipelineScenario(seed = 207, size = 4) { world ->
+        repeat(6) { world.users.submitPipeline(chain("req-63%03d".format(it), 4)) }
+        world.users.submit(SimJob("req-630900", "south", 60, 0.25, false, false, false, true, 9_000_000), 15_000)
         delay(7_000)
         launch { restart(world, leaderOf(world).coerceAtLeast(0), 100) }
         delay(afterMillis)
@@ -100,12 +105,12 @@
      */
     @ParameterizedTest
     @ValueSource(ints = [208, 209, 210])
-    fun `a roll with an outage in the middle and lowered limits at its end`(seed: Int) = playPipelines(seed, { world ->
+    fun `a roll with an outage in the middle and lowered limits at its end`(seed: Int) = runPipelineScenario(seed, { world ->
         world.oldNodes +=
             listOf(0, 1, 2)
     }) { world ->
         repeat(6) { number ->
-            world.user(
+            world.users.submit(
                 SimJob(
                     "req-64%04d".format(number),
                     if (number % 2 ==
@@ -137,7 +142,7 @@
             delay(world.random.nextLong(3_000, 9_000))
             if (turn == 1) world.store.endOutage()
         }
-        repeat(3) { world.pipeline(chain("req-65%03d".format(it), 4)) }
+        repeat(3) { world.users.submitPipeline(chain("req-65%03d".format(it), 4)) }
         delay(10_000)
     }
 
--- a/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
@@ -13,8 +13,8 @@
     @Test
     fun `a chain is handed on within seconds`() {
         val ends = ArrayList<Long>()
-        playPipelines(seed = 91) { world ->
-            world.pipeline(chain("req-50000", 6))
+        runPipelineScenario(seed = 91) { world ->
+            world.users.submitPipeline(chain("req-50000", 6))
             while (world.completed.size < 12) {
                 if (world.completed.size / 2 > ends.size) ends += world.clock.nowMicros()
                 delay(100)
@@ -29,14 +29,14 @@
 
     @ParameterizedTest
     @ValueSource(ints = [92, 93, 94, 95])
-    fun `leaders change and the store is out while dependencies run and are cancelled`(seed: Int) = playPipelines(seed) { world ->
+    fun `leaders change and the store is out while dependencies run and are cancelled`(seed: Int) = runPipelineScenario(seed) { world ->
         repeat(5) { number ->
             val chain = chain("req-51%03d".format(number), 5)
-            world.pipeline(chain, lastOnlyThen = number == 2)
+            world.users.submitPipeline(chain, lastOnlyThen = number == 2)
             if (number % 2 == 1) {
                 launch {
                     delay(2_000 + world.random.nextLong(12_000))
-                    world.cancel(chain[world.random.nextInt(3)], 0)
+                    world.users.cancel(chain[world.random.nextInt(3)], 0)
                 }
             }
             delay(2_000)
@@ -53,19 +53,19 @@
 
     @ParameterizedTest
     @ValueSource(ints = [96, 97])
-    fun `cancellations at the moment when a job ends`(seed: Int) = playPipelines(seed) { world ->
-        world.cancelledAtEnd = 0.5
+    fun `cancellations at the moment when a job ends`(seed: Int) = runPipelineScenario(seed) { world ->
+        world.users.cancelledAtEnd = 0.5
         repeat(8) { number ->
-            world.pipeline(chain("req-52%03d".format(number), 4))
+            world.users.submitPipeline(chain("req-52%03d".format(number), 4))
             delay(2_000)
         }
         delay(20_000)
-        world.cancelledAtEnd = 0.0
+        world.users.cancelledAtEnd = 0.0
     }
 
     /** A wide fan between two jobs, cancelled at its first; no controller is asked to do it, the leader does. */
     @Test
-    fun `a wide fan is cancelled in the background, within the store's limits`() = playPipelines(seed = 98) { world ->
+    fun `a wide fan is cancelled in the background, within the store's limits`() = runPipelineScenario(seed = 98) { world ->
         world.store.txnOps = 5
         world.store.valueBytes = 1_536
         val first = SimJob("req-530000", "north", 2, 1.0, false, false, false, true, 60_000_000)
@@ -74,20 +74,20 @@
                 SimJob("req-5301%02d".format(it), "north", 1, 1.0, false, false, false, true, 1_000_000, dependencies = listOf(first.id))
             }
         val last = SimJob("req-530999", "north", 1, 1.0, false, false, false, true, 1_000_000, dependencies = fan.map { it.id })
-        world.pipeline(listOf(first) + fan + last)
+        world.users.submitPipeline(listOf(first) + fan + last)
         while (!last.accepted) delay(500)
-        world.quiet = true
-        world.cancel(first, 0)
+        world.users.quiet = true
+        world.users.cancel(first, 0)
         delay(15_000)
         assertEquals(emptySet<String>(), world.store.keysUnder("w/"))
         assertEquals(setOf("withdrawn"), (fan + last).map { world.store.valueOf("j/${it.id}")?.text("verdict") }.toSet())
-        world.quiet = false
+        world.users.quiet = false
     }
 
     /** Two versions side by side on each other's records; one that dies before its turn comes back old. */
     @ParameterizedTest
     @ValueSource(ints = [101, 102, 103, 104, 105, 106])
-    fun `a roll from the revision before, with faults, and dependencies once all are new`(seed: Int) = playPipelines(seed, { world ->
+    fun `a roll from the revision before, with faults, and dependencies once all are new`(seed: Int) = runPipelineScenario(seed, { world ->
         world.oldNodes +=
             listOf(0, 1, 2)
     }) { world ->
@@ -104,7 +104,7 @@
                 },
                 if (gang) 2 else 6, if (gang) 4.0 else 1.0, gang, gang, false, true, 12_000_000,
             )
-            world.user(job, if (number == 4) 9_000 else null)
+            world.users.submit(job, if (number == 4) 9_000 else null)
         }
         delay(8_000)
         val trouble = launch {
@@ -122,7 +122,7 @@
             delay(world.random.nextLong(2_000, 9_000))
         }
         trouble.join()
-        repeat(3) { world.pipeline(chain("req-55%03d".format(it), 4)) }
+        repeat(3) { world.users.submitPipeline(chain("req-55%03d".format(it), 4)) }
         delay(5_000)
         world.store.valueBytes = 1_536
         world.store.txnOps = 5
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -70,7 +70,7 @@
         /** An order leaves a controller that stands still only when it goes on, and may then be held up on its way. */
         private suspend fun <T> order(isReturn: Boolean, carryOut: () -> T): T {
             onOrder(node, isReturn)
-            world.awaitThaw(node)
+            world.network.awaitThaw(node)
             if (lateOrders > 0 && world.random.nextDouble() < lateOrders) {
                 world.scope.launch {
                     delay(lateMillis.random(world.random))
--- a/src/test/kotlin/linemast/simulation/SimJob.kt
+++ b/src/test/kotlin/linemast/simulation/SimJob.kt
@@ -1,6 +1,6 @@
 package linemast.simulation
 
-/** A job as the users of the simulation know it, with what they were told of it. */
+/** A job as the users of the simulation know it, with what was acknowledged to them. */
 class SimJob(
     val id: String,
     val team: String,
@@ -27,8 +27,8 @@
     /** When its first task was started. */
     var startedMicros = 0L
     var putOffCount = 0
-    var told: String? = null
-    var toldMicros = Long.MAX_VALUE
+    var acknowledgedStatus: String? = null
+    var acknowledgedMicros = Long.MAX_VALUE
     var cancelledMicros: Long? = null
     var cancelAsked = false
 
--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -119,7 +119,7 @@
                     val done = if (job.gang) 0 until job.taskCount else task.index..task.index
                     done.forEach { world.completed += "${task.job}/$it" }
                     end(task, "done")
-                    world.onTaskDone(job)
+                    world.users.onTaskDone(job)
                 }
             }
         }
@@ -156,7 +156,7 @@
             delay(500)
             return next()
         }
-        if (random.nextDouble() < world.networkLoss) {
+        if (random.nextDouble() < world.network.loss) {
             // Held back by the network: delivered late or never, and nobody waits for the answer.
             if (random.nextBoolean()) {
                 world.scope.launch {
@@ -167,7 +167,7 @@
             delay(4_000)
             return next()
         }
-        if (random.nextDouble() < world.lateCopies) {
+        if (random.nextDouble() < world.network.lateCopies) {
             world.scope.launch {
                 delay(random.nextLong(1_000, 30_000))
                 withTimeoutOrNull(4_000) { world.send(random.nextInt(3), "POST", "/agent/beat", body, zone) }
@@ -178,7 +178,7 @@
             delay(4_000)
             return next()
         }
-        if (reply == null || random.nextDouble() < world.networkLoss) {
+        if (reply == null || random.nextDouble() < world.network.loss) {
             delay(1_000)
             return next()
         }
@@ -228,7 +228,7 @@
                 val task = Task(job, index, attempt)
                 task.readyMicros = world.clock.nowMicros() + random.nextLong(200_000, 2_000_000)
                 task.startRevision = world.store.revision
-                world.checkStart(this, task)
+                world.onStart(this, task)
                 tasks[key] = task
             }
             "halt" -> tasks[key]?.let { if (it.status != "ended") end(it, "halted") }
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -25,11 +25,11 @@
 import kotlin.random.Random
 
 /** A job's part in a [FleetScenario]. */
-internal class PlayJob(val spec: JobSpec, val runMicros: Long)
+internal class ScenarioJob(val spec: JobSpec, val runMicros: Long)
 
 /**
  * A leader's decisions at the size of a whole fleet: workers and users in virtual time around a [Cluster] and a
- * [Autoscaler], without network, store or controllers. All starts are noted, so that two plays can be compared.
+ * [Autoscaler], without network, store or controllers. All starts are noted, so that two runs can be compared.
  */
 internal class FleetScenario(
     private val settings: Settings,
@@ -41,7 +41,7 @@
     private val random = Random(seed)
     private var number = 0L
     private val queue = PriorityQueue<Event>()
-    private val workers = LinkedHashMap<String, PlayWorker>()
+    private val workers = LinkedHashMap<String, ScenarioWorker>()
     var now = 1_000_000L
         private set
     val starts = ArrayList<String>()
@@ -51,8 +51,8 @@
     val spent = sortedMapOf<String, Long>()
     val longest = sortedMapOf<String, Long>()
     val doneJobs = HashMap<String, Long>()
-    private val running = HashMap<TaskId, PlayWorker>()
-    private val jobs = HashMap<String, PlayJob>()
+    private val running = HashMap<TaskId, ScenarioWorker>()
+    private val jobs = HashMap<String, ScenarioJob>()
 
     private val effects = object : ClusterEffects {
         override fun storeOpened(job: Job) {
@@ -126,7 +126,7 @@
         queue.add(Event(now + afterMicros, number++, action))
     }
 
-    fun playUntil(micros: Long) {
+    fun runUntil(micros: Long) {
         while (queue.isNotEmpty() && queue.peek().atMicros <= micros) {
             val event = queue.poll()
             now = event.atMicros
@@ -136,7 +136,7 @@
     }
 
     fun submit(spec: JobSpec, runMicros: Long) {
-        jobs[spec.id] = PlayJob(spec, runMicros)
+        jobs[spec.id] = ScenarioJob(spec, runMicros)
         cluster.putJob(JobRecord(spec, now, opened = false, cancelled = false), 1)
     }
 
@@ -195,7 +195,7 @@
     }
 
     private fun addWorker(type: MachineType, zone: String, spot: Boolean, bootMicros: Long = random.nextLong(1_000_000)): String {
-        val worker = PlayWorker("host-%06d".format(workers.size + removed + 1), type, zone, spot)
+        val worker = ScenarioWorker("host-%06d".format(workers.size + removed + 1), type, zone, spot)
         workers[worker.name] = worker
         at(bootMicros, worker::heartbeat)
         return worker.name
@@ -212,7 +212,7 @@
 
     fun killRandom(count: Int) = workers.keys.shuffled(random).take(count).forEach(::removeWorker)
 
-    private inner class PlayTask(val worker: PlayWorker, val task: TaskId, val attempt: Long) {
+    private inner class ScenarioTask(val worker: ScenarioWorker, val task: TaskId, val attempt: Long) {
         var status = TaskState.FETCHING
         var cause: EndCause? = null
 
@@ -240,21 +240,21 @@
             }
         }
 
-        private fun run(job: PlayJob) {
+        private fun run(job: ScenarioJob) {
             status = TaskState.RUNNING
             worker.changed()
             at(job.runMicros) { if (status == TaskState.RUNNING) end(EndCause.DONE) }
         }
     }
 
-    private inner class PlayWorker(val name: String, val type: MachineType, val zone: String, val spot: Boolean) {
+    private inner class ScenarioWorker(val name: String, val type: MachineType, val zone: String, val spot: Boolean) {
         val bornMicros = now
         var gone = false
         var sequenceNumber = 0L
         var fencingToken = 0L
         var sentMicros = 0L
         var due = 0L
-        val tasks = LinkedHashMap<Pair<TaskId, Long>, PlayTask>()
+        val tasks = LinkedHashMap<Pair<TaskId, Long>, ScenarioTask>()
         val images = HashSet<String>()
 
         fun changed() = reportAt(maxOf(now, sentMicros + 500_000))
@@ -288,7 +288,7 @@
                     val other = running[order.task]
                     if (other != null) broken += "ran_twice: ${order.task}"
                     starts += "$now ${order.task} $name"
-                    val task = PlayTask(this, order.task, order.attempt)
+                    val task = ScenarioTask(this, order.task, order.attempt)
                     tasks[key] = task
                     running[order.task] = this
                     val image = jobs.getValue(order.task.job).spec.image
--- a/src/test/kotlin/linemast/size/FleetScenarioSettings.kt
+++ b/src/test/kotlin/linemast/size/FleetScenarioSettings.kt
@@ -4,7 +4,7 @@
 import linemast.settings.SettingsReader
 
 /** The settings of a [FleetScenario]: [teams] with [cpus] guaranteed to each, and [maxVcpus] at most. */
-internal fun fleetPlaySettings(teams: List<String>, cpus: Int, maxVcpus: Int): Settings = SettingsReader.parse(
+internal fun fleetScenarioSettings(teams: List<String>, cpus: Int, maxVcpus: Int): Settings = SettingsReader.parse(
     """
     node_name = "mast-0"
     domain = "a"
--- a/src/test/kotlin/linemast/size/FleetSizeTest.kt
+++ b/src/test/kotlin/linemast/size/FleetSizeTest.kt
@@ -17,9 +17,10 @@
         val large = MachineType("large", 32.0, 0.0, 64.0, 40.0, 0.8, 1.3, 0.33, 30_000_000, zones)
         val baselineMachines = List(370) { small to zones[it % 4] } + List(120) { large to zones[it % 4] }
         val teams = listOf("t1", "t2", "t3", "t4", "t5")
-        val play = FleetScenario(fleetPlaySettings(teams, cpus = 1_500, maxVcpus = 4_000), listOf(small, large), baselineMachines, seed)
+        val scenario =
+            FleetScenario(fleetScenarioSettings(teams, cpus = 1_500, maxVcpus = 4_000), listOf(small, large), baselineMachines, seed)
         var id = 0
-        fun gang() = play.submit(
+        fun gang() = scenario.submit(
             FleetScenario.spec(
                 "req-%06d".format(
                     id++,
@@ -28,33 +29,33 @@
             ),
             (80e6 * Math.exp(random.nextDouble(-0.7, 0.9))).toLong(),
         )
-        fun sweep() = play.submit(
+        fun sweep() = scenario.submit(
             FleetScenario.spec(
                 "req-%06d".format(id++), "sweeps", teams[random.nextInt(5)], false, (300 * Math.exp(random.nextDouble(-1.0, 1.2))).toInt(),
                 random.nextDouble(0.7, 1.3), 1.0, "s${random.nextInt(8)}", 40.0, 100.0,
             ),
             (40e6 * Math.exp(random.nextDouble(-0.7, 0.7))).toLong(),
         )
-        play.playUntil(5_000_000)
+        scenario.runUntil(5_000_000)
         repeat(40) { gang() }
         repeat(15) { sweep() }
         for (second in 5 until SECONDS) {
-            play.playUntil(second * 1_000_000L)
+            scenario.runUntil(second * 1_000_000L)
             if (random.nextDouble() < 0.9) gang()
             if (random.nextDouble() < 0.25) sweep()
-            if (second == 90) play.killRandom(60)
+            if (second == 90) scenario.killRandom(60)
         }
         println(
-            "seed $seed: ${play.starts.size} starts, ${play.lost} lost, ${play.doneJobs.size} of $id jobs done, " +
-                "hash ${play.starts.hashCode()}",
+            "seed $seed: ${scenario.starts.size} starts, ${scenario.lost} lost, ${scenario.doneJobs.size} of $id jobs done, " +
+                "hash ${scenario.starts.hashCode()}",
         )
         println(
-            "decisions took, in ms: ${play.spent.mapValues {
+            "decisions took, in ms: ${scenario.spent.mapValues {
                 it.value / 1_000_000
-            }}, the longest ${play.longest.mapValues { it.value / 1_000_000 }}",
+            }}, the longest ${scenario.longest.mapValues { it.value / 1_000_000 }}",
         )
-        assertEquals(emptyList<String>(), play.broken)
-        assertTrue(play.doneJobs.size > id / 2, "no more than ${play.doneJobs.size} of $id jobs are done")
+        assertEquals(emptyList<String>(), scenario.broken)
+        assertTrue(scenario.doneJobs.size > id / 2, "no more than ${scenario.doneJobs.size} of $id jobs are done")
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/size/LargeFleetTest.kt
+++ b/src/test/kotlin/linemast/size/LargeFleetTest.kt
@@ -9,46 +9,49 @@
 /** The leader's decisions for thousands of machines; printed figures are for comparison, counts are asserted. */
 class LargeFleetTest {
     @Test
-    fun `4,000 machines, a tenth of which die, a take-over, and a job of 100,000 tasks to its end`() = play(machines = 4_000)
+    fun `4,000 machines, a tenth of which die, a failover, and a job of 100,000 tasks to its end`() = runScenario(machines = 4_000)
 
-    private fun play(machines: Int) {
+    private fun runScenario(machines: Int) {
         val seed = 31
         val random = Random(seed)
         val baselineMachines = List(machines * 3 / 4) { SMALL to ZONES[it % ZONES.size] }
-        val settings = fleetPlaySettings(TEAMS, cpus = machines * 2, maxVcpus = machines * 8)
-        val play = FleetScenario(settings, listOf(SMALL, LARGE), baselineMachines, seed, maxMachines = machines)
+        val settings = fleetScenarioSettings(TEAMS, cpus = machines * 2, maxVcpus = machines * 8)
+        val scenario = FleetScenario(settings, listOf(SMALL, LARGE), baselineMachines, seed, maxMachines = machines)
         var submitted = 0
         fun id() = "req-%06d".format(submitted++)
         val largest = FleetScenario.spec(id(), "sweeps", "t1", false, 100_000, 1.0, 0.5, "s0", 2.0, 100.0)
-        play.playUntil(5_000_000)
-        play.submit(largest, 2_000_000)
+        scenario.runUntil(5_000_000)
+        scenario.submit(largest, 2_000_000)
         for (second in 5 until SECONDS) {
-            play.playUntil(second * 1_000_000L)
+            scenario.runUntil(second * 1_000_000L)
             if (second % 3 == 0) {
                 val tasks = random.nextInt(1, 12)
                 val team = TEAMS.random(random)
-                play.submit(FleetScenario.spec(id(), "gangs", team, true, tasks, 6.0, 8.0, "g${random.nextInt(5)}", 20.0, null), 20_000_000)
+                scenario.submit(
+                    FleetScenario.spec(id(), "gangs", team, true, tasks, 6.0, 8.0, "g${random.nextInt(5)}", 20.0, null),
+                    20_000_000,
+                )
             }
             if (second < LAST_ARRAYS && second % 2 == 0) {
                 val tasks = random.nextInt(100, 800)
                 val team = TEAMS.random(random)
-                play.submit(
+                scenario.submit(
                     FleetScenario.spec(id(), "sweeps", team, false, tasks, 2.0, 2.0, "s${random.nextInt(8)}", 20.0, 90.0),
                     20_000_000,
                 )
             }
-            if (second == DEATHS) play.killRandom(machines / 10)
-            if (second == TAKE_OVER) play.takeOver()
+            if (second == DEATHS) scenario.killRandom(machines / 10)
+            if (second == TAKE_OVER) scenario.takeOver()
         }
-        println("seed $seed: ${play.starts.size} starts, ${play.lost} lost, ${play.doneJobs.size} of $submitted jobs done")
+        println("seed $seed: ${scenario.starts.size} starts, ${scenario.lost} lost, ${scenario.doneJobs.size} of $submitted jobs done")
         println(
-            "decisions took, in ms: ${play.spent.mapValues {
+            "decisions took, in ms: ${scenario.spent.mapValues {
                 it.value / 1_000_000
-            }}, ${play.longest.mapValues { it.value / 1_000_000 }}",
+            }}, ${scenario.longest.mapValues { it.value / 1_000_000 }}",
         )
-        assertEquals(emptyList<String>(), play.broken)
-        assertTrue(largest.id in play.doneJobs, "the job of 100,000 tasks is not done")
-        assertTrue(play.doneJobs.size > submitted * 3 / 4, "no more than ${play.doneJobs.size} of $submitted jobs are done")
+        assertEquals(emptyList<String>(), scenario.broken)
+        assertTrue(largest.id in scenario.doneJobs, "the job of 100,000 tasks is not done")
+        assertTrue(scenario.doneJobs.size > submitted * 3 / 4, "no more than ${scenario.doneJobs.size} of $submitted jobs are done")
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
@@ -8,6 +8,7 @@
 import linemast.settings.RecoverySettings
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
+import linemast.simulation.Violation
 import linemast.simulation.simulate
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -35,7 +36,7 @@
         repeat(DONE_OF_ARRAY) { world.completed += "${array.id}/$it" }
         repeat(done.taskCount) { world.completed += "${done.id}/$it" }
         repeat(3) { world.startNode(it) }
-        listOf(array, gang, dependent, cancelled, done).forEach { world.user(it, null) }
+        listOf(array, gang, dependent, cancelled, done).forEach { world.users.submit(it, null) }
         delay(200_000)
     }
 
@@ -49,10 +50,10 @@
     @Test
     fun `jobs that the previous version has accepted are brought to their end, and completed tasks are not started again`() {
         val world = takeOver()
-        assertEquals(emptyList<String>(), world.broken)
+        assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(
             listOf("done", "done", "done", "withdrawn", "done"),
-            listOf(array, gang, dependent, cancelled, done).map { it.told },
+            listOf(array, gang, dependent, cancelled, done).map { it.acknowledgedStatus },
         )
         assertEquals(array.taskCount - DONE_OF_ARRAY + gang.taskCount + dependent.taskCount, world.starts)
         assertEquals(emptySet<String>(), world.store.keysUnder("o/") + world.store.keysUnder("w/"))
