--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -18,6 +18,7 @@
 import linemast.control.LeaderEnvironment
 import linemast.domain.MachineType
 import linemast.jobs.JobService
+import linemast.jobs.JobServiceSettings
 import linemast.leadership.Election
 import linemast.leadership.LeaderKeys
 import linemast.leadership.LeaderLease
@@ -71,15 +72,17 @@
     private val flows = FlowClassifier(settings.objectives)
     private val admissionGate = features.admission?.let { AdmissionController(flows, clock) }
     private val jobService = JobService(
+        settings = JobServiceSettings(
+            teams = settings.teams.associateBy { it.name },
+            maxValueBytes = settings.storeLimits.maxValueBytes,
+            cancellationMicros = settings.workers.cancelMicros,
+        ),
         store = store,
         scope = scope,
-        teams = settings.teams.associateBy { it.name },
-        types = { types },
-        progress = { id -> leader?.progressOf(id) ?: peers.progressOf(id) },
-        wallMicros = wallMicros,
-        maxValueBytes = settings.storeLimits.maxValueBytes,
         clock = clock,
-        cancelMicros = settings.workers.cancelMicros,
+        wallMicros = wallMicros,
+        machineTypes = { types },
+        progress = { id -> leader?.progressOf(id) ?: peers.progressOf(id) },
         admission = admissionGate,
     )
 
--- a/src/main/kotlin/linemast/control/BlockedJobStore.kt
+++ b/src/main/kotlin/linemast/control/BlockedJobStore.kt
@@ -9,6 +9,7 @@
 import linemast.domain.OutcomeRecord
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
+import linemast.jobs.OutcomeRecordCodec
 import linemast.scheduling.Cluster
 import linemast.store.Precondition
 import linemast.store.RequestPriority
@@ -55,7 +56,7 @@
 
     private fun cancellationOf(job: BlockedJob): List<Write> {
         val outcome = OutcomeRecord(JobOutcome.CANCELLED, job.record.spec.taskCount)
-        return listOf(Write.Put(JobKeys.outcome(job.id), JobRecordCodec.encode(outcome)), Write.Delete(JobKeys.waiting(job.id)))
+        return listOf(Write.Put(JobKeys.outcome(job.id), OutcomeRecordCodec.encode(outcome)), Write.Delete(JobKeys.waiting(job.id)))
     }
 
     private suspend fun settle(jobs: List<BlockedJob>, result: TermCommitResult?, onApplied: (Long) -> Unit) = when (result) {
--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.coroutines.launch
 import linemast.domain.Job
-import linemast.jobs.CompletedTasks
+import linemast.jobs.CompletedTaskParts
+import linemast.jobs.CompletedTasksCodec
 import linemast.jobs.JobKeys
-import linemast.serialization.Fields
 import linemast.store.Entry
 import linemast.store.Precondition
 import linemast.store.RequestPriority
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory
 import java.util.BitSet
 
-/** The stored sets of completed tasks, in parts of [CompletedTasks.PART_TASKS] tasks. */
+/** The stored sets of completed tasks, in parts of [CompletedTaskParts.TASKS_PER_PART] tasks. */
 internal class CompletedTaskStore(private val term: LeaderTerm) {
     private val log = LoggerFactory.getLogger(CompletedTaskStore::class.java)
 
@@ -23,7 +23,7 @@
         val revisions = parts.map { Precondition(JobKeys.donePart(job.id, it.part), job.partRevisions[it.part] ?: 0L) }
         return term.commit(
             listOf(Precondition(JobKeys.open(job.id), job.revision)) + revisions,
-            parts.map { Write.Put(JobKeys.donePart(job.id, it.part), CompletedTaskPartCodec.encode(it)) },
+            parts.map { Write.Put(JobKeys.donePart(job.id, it.part), it.encoded) },
             RequestPriority.BACKGROUND,
         )
     }
@@ -34,7 +34,7 @@
     /** Marks the tasks of a stored part as done. */
     fun apply(job: Job, entry: Entry, part: Int) {
         val tasks = BitSet()
-        CompletedTasks.decodePart(CompletedTaskPartCodec.decode(entry.value), part, tasks)
+        CompletedTasksCodec.decode(entry.value, part, tasks)
         job.partRevisions[part] = entry.revision
         tasks.stream().forEach { job.markDone(it) }
     }
@@ -50,27 +50,16 @@
     }
 }
 
-/** One part of a job's completed tasks as it was at some moment, in its stored text form. */
-internal class CompletedTaskPart(val part: Int, val bits: String) {
+/** One part of a job's completed tasks as it was at some moment, in its stored form. */
+internal class CompletedTaskPart(val part: Int, val encoded: Map<String, Any?>) {
     /** Whether the part of [job] still is what it was. */
-    fun isCurrent(job: Job): Boolean = CompletedTasks.encodePart(job.done, part) == bits
+    fun isCurrent(job: Job): Boolean = CompletedTasksCodec.encode(job.done, part) == encoded
 
     companion object {
         /** The parts of [job] that changed since they were last stored, at most [maxParts]. */
         fun changed(job: Job, maxParts: Int): List<CompletedTaskPart> {
             val parts = job.dirtyParts.stream().limit(maxParts.toLong()).toArray()
-            return parts.map { CompletedTaskPart(it, CompletedTasks.encodePart(job.done, it)) }
+            return parts.map { CompletedTaskPart(it, CompletedTasksCodec.encode(job.done, it)) }
         }
     }
 }
-
-/** The stored form of one part; see docs/glossary.md for the names. */
-internal object CompletedTaskPartCodec {
-    private const val BITS = "bits"
-
-    /** The stored form. */
-    fun encode(part: CompletedTaskPart): Map<String, Any?> = mapOf(BITS to part.bits)
-
-    /** Reads the text form of the part. */
-    fun decode(fields: Fields): String = fields.text(BITS)
-}
--- a/src/main/kotlin/linemast/control/DependencyCoordinator.kt
+++ b/src/main/kotlin/linemast/control/DependencyCoordinator.kt
@@ -5,6 +5,7 @@
 import linemast.domain.JobOutcome
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
+import linemast.jobs.OutcomeRecordCodec
 import linemast.scheduling.Cluster
 import linemast.serialization.MalformedException
 import linemast.store.Entry
@@ -24,7 +25,7 @@
     private val forecast = DependencyForecast(term, cluster, graph)
 
     /** Adds the blocked jobs that the store holds. */
-    fun load(entries: List<Entry>) = entries.forEach { graph.put(JobRecordCodec.decodeJob(it.value), it.revision) }
+    fun load(entries: List<Entry>) = entries.forEach { graph.put(JobRecordCodec.decode(it.value), it.revision) }
 
     /** Replaces the blocked jobs by those that the store holds, after changes were missed. */
     fun reload(entries: List<Entry>) {
@@ -36,7 +37,7 @@
     fun changed(change: KeyChange) {
         val value = change.value ?: return graph.remove(change.key.removePrefix(JobKeys.WAITING_PREFIX))
         try {
-            graph.put(JobRecordCodec.decodeJob(value), change.revision)
+            graph.put(JobRecordCodec.decode(value), change.revision)
         } catch (e: MalformedException) {
             log.error("{}: malformed record: {}", change.key, e.message)
         }
@@ -62,7 +63,7 @@
     private fun readOutcome(id: String) {
         term.scope.launch {
             val entry = storeResultOrNull(log) { term.store.get(JobKeys.outcome(id)) } ?: return@launch
-            val outcome = storeResultOrNull(log) { JobRecordCodec.decodeOutcome(entry.value).outcome } ?: return@launch
+            val outcome = storeResultOrNull(log) { OutcomeRecordCodec.decode(entry.value).outcome } ?: return@launch
             term.loop.run { jobEnded(id, outcome) }
         }
     }
--- a/src/main/kotlin/linemast/control/JobActivationStore.kt
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -40,7 +40,7 @@
 
     private suspend fun commitActivation(job: Job): TermCommitResult {
         val entry = term.store.get(JobKeys.open(job.id), RequestPriority.HIGH) ?: return TermCommitResult.NoResult
-        val record = JobRecordCodec.decodeJob(entry.value)
+        val record = JobRecordCodec.decode(entry.value)
         if (record.cancelled) return TermCommitResult.NoResult
         val activated = record.with(opened = true).within(cluster.types.values)
         return term.commit(
--- a/src/main/kotlin/linemast/control/JobOutcomeStore.kt
+++ b/src/main/kotlin/linemast/control/JobOutcomeStore.kt
@@ -4,7 +4,7 @@
 import linemast.domain.JobOutcome
 import linemast.domain.OutcomeRecord
 import linemast.jobs.JobKeys
-import linemast.jobs.JobRecordCodec
+import linemast.jobs.OutcomeRecordCodec
 import linemast.store.Precondition
 import linemast.store.RequestPriority
 import linemast.store.Write
@@ -20,9 +20,9 @@
     /** Commits that all tasks of [job] are done; a conflict if the store has another outcome already. */
     suspend fun commitDone(job: Job): TermCommitResult {
         val entry = term.store.get(JobKeys.outcome(job.id), RequestPriority.HIGH) ?: return TermCommitResult.Conflict(emptyList())
-        if (JobRecordCodec.decodeOutcome(entry.value).outcome.isTerminal) return TermCommitResult.Conflict(emptyList())
+        if (OutcomeRecordCodec.decode(entry.value).outcome.isTerminal) return TermCommitResult.Conflict(emptyList())
         val outcome = OutcomeRecord(JobOutcome.DONE, job.spec.taskCount)
-        val write = Write.Put(entry.key, JobRecordCodec.encode(outcome))
+        val write = Write.Put(entry.key, OutcomeRecordCodec.encode(outcome))
         return commitEnd(job, listOf(write), Precondition(entry.key, entry.revision))
     }
 
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -66,7 +66,7 @@
         components.jobWatcher.start(revisions)
         scope.launch { tickRegularly() }
         components.admission?.let { scope.launch { it.run() } }
-        components.recoveryStore?.let { scope.launch { it.run(scope) } }
+        components.reconciliationMonitor?.let { scope.launch { it.run(scope) } }
         scope.launch { components.machineListWatcher.run() }
         events.process()
     }
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -11,8 +11,8 @@
 import linemast.leadership.LeaderLease
 import linemast.planning.Planner
 import linemast.planning.RunTimeEstimates
-import linemast.recovery.Recovery
-import linemast.recovery.RecoveryStore
+import linemast.recovery.ReconciliationMonitor
+import linemast.recovery.StateReconciliation
 import linemast.scheduling.Cluster
 
 /** Creates the collaborators of one leader term and connects them. */
@@ -23,7 +23,7 @@
     private val times = RunTimeEstimates()
     private val planner = Planner(settings, configuration.policy, times)
     private val flows = FlowClassifier(settings.objectives)
-    private val recovery = features.recovery?.let(::Recovery)
+    private val recovery = features.recovery?.let(::StateReconciliation)
     private val effects = StoreEffects()
 
     /** Up to when this term knows every cancellation. */
@@ -45,8 +45,8 @@
     )
 
     /** Reads and writes of the reconciliation after an outage; null if it is not enabled. */
-    val recoveryStore = recovery?.let {
-        RecoveryStore(term.store, term.lease, term.clock, term.wallMicros, it, cluster::isReconciled, term.loop::run)
+    val reconciliationMonitor = recovery?.let {
+        ReconciliationMonitor(term.store, term.lease, term.clock, term.wallMicros, it, cluster::isReconciled, term.loop::run)
     }
     val jobStatistics = JobStatistics(term.loop, cluster, flows)
 
--- a/src/main/kotlin/linemast/control/OpenJobUpdates.kt
+++ b/src/main/kotlin/linemast/control/OpenJobUpdates.kt
@@ -17,7 +17,7 @@
     fun apply(change: KeyChange) {
         val value = change.value ?: return cluster.dropJob(change.key.removePrefix(JobKeys.OPEN_PREFIX))
         try {
-            val record = JobRecordCodec.decodeJob(value)
+            val record = JobRecordCodec.decode(value)
             cluster.putJob(record, change.revision)
             if (record.cancelled) outcomeListener.jobEnded(record.spec.id, JobOutcome.CANCELLED)
         } catch (e: MalformedException) {
@@ -26,5 +26,5 @@
     }
 
     /** Applies all records, after changes were missed. */
-    fun applyAll(page: EntryPage) = page.entries.forEach { cluster.putJob(JobRecordCodec.decodeJob(it.value), it.revision) }
+    fun applyAll(page: EntryPage) = page.entries.forEach { cluster.putJob(JobRecordCodec.decode(it.value), it.revision) }
 }
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -39,7 +39,7 @@
         val blocked = term.store.listAll(JobKeys.WAITING_PREFIX)
         val completed = term.store.listAll(JobKeys.DONE_PREFIX)
         val machines = machineRegistryStore.load()
-        val records = open.entries.map { JobRecordCodec.decodeJob(it.value) to it.revision }
+        val records = open.entries.map { JobRecordCodec.decode(it.value) to it.revision }
         cluster.load(records, machines, term.clock.nowMicros())
         applyCompletedTasks(completed.entries)
         dependencyCoordinator.load(blocked.entries)
--- /dev/null
+++ b/src/main/kotlin/linemast/jobs/CancellationHandler.kt
@@ -0,0 +1,66 @@
+package linemast.jobs
+
+import linemast.domain.JobOutcome
+import linemast.domain.JobSpec
+import linemast.domain.MachineType
+import linemast.domain.OutcomeRecord
+import linemast.store.CommitResult
+import linemast.store.Entry
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
+import linemast.store.Write
+
+/** Cancels jobs by compare-and-swap on their stored outcome; the leader stops their tasks when it sees the change. */
+internal class CancellationHandler(
+    private val store: KeyValueStore,
+    private val outcomes: OutcomeReader,
+    private val statusReporter: JobStatusReporter,
+    private val machineTypes: () -> List<MachineType>?,
+) {
+    /**
+     * Cancels the job with [id] unless its outcome is terminal already, and reports its status. A repeated cancellation
+     * changes nothing. Throws [linemast.store.StoreException] if the store gives no result.
+     */
+    suspend fun cancel(id: String): JobResponse {
+        if (!JobSpec.isId(id)) return JobResponse.NotFound
+        repeat(MAX_ATTEMPTS) {
+            outcomes.terminal(id)?.let { return statusReporter.status(id, it) }
+            val stored = readingStoredRecord { store.readOutcome(id, RequestPriority.HIGH) } ?: return JobResponse.NotFound
+            if (stored.record.outcome.isTerminal) return statusReporter.status(id, outcomes.remember(id, stored.record))
+            val openJob = readOpenJob(id, isDependent = stored.record.dependencies.isNotEmpty()) ?: return@repeat
+            val cancelled = OutcomeRecord(JobOutcome.CANCELLED, stored.record.taskCount)
+            val result = commit(id, stored, openJob, cancelled)
+            if (result is CommitResult.Applied) return statusReporter.status(id, outcomes.remember(id, cancelled))
+        }
+        return JobResponse.Unavailable
+    }
+
+    /** The job's entry: the leader releases a waiting job by one transaction that moves it from one key to the other. */
+    private suspend fun readOpenJob(id: String, isDependent: Boolean): Entry? {
+        val waiting = if (isDependent) store.get(JobKeys.waiting(id), RequestPriority.HIGH) else null
+        return waiting ?: store.get(JobKeys.open(id), RequestPriority.HIGH)
+    }
+
+    private suspend fun commit(id: String, stored: StoredOutcome, openJob: Entry, cancelled: OutcomeRecord): CommitResult {
+        val outcomeKey = JobKeys.outcome(id)
+        val isWaiting = openJob.key == JobKeys.waiting(id)
+        val jobWrite = if (isWaiting) Write.Delete(openJob.key) else Write.Put(openJob.key, cancelledRecord(openJob))
+        return store.commit(
+            listOf(Precondition(outcomeKey, stored.revision), Precondition(openJob.key, openJob.revision)),
+            listOf(Write.Put(outcomeKey, OutcomeRecordCodec.encode(cancelled)), jobWrite),
+            RequestPriority.HIGH,
+        )
+    }
+
+    /** The record of an open job marked as cancelled, by which the leader learns of the cancellation. */
+    private fun cancelledRecord(openJob: Entry): Map<String, Any?> {
+        val record = readingStoredRecord { JobRecordCodec.decode(openJob.value) }.with(cancelled = true)
+        val types = machineTypes() ?: return JobRecordCodec.encode(record)
+        return JobRecordCodec.encode(record.within(types))
+    }
+
+    private companion object {
+        const val MAX_ATTEMPTS = 4
+    }
+}
--- a/src/main/kotlin/linemast/jobs/JobCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
@@ -5,34 +5,36 @@
 import linemast.domain.JobSpec
 import linemast.serialization.Fields
 
-/** The form of a job that users send, which is also the stored one; see docs/glossary.md for the names. */
-object JobCodec {
+/** The form of a job in submissions, which is also the stored one; see docs/glossary.md for the names. */
+object JobSpecCodec {
     private const val MAX_TASKS = 100_000L
     private const val MAX_TEXT = 200
 
-    /** With the usual ids this many, and the rest of a job, fit the smallest value. */
+    /** With ids of the usual length this many, and the rest of a job, fit the smallest limit of a stored value. */
     private const val MAX_DEPENDENCIES = 64
-    private const val FOR_EVER_MICROS = 30L * 24 * 3_600 * 1_000_000
+
+    /** Estimated run time of a service that gives none. */
+    private const val UNLIMITED_RUN_MICROS = 30L * 24 * 3_600 * 1_000_000
     private const val MAX_AMOUNT = 1e6
     private const val MAX_SECONDS = 1e8
 
     /** The wire names of the values of an enumeration. */
-    private class Names<T>(vararg names: Pair<String, T>) {
+    private class WireNames<T>(vararg names: Pair<String, T>) {
         val byWire = mapOf(*names)
         private val byValue = names.associate { (wire, value) -> value to wire }
 
         fun wireOf(value: T): String = byValue.getValue(value)
     }
 
-    private val kinds = Names("sweep" to JobKind.ARRAY, "gang" to JobKind.GANG, "standing" to JobKind.SERVICE)
-    private val priorities = Names(
+    private val kinds = WireNames("sweep" to JobKind.ARRAY, "gang" to JobKind.GANG, "standing" to JobKind.SERVICE)
+    private val priorities = WireNames(
         "critical" to JobPriority.CRITICAL,
         "high" to JobPriority.HIGH,
         "normal" to JobPriority.NORMAL,
         "idle" to JobPriority.IDLE,
     )
 
-    /** The form of [job]. */
+    /** The form of [job] on the wire and in the store. */
     fun encode(job: JobSpec): Map<String, Any?> = buildMap {
         put("name_id", job.id)
         put("lane", job.jobClass)
@@ -57,7 +59,10 @@
         if (job.dependencies.isNotEmpty()) put("awaits", job.dependencies)
     }
 
-    /** Reads and checks a submission or its stored form. */
+    /**
+     * Reads and checks a submission or its stored form. Throws [linemast.serialization.MalformedException] if a field is
+     * missing or out of range.
+     */
     fun decode(fields: Fields): JobSpec {
         val id = fields.text("name_id")
         if (!JobSpec.isId(id)) fields.fail("name_id", "is not a job id")
@@ -86,7 +91,13 @@
             sameZone = fields.flag("same_place"),
             spread = fields.flag("apart"),
             spot = fields.flag("loaners"),
-            estimatedRunMicros = if (kind == JobKind.SERVICE && !fields.has("guess_s")) FOR_EVER_MICROS else duration(fields, "guess_s"),
+            estimatedRunMicros = if (kind == JobKind.SERVICE &&
+                !fields.has("guess_s")
+            ) {
+                UNLIMITED_RUN_MICROS
+            } else {
+                duration(fields, "guess_s")
+            },
             checkpointIntervalMicros = duration(fields, "mark_every_s"),
             checkpointMicros = duration(fields, "mark_s"),
             deadlineMicros = if (fields.has("due_s")) duration(fields, "due_s") else null,
--- /dev/null
+++ b/src/main/kotlin/linemast/jobs/JobStatusReporter.kt
@@ -0,0 +1,22 @@
+package linemast.jobs
+
+import linemast.domain.JobOutcome
+import linemast.domain.JobProgress
+import linemast.domain.OutcomeRecord
+
+/** Derives the status that users see from a job's stored outcome and the leader's progress counts. */
+internal class JobStatusReporter(private val progress: ProgressSource) {
+    /** The status of the job with [id], whose outcome is [record]. */
+    fun status(id: String, record: OutcomeRecord): JobResponse.Status {
+        val published = progress.progressOf(id)
+        val isRunning = published != null && published.running > 0
+        val state = when (record.outcome) {
+            JobOutcome.DONE -> JobState.DONE
+            JobOutcome.CANCELLED -> JobState.CANCELLED
+            JobOutcome.OPEN -> if (isRunning) JobState.RUNNING else JobState.PENDING
+        }
+        val done = if (record.outcome == JobOutcome.DONE) record.taskCount else published?.done ?: 0
+        val running = if (record.outcome == JobOutcome.OPEN) published?.running ?: 0 else 0
+        return JobResponse.Status(id, state, JobProgress(done, running))
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/jobs/JobWriter.kt
@@ -0,0 +1,66 @@
+package linemast.jobs
+
+import linemast.domain.JobOutcome
+import linemast.domain.JobRecord
+import linemast.domain.JobSpec
+import linemast.domain.OutcomeRecord
+import linemast.serialization.JsonSize
+import linemast.serialization.MalformedException
+import linemast.store.CommitResult
+import linemast.store.KeyValueStore
+import linemast.store.Precondition
+import linemast.store.RequestPriority
+import linemast.store.Write
+import linemast.time.Clock
+
+/** What became of the attempt to store a new job. */
+internal enum class JobWriteResult {
+    /** The job is stored. */
+    WRITTEN,
+
+    /** A job with this id was stored before. */
+    EXISTS,
+
+    /** The transaction was not carried out. */
+    FAILED,
+}
+
+/** Stores new jobs. */
+internal class JobWriter(
+    private val store: KeyValueStore,
+    private val outcomes: OutcomeReader,
+    private val clock: Clock,
+    private val wallMicros: () -> Long,
+    private val maxValueBytes: Int,
+) {
+    /**
+     * Stores [spec] with its [outcome] unless its id is taken. Throws [MalformedException] if the job is too large for a
+     * stored value.
+     */
+    suspend fun write(spec: JobSpec, outcome: JobOutcome): JobWriteResult {
+        val record = JobRecordCodec.encode(JobRecord(spec, wallMicros(), opened = false, cancelled = false))
+        if (JsonSize.of(record) > maxValueBytes) throw MalformedException("the job is too large to be stored")
+        val outcomeRecord = OutcomeRecord(outcome, spec.taskCount, spec.dependencies)
+        val writes = ArrayList<Write>()
+        writes += Write.Put(JobKeys.outcome(spec.id), OutcomeRecordCodec.encode(outcomeRecord))
+        // A job that depends on a cancelled one is never open.
+        if (!outcome.isTerminal) writes += Write.Put(keyOf(spec), record)
+        val sentMicros = clock.nowMicros()
+        val result = store.commit(listOf(Precondition(JobKeys.outcome(spec.id), NO_REVISION)), writes, RequestPriority.HIGH)
+        return when (result) {
+            is CommitResult.Applied -> {
+                outcomes.remember(spec.id, outcomeRecord, sentMicros)
+                JobWriteResult.WRITTEN
+            }
+            is CommitResult.Conflict -> JobWriteResult.EXISTS
+            is CommitResult.NoSuchLease -> JobWriteResult.FAILED
+        }
+    }
+
+    private fun keyOf(spec: JobSpec): String = if (spec.dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.waiting(spec.id)
+
+    private companion object {
+        /** The revision of a key that does not exist. */
+        const val NO_REVISION = 0L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/jobs/OpenJobListing.kt
@@ -0,0 +1,44 @@
+package linemast.jobs
+
+import kotlinx.coroutines.CompletableDeferred
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.launch
+import linemast.domain.JobOutcome
+import linemast.domain.OutcomeRecord
+import linemast.store.KeyValueStore
+import linemast.store.listAll
+import linemast.time.Clock
+
+/** Caches the outcomes of all open jobs by listing their records: a few calls, however many jobs there are. */
+internal class OpenJobListing(
+    private val store: KeyValueStore,
+    private val scope: CoroutineScope,
+    private val clock: Clock,
+    private val cache: OutcomeCache,
+) {
+    private var pending: CompletableDeferred<Result<Unit>>? = null
+
+    /** Lists all open jobs, or waits for a listing that is under way. Throws [linemast.store.StoreException] if it fails. */
+    suspend fun run() {
+        pending?.let { return it.await().getOrThrow() }
+        val listing = CompletableDeferred<Result<Unit>>()
+        pending = listing
+        scope.launch {
+            listing.complete(sharedStoreResult { list() })
+            pending = null
+        }
+        listing.await().getOrThrow()
+    }
+
+    /** Waiting jobs are listed before those that may start, so that one that is released in between is not missed. */
+    private suspend fun list() {
+        val sentMicros = clock.nowMicros()
+        for (prefix in listOf(JobKeys.WAITING_PREFIX, JobKeys.OPEN_PREFIX)) {
+            for (entry in store.listAll(prefix).entries) {
+                val record = readingStoredRecord { JobRecordCodec.decode(entry.value) }
+                val outcome = if (record.cancelled) JobOutcome.CANCELLED else JobOutcome.OPEN
+                cache.put(record.spec.id, OutcomeRecord(outcome, record.spec.taskCount, record.spec.dependencies), sentMicros)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/recovery/ReconciliationReport.kt
@@ -0,0 +1,58 @@
+package linemast.recovery
+
+/** The result of a completed reconciliation, stored for operators. */
+internal class ReconciliationReport(
+    /** Time of day at which the report was written. */
+    val wallMicros: Long,
+    /** Fencing token of the leader that reconciled. */
+    val fencingToken: Long,
+    val statistics: ReconciliationStatistics,
+    /** Jobs without a complete record, by id. */
+    val jobs: Map<String, UnknownJobState>,
+)
+
+/** The stored form of reconciliation reports, see docs/operations-recovery.md for its fields. */
+internal object ReconciliationReportCodec {
+    /** The key of the latest report. */
+    const val KEY = "recovery"
+
+    /** So many that the report fits the smallest limit of a stored value. */
+    private const val MAX_JOBS = 15
+
+    private val stateNames = mapOf(
+        UnknownJobState.UNDECIDED to "undecided",
+        UnknownJobState.ENDED to "over",
+        UnknownJobState.UNRECORDED to "unrecorded",
+        UnknownJobState.INCONSISTENT to "inconsistent",
+        UnknownJobState.UNKNOWN to "unknown",
+    )
+    private val differenceNames = mapOf(
+        ReconciliationStatistics.Difference.ADOPTED to "adopted",
+        ReconciliationStatistics.Difference.RESULT to "result",
+        ReconciliationStatistics.Difference.UNKNOWN to "unknown",
+        ReconciliationStatistics.Difference.LOST to "lost",
+    )
+    private val commandNames = mapOf(
+        ReconciliationStatistics.Command.START to "start",
+        ReconciliationStatistics.Command.STOP to "stop",
+        ReconciliationStatistics.Command.ACKNOWLEDGE to "acknowledge",
+    )
+
+    /** The stored form of [report]; of many jobs the first [MAX_JOBS] only. */
+    fun encode(report: ReconciliationReport): Map<String, Any?> = mapOf(
+        "at_us" to report.wallMicros,
+        "helm" to report.fencingToken,
+        "summary" to summary(report.statistics),
+        "jobs" to report.jobs.entries.take(MAX_JOBS).map { (id, state) -> encodeJob(id, state) },
+    )
+
+    private fun encodeJob(id: String, state: UnknownJobState): Map<String, Any?> =
+        mapOf("job" to id, "standing" to stateNames.getValue(state))
+
+    /** The counts in one line. */
+    fun summary(statistics: ReconciliationStatistics): String {
+        val differences = differenceNames.entries.joinToString { (difference, name) -> "${statistics.countOf(difference)} $name" }
+        val commands = commandNames.entries.joinToString { (command, name) -> "${statistics.countOf(command)} $name" }
+        return "${statistics.reportingWorkerCount} workers heard; $differences; orders: $commands"
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/linemast/recovery/StateReconciliation.kt
@@ -0,0 +1,96 @@
+package linemast.recovery
+
+import linemast.domain.TaskAttempt
+import linemast.settings.RecoverySettings
+import linemast.store.RequestPriority
+import linemast.store.TokenBucket
+import org.slf4j.LoggerFactory
+
+/**
+ * Reconciles what workers report with what the store holds, during one leader term; does no input or output itself.
+ *
+ * It decides on two things: whether the tasks of a job that the leader does not know may be stopped, and whether one more
+ * start or stop command may be sent now. All other decisions are the scheduler's.
+ */
+class StateReconciliation(settings: RecoverySettings) {
+    private val logger = LoggerFactory.getLogger(StateReconciliation::class.java)
+    private val commandTokens = TokenBucket(settings.ordersPerSecond)
+
+    /** Jobs that workers report and the leader does not know. */
+    val unknownJobs = UnknownJobs(settings.confirmMicros, LOOKUP_TIMEOUT_MICROS)
+
+    /** Counts of differences and commands until the reconciliation is complete. */
+    val statistics = ReconciliationStatistics()
+
+    /** When a command was last held back by the rate limit; null if none was. */
+    private var throttledMicros: Long? = null
+    private var reconciledSinceMicros: Long? = null
+
+    /**
+     * Whether all tasks that earlier leaders started are accounted for, and what has to be started again has been. From
+     * then on no command is rate limited and nothing is counted.
+     */
+    var isComplete = false
+        private set
+
+    /** Whether the tasks of [job], which the leader does not know, may be stopped and their results discarded. */
+    fun mayDiscard(job: String, nowMicros: Long): Boolean = when (unknownJobs.observe(job, nowMicros)) {
+        UnknownJobState.UNDECIDED, UnknownJobState.INCONSISTENT -> false
+        UnknownJobState.ENDED, UnknownJobState.UNRECORDED, UnknownJobState.UNKNOWN -> true
+    }
+
+    /** Whether one more start command, or a stop command that is not urgent, may be sent now; takes a token if so. */
+    fun maySendCommand(nowMicros: Long): Boolean {
+        if (isComplete || commandTokens.tryTake(1, RequestPriority.CRITICAL, nowMicros)) return true
+        throttledMicros = nowMicros
+        return false
+    }
+
+    /** Takes note of a heartbeat of the worker on [machineName]. */
+    fun heartbeatReceived(machineName: String) {
+        if (!isComplete) statistics.heartbeatReceived(machineName)
+    }
+
+    /** Counts [task], which a worker reports and whose job the leader does not know. */
+    fun countUnknown(task: TaskAttempt) {
+        if (!isComplete) statistics.countUnknown(task)
+    }
+
+    /** Counts one [difference] between a heartbeat and the store. */
+    fun count(difference: ReconciliationStatistics.Difference) {
+        if (!isComplete) statistics.count(difference)
+    }
+
+    /** Counts [count] commands that were sent. */
+    fun count(command: ReconciliationStatistics.Command, count: Int = 1) {
+        if (!isComplete) statistics.count(command, count)
+    }
+
+    /**
+     * Completes the reconciliation once the tasks of earlier leaders are accounted for ([isReconciled]), no unknown job is
+     * undecided and no command was held back for a while. True if it became complete by this call.
+     */
+    fun update(isReconciled: Boolean, nowMicros: Long): Boolean {
+        if (isComplete) return false
+        if (!isReconciled || unknownJobs.hasUndecided) {
+            reconciledSinceMicros = null
+            return false
+        }
+        val reconciledMicros = reconciledSinceMicros ?: nowMicros.also { reconciledSinceMicros = it }
+        val quietSinceMicros = maxOf(reconciledMicros, throttledMicros ?: reconciledMicros)
+        if (nowMicros < quietSinceMicros + QUIET_PERIOD_MICROS) return false
+        isComplete = true
+        logger.info("reconciled: {}", ReconciliationReportCodec.summary(statistics))
+        val jobs = unknownJobs.needingAttention
+        if (jobs.isNotEmpty()) logger.info("reported jobs without a complete record: {}", jobs)
+        return true
+    }
+
+    private companion object {
+        /** Far below the time within which the tasks of a cancelled job have to be gone. */
+        const val LOOKUP_TIMEOUT_MICROS = 3_000_000L
+
+        /** Longer than it takes until a completed reconciliation has led to starts. */
+        const val QUIET_PERIOD_MICROS = 3_000_000L
+    }
+}
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -2,97 +2,108 @@
 
 import linemast.domain.JobOutcome
 
-/** What the store says of a job that a worker reports and the leader does not know. */
+/** What is known of a job that a worker reports and the leader does not know. */
 enum class UnknownJobState {
-    /** Nothing has been read yet. */
+    /** Its outcome has not been read yet. */
     UNDECIDED,
 
-    /** Done or cancelled: whatever is left of it on workers may go. */
-    OVER,
+    /** Done or cancelled: what is left of it on workers may be stopped. */
+    ENDED,
 
-    /** The store has no record of it, also not when asked again: no user was ever told that it is accepted. */
+    /** The store has no record of it, confirmed by a second read: its submission was never acknowledged. */
     UNRECORDED,
 
-    /** Its verdict is open, and the rest of its record is missing: its tasks and results are kept, for an operator to look at. */
+    /** Its outcome is open, and the rest of its record is missing: its tasks and results are kept for operators. */
     INCONSISTENT,
 
-    /** It could not be found out in time; it is treated as without this subsystem. */
+    /** Its outcome could not be read in time; it is treated as if recovery were not enabled. */
     UNKNOWN,
 }
 
-/** What a read of a job's verdict brought. */
+/** The result of reading a job's outcome. */
 sealed interface OutcomeLookup {
-    /** The store has this verdict. */
+    /** The store has this outcome. */
     data class Found(val outcome: JobOutcome) : OutcomeLookup
 
     /** The store has no record. */
     data object Absent : OutcomeLookup
 
-    /** The store did not answer. */
-    data object NoAnswer : OutcomeLookup
+    /** The store gave no readable result. */
+    data object Failed : OutcomeLookup
 }
 
 /**
- * Jobs that workers report and the leader does not know; pure.
+ * Jobs that workers report and the leader does not know; does no input or output itself.
  *
- * Until it is decided what they are, their tasks go on and their results are kept. A cancelled job's tasks have to be gone
- * in time, so that a job which stays undecided is not waited for longer than [patienceMicros].
+ * While a job is undecided its tasks go on and its results are kept. The tasks of a cancelled job have to be gone in time,
+ * so a job stays undecided for no longer than [timeoutMicros]. An absent record is confirmed by another read after
+ * [confirmationMicros].
  */
-class UnknownJobs(private val confirmMicros: Long, private val patienceMicros: Long) {
-    private class Entry(val sinceMicros: Long) {
+class UnknownJobs(private val confirmationMicros: Long, private val timeoutMicros: Long) {
+    private class Entry(val firstReportedMicros: Long) {
         var state = UnknownJobState.UNDECIDED
-        var isAsked = false
-        var absentMicros: Long? = null
-        var askAgainMicros = 0L
+        var isLookupPending = false
+        var firstAbsentMicros: Long? = null
+
+        /** Earliest time of the next lookup; null if it may begin at once. */
+        var nextLookupMicros: Long? = null
+
+        fun isLookupDue(nowMicros: Long): Boolean {
+            if (state != UnknownJobState.UNDECIDED || isLookupPending) return false
+            val earliest = nextLookupMicros
+            return earliest == null || nowMicros >= earliest
+        }
     }
 
     private val entries = LinkedHashMap<String, Entry>()
 
-    /** Jobs that are not simply over, for operators to look at. */
-    val suspect: Map<String, UnknownJobState> get() = entries.mapValues { it.value.state }.filterValues { it != UnknownJobState.OVER }
+    /** Jobs that are neither done nor cancelled, for operators to look into. */
+    val needingAttention: Map<String, UnknownJobState>
+        get() = entries.mapValues { it.value.state }.filterValues { it != UnknownJobState.ENDED }
 
     /** Whether some job is undecided. */
     val hasUndecided: Boolean get() = entries.values.any { it.state == UnknownJobState.UNDECIDED }
 
-    /** A worker reports [job], which the leader does not know. */
-    fun reported(job: String, nowMicros: Long): UnknownJobState {
+    /** The state of [job], which a worker reports and the leader does not know. */
+    fun observe(job: String, nowMicros: Long): UnknownJobState {
         val entry = entries.getOrPut(job) { Entry(nowMicros) }
-        if (entry.state == UnknownJobState.UNDECIDED &&
-            nowMicros - entry.sinceMicros > patienceMicros
-        ) {
-            entry.state = UnknownJobState.UNKNOWN
-        }
+        val isTimedOut = nowMicros - entry.firstReportedMicros > timeoutMicros
+        if (entry.state == UnknownJobState.UNDECIDED && isTimedOut) entry.state = UnknownJobState.UNKNOWN
         while (entries.size > MAX_JOBS) entries.remove(entries.keys.first())
         return entry.state
     }
 
-    /** Jobs whose verdict is to be read now; each is asked for once until its answer has come. */
-    fun toAsk(nowMicros: Long): List<String> {
-        val due = entries.filterValues { it.state == UnknownJobState.UNDECIDED && !it.isAsked && nowMicros >= it.askAgainMicros }
-        due.values.forEach { it.isAsked = true }
+    /** Jobs whose outcome has to be read now; each is returned once until [lookupCompleted] was called for it. */
+    fun takeDueLookups(nowMicros: Long): List<String> {
+        val due = entries.filterValues { it.isLookupDue(nowMicros) }
+        due.values.forEach { it.isLookupPending = true }
         return due.keys.toList()
     }
 
-    /** What a read of the verdict of [job] brought. */
-    fun answered(job: String, answer: OutcomeLookup, nowMicros: Long) {
+    /** Takes the result of reading the outcome of [job]; a state that is decided does not change any more. */
+    fun lookupCompleted(job: String, lookup: OutcomeLookup, nowMicros: Long) {
         val entry = entries[job] ?: return
-        entry.isAsked = false
+        entry.isLookupPending = false
         if (entry.state != UnknownJobState.UNDECIDED) return
-        when (answer) {
-            is OutcomeLookup.Found -> entry.state = if (answer.outcome.isTerminal) UnknownJobState.OVER else UnknownJobState.INCONSISTENT
-            OutcomeLookup.Absent -> absent(entry, nowMicros)
-            OutcomeLookup.NoAnswer -> entry.askAgainMicros = nowMicros + RETRY_MICROS
+        when (lookup) {
+            is OutcomeLookup.Found -> entry.state = stateOf(lookup.outcome)
+            OutcomeLookup.Absent -> recordAbsence(entry, nowMicros)
+            OutcomeLookup.Failed -> entry.nextLookupMicros = nowMicros + RETRY_MICROS
         }
     }
 
-    private fun absent(entry: Entry, nowMicros: Long) {
-        val first = entry.absentMicros
-        if (first != null && nowMicros - first >= confirmMicros) {
+    private fun stateOf(outcome: JobOutcome): UnknownJobState =
+        if (outcome.isTerminal) UnknownJobState.ENDED else UnknownJobState.INCONSISTENT
+
+    private fun recordAbsence(entry: Entry, nowMicros: Long) {
+        val firstAbsentMicros = entry.firstAbsentMicros
+        if (firstAbsentMicros != null && nowMicros - firstAbsentMicros >= confirmationMicros) {
             entry.state = UnknownJobState.UNRECORDED
-        } else {
-            entry.absentMicros = first ?: nowMicros
-            entry.askAgainMicros = (first ?: nowMicros) + confirmMicros
+            return
         }
+        val absentSinceMicros = firstAbsentMicros ?: nowMicros
+        entry.firstAbsentMicros = absentSinceMicros
+        entry.nextLookupMicros = absentSinceMicros + confirmationMicros
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -14,7 +14,7 @@
 import linemast.planning.Planner
 import linemast.planning.RunTimeEstimates
 import linemast.planning.WaitingStage
-import linemast.recovery.Recovery
+import linemast.recovery.StateReconciliation
 import linemast.settings.Settings
 import linemast.time.Clock
 import org.slf4j.LoggerFactory
@@ -40,7 +40,7 @@
     /** Whose turn it is among jobs that have waited for long; without it all of them go first. */
     startTurns: FlowRoundRobin? = null,
     /** The reconciliation after an outage; null if it is not enabled. */
-    internal val recovery: Recovery? = null,
+    internal val recovery: StateReconciliation? = null,
 ) {
     private val log = LoggerFactory.getLogger(Cluster::class.java)
     val jobs = LinkedHashMap<String, Job>()
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -10,9 +10,9 @@
 import linemast.domain.TaskAttempt
 import linemast.domain.TaskState
 import linemast.domain.TaskStatus
-import linemast.jobs.CompletedTasks
+import linemast.jobs.CompletedTaskParts
 import linemast.leadership.CancellationFreshness
-import linemast.recovery.RecoveryStatistics
+import linemast.recovery.ReconciliationStatistics
 import linemast.settings.WorkerSettings
 import org.slf4j.LoggerFactory
 
@@ -40,7 +40,7 @@
         if (machine.placements.values.any { outlivesCancellation(it, nowMicros) }) return null
         if (allowedCommands == CommandPermission.NO_COMMANDS) return taskCommands.stopsOfCancelled(machine)
         cluster.failover.heardFrom(machine, nowMicros)
-        cluster.recovery?.heard(machine.name)
+        cluster.recovery?.heartbeatReceived(machine.name)
         cluster.runCycleIfDue(nowMicros)
         // A worker that does not show this fencing token has not heard this leader yet, and may never.
         val mayStart =
@@ -174,7 +174,7 @@
     private fun ended(machine: Machine, task: TaskStatus, placement: Placement?, nowMicros: Long) {
         if (placement != null) cluster.remove(placement)
         val job = cluster.jobs[task.task.job]
-        if (job == null) cluster.recovery?.foundUnknown(task.key)
+        if (job == null) cluster.recovery?.countUnknown(task.key)
         if (job == null || task.task.index >= job.spec.taskCount) return
         when (task.cause) {
             EndCause.DONE -> completed(machine, job, task, placement, nowMicros)
@@ -196,8 +196,8 @@
         val indices = if (job.spec.isGang) 0 until job.spec.taskCount else task.task.index..task.task.index
         for (index in indices) {
             if (!job.markDone(index)) continue
-            job.dirtyParts.set(CompletedTasks.partOf(index))
-            cluster.recovery?.found(RecoveryStatistics.Difference.RESULT)
+            job.dirtyParts.set(CompletedTaskParts.partOf(index))
+            cluster.recovery?.count(ReconciliationStatistics.Difference.RESULT)
         }
         cluster.dirty = true
     }
@@ -219,11 +219,11 @@
 
     private fun countFound(job: Job?, key: TaskAttempt) {
         val recovery = cluster.recovery ?: return
-        if (job == null) recovery.foundUnknown(key) else recovery.found(RecoveryStatistics.Difference.ADOPTED)
+        if (job == null) recovery.countUnknown(key) else recovery.count(ReconciliationStatistics.Difference.ADOPTED)
     }
 
     private fun lost(placement: Placement, why: String) {
-        cluster.recovery?.found(RecoveryStatistics.Difference.LOST)
+        cluster.recovery?.count(ReconciliationStatistics.Difference.LOST)
         if (placement.phase != Placement.Phase.SENT) log.info("{} on {}: {}", placement.task, placement.machine.name, why)
         cluster.remove(placement)
     }
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -5,8 +5,8 @@
 import linemast.domain.Machine
 import linemast.domain.Placement
 import linemast.domain.TaskStatus
-import linemast.jobs.CompletedTasks
-import linemast.recovery.RecoveryStatistics
+import linemast.jobs.CompletedTaskParts
+import linemast.recovery.ReconciliationStatistics
 
 /** Chooses the commands that leave in the answer to a worker's report. */
 internal class TaskCommands(private val cluster: Cluster) {
@@ -25,7 +25,7 @@
         for (task in machine.ended.values) {
             if (mayAcknowledge(machine, task, nowMicros)) commands += Command.Acknowledge(task.task, task.attempt)
         }
-        cluster.recovery?.ordered(RecoveryStatistics.Order.ACKNOWLEDGE, commands.size)
+        cluster.recovery?.count(ReconciliationStatistics.Command.ACKNOWLEDGE, commands.size)
         for (placement in machine.placements.values.toList()) {
             if (commands.size >= MAX_COMMANDS) break
             if (placement.isAssigned) {
@@ -38,9 +38,9 @@
                 cluster.commandSent(placement)
                 placement.job?.gangAttemptUsed = true
                 commands += Command.Start(placement.task, placement.attempt)
-                cluster.recovery?.ordered(RecoveryStatistics.Order.START)
+                cluster.recovery?.count(ReconciliationStatistics.Command.START)
             } else if (shouldStop(placement, nowMicros)) {
-                if (!placement.stopSent) cluster.recovery?.ordered(RecoveryStatistics.Order.STOP)
+                if (!placement.stopSent) cluster.recovery?.count(ReconciliationStatistics.Command.STOP)
                 placement.stopSent = true
                 commands += Command.Stop(placement.task, placement.attempt, placement.stopGracePeriodMicros)
             }
@@ -54,7 +54,7 @@
         if (job.cancelled || job.finished) return true
         if (job.spec.isGang) job.acknowledgedOn(machine, task.attempt)
         if (task.cause != EndCause.DONE) return true
-        val part = CompletedTasks.partOf(task.task.index)
+        val part = CompletedTaskParts.partOf(task.task.index)
         return !job.dirtyParts.get(part) && !job.writingDone
     }
 
@@ -69,7 +69,7 @@
     /** The starts of a gang leave together: one that comes late would hold the machines of all others. */
     private fun isInPace(placement: Placement, nowMicros: Long): Boolean = placement.job?.spec?.isGang == true || mayOrder(nowMicros)
 
-    private fun mayOrder(nowMicros: Long): Boolean = cluster.recovery?.mayOrder(nowMicros) ?: true
+    private fun mayOrder(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
 
     private fun shouldStop(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -1,6 +1,7 @@
 package linemast.settings
 
 import linemast.serialization.Fields
+import linemast.time.MICROS_PER_MILLI
 import java.nio.file.Path
 
 /** Reads and checks the platform's TOML file. Unknown fields are ignored, as the deployment rules ask. */
--- a/src/test/kotlin/linemast/TestSpecs.kt
+++ b/src/test/kotlin/linemast/TestSpecs.kt
@@ -1,11 +1,11 @@
 package linemast
 
 import linemast.domain.JobSpec
-import linemast.jobs.JobCodec
+import linemast.jobs.JobSpecCodec
 import linemast.serialization.Fields
 
 /** A job as a user would submit it, a small sweep that may go anywhere, with [fields] in place of the usual ones. */
-internal fun testSpec(id: String, vararg fields: Pair<String, Any?>): JobSpec = JobCodec.decode(
+internal fun testSpec(id: String, vararg fields: Pair<String, Any?>): JobSpec = JobSpecCodec.decode(
     Fields(
         mapOf(
             "name_id" to id, "lane" to "lane", "crew" to "team", "shape" to "sweep", "urgency" to "normal", "pieces" to 1, "vcpus" to 1.0,
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -52,7 +52,7 @@
     /** Three controllers with warm caches, each within its part of the store's rate; the leader is away for good. */
     @ParameterizedTest
     @EnumSource(Graph::class)
-    fun `nobody calls a job pending later than a cancellation's time after its root was cancelled`(graph: Graph) = runTest {
+    fun `no controller reports a dependent job as pending once the cancellation time of its root is over`(graph: Graph) = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(5))
         write(store, graph)
@@ -77,14 +77,14 @@
     /** The last jobs of a pipeline may be submitted when its root is cancelled for long and nobody was there to pass that on. */
     @ParameterizedTest
     @EnumSource(Graph::class)
-    fun `a job submitted behind a root that was cancelled long ago is cancelled from the start`(graph: Graph) = runTest {
+    fun `a job that depends on a root cancelled long ago is accepted as cancelled`(graph: Graph) = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(7))
         write(store, graph)
         val last = graph.dependencies.lastIndex
         assertEquals("withdrawn", status(service(store.clientOf("mast-1"), clock), "POST", "/v1/jobs/${id(0)}/cancel"))
         delay(CANCEL_MICROS / 1_000)
-        val job = JobCodec.encode(testSpec(id(last + 1), "awaits" to listOf(id(last))))
+        val job = JobSpecCodec.encode(testSpec(id(last + 1), "awaits" to listOf(id(last))))
         val service = service(RateLimitedStore(store.clientOf("mast-0"), clock), clock)
         val answers = List(5) { status(service, "POST", "/v1/jobs", Cbor.encode(job)).also { delay(1_000) } }
         assertEquals("withdrawn", answers.last(), "$answers")
@@ -93,7 +93,7 @@
 
     /** Once a check passed its cancellation on to whoever waited for it: a user of the simulation then asked no more. */
     @Test
-    fun `a check that ends with its controller turns its callers away, and does not cancel them`() = runTest {
+    fun `a check that ends with its controller fails its callers with a store error and does not cancel them`() = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(8))
         write(store, Graph.CHAIN)
@@ -129,18 +129,25 @@
             val outcome = OutcomeRecord(JobOutcome.OPEN, spec.taskCount, spec.dependencies)
             client.commit(
                 emptyList(),
-                listOf(Write.Put(JobKeys.outcome(spec.id), JobRecordCodec.encode(outcome)), Write.Put(key, JobRecordCodec.encode(record))),
+                listOf(
+                    Write.Put(JobKeys.outcome(spec.id), OutcomeRecordCodec.encode(outcome)),
+                    Write.Put(key, JobRecordCodec.encode(record)),
+                ),
             )
         }
     }
 
     private fun TestScope.service(store: KeyValueStore, clock: Clock) = JobService(
-        store, backgroundScope, mapOf("team" to Team("team", 8.0, 16.0, 0.0, 0.0)), {
-            TYPES
-        }, { null }, { 0L }, VALUE_BYTES, clock, CANCEL_MICROS,
+        settings = JobServiceSettings(mapOf("team" to Team("team", 8.0, 16.0, 0.0, 0.0)), VALUE_BYTES, CANCEL_MICROS),
+        store = store,
+        scope = backgroundScope,
+        clock = clock,
+        wallMicros = { 0L },
+        machineTypes = { TYPES },
+        progress = { null },
     )
 
-    /** Takes the tokens that a controller has for its calls, and turns away a call that has to wait too long for one. */
+    /** Takes the tokens that a controller has for its calls, and rejects a call that would have to wait too long for one. */
     private class RateLimitedStore(private val store: KeyValueStore, private val clock: Clock) : KeyValueStore by store {
         private val requests = TokenBucket(REQUESTS_PER_SECOND)
 
--- a/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
@@ -15,46 +15,47 @@
     private val seed = 99
 
     @Test
-    fun `generated jobs survive the store`() {
+    fun `generated jobs are the same after they were stored`() {
         println("seed $seed")
         val random = Random(seed)
         repeat(300) {
             val record =
-                JobRecord(JobCodec.decode(Fields(job(random))), random.nextLong(1L shl 50), random.nextBoolean(), random.nextBoolean())
-            val again = JobRecordCodec.decodeJob(Cbor.decodeMap(Cbor.encode(JobRecordCodec.encode(record))))
+                JobRecord(JobSpecCodec.decode(Fields(job(random))), random.nextLong(1L shl 50), random.nextBoolean(), random.nextBoolean())
+            val again = JobRecordCodec.decode(Cbor.decodeMap(Cbor.encode(JobRecordCodec.encode(record))))
             assertEquals(JobRecordCodec.encode(record), JobRecordCodec.encode(again))
         }
     }
 
     @Test
-    fun `a job with one field spoilt is refused`() {
+    fun `a job with one malformed field is rejected`() {
         val random = Random(seed)
-        val spoilt = listOf<Pair<String, Any?>>(
+        val malformed = listOf<Pair<String, Any?>>(
             "name_id" to "req-x", "name_id" to "../req-1", "name_id" to null, "shape" to "ring", "urgency" to "soon", "pieces" to 0,
             "pieces" to 100_001, "pieces" to 1.5, "vcpus" to -1.0, "vcpus" to "8", "vcpus" to Double.NaN, "memory_gb" to null,
             "lane" to "", "crew" to 7, "same_place" to "yes", "builds" to emptyList<String>(), "builds" to listOf(1),
             "guess_s" to Double.POSITIVE_INFINITY, "due_s" to -1.0, "mark_s" to null, "loaners" to 1,
         )
-        for ((field, value) in spoilt) {
-            assertThrows(MalformedException::class.java, { JobCodec.decode(Fields(job(random) + (field to value))) }, "$field = $value")
+        for ((field, value) in malformed) {
+            assertThrows(MalformedException::class.java, { JobSpecCodec.decode(Fields(job(random) + (field to value))) }, "$field = $value")
         }
     }
 
     @Test
-    fun `done sets of any size come back and each part fits the smallest value`() {
+    fun `completed tasks of any number are the same after they were stored and each part fits the smallest value`() {
         val random = Random(seed)
         for (taskCount in listOf(1, 63, 8_192, 8_193, 100_000)) {
             val done = BitSet()
             repeat(taskCount / 2 + 1) { done.set(random.nextInt(taskCount)) }
             val again = BitSet()
-            for (part in 0 until CompletedTasks.parts(taskCount)) {
-                val text = CompletedTasks.encodePart(done, part)
+            for (part in 0 until CompletedTaskParts.count(taskCount)) {
+                val stored = CompletedTasksCodec.encode(done, part)
+                val text = stored.getValue("bits") as String
                 assertTrue(text.length < 4_096, "part of ${text.length} characters")
-                CompletedTasks.decodePart(text, part, again)
+                CompletedTasksCodec.decode(Fields(stored), part, again)
             }
             assertEquals(done, again)
         }
-        assertThrows(MalformedException::class.java) { CompletedTasks.decodePart("*", 0, BitSet()) }
+        assertThrows(MalformedException::class.java) { CompletedTasksCodec.decode(Fields(mapOf("bits" to "*")), 0, BitSet()) }
     }
 
     private fun job(random: Random): Map<String, Any?> = mapOf(
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** All controllers lose their power at once while three hundred workers run tasks, in virtual time. */
+/** All controllers stop at once while three hundred workers run tasks, in virtual time. */
 class RecoverySimulationTest {
     private class Command(val second: Long, val verb: String, val task: String)
 
@@ -38,7 +38,7 @@
     private fun liveTasks(machines: Collection<SimWorker>) =
         machines.flatMap { it.tasks.values }.filter { it.status != "ended" }.map { "${it.job}/${it.index}" }.toSet()
 
-    private fun play(seed: Int, enabled: Boolean, outageMillis: Long, damages: Boolean, ordersPerSecond: Double = 200.0): Outcome {
+    private fun runOutage(seed: Int, enabled: Boolean, outageMillis: Long, damages: Boolean, ordersPerSecond: Double = 200.0): Outcome {
         val commands = ArrayList<Command>()
         var lost = emptySet<String>()
         var unregistered = emptySet<String>()
@@ -50,13 +50,13 @@
             repeat(10) { world.users.submit(gang(it + 100), null) }
             delay(28_000)
             val expected = 4 * TASKS + 10 * 2
-            assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all is under way")
+            assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all tasks run or have ended")
             repeat(3) { world.killNode(it) }
             val plain = world.workers.values.filter { machine -> machine.tasks.values.none { world.jobs.getValue(it.job).gang } }
-            val silent = plain.filter { it.tasks.isNotEmpty() }.take(12)
-            lost = liveTasks(silent)
-            silent.take(6).forEach { it.mute = true }
-            silent.drop(6).forEach { world.removeMachine(it.name) }
+            val failing = plain.filter { it.tasks.isNotEmpty() }.take(12)
+            lost = liveTasks(failing)
+            failing.take(6).forEach { it.mute = true }
+            failing.drop(6).forEach { world.removeMachine(it.name) }
             val idle = plain.filter { it.tasks.isEmpty() && it.name in world.workers }.take(8)
             unregistered = idle.mapIndexedTo(HashSet()) { at, machine ->
                 val job = SimJob("req-99000$at", "north", 1, 1.0, false, false, false, true, 300_000_000)
@@ -65,9 +65,10 @@
                 "${job.id}/0"
             }
             if (damages) damaged = world.jobs.getValue("req-000002").also { world.store.lose("o/${it.id}") }
-            val began = world.clock.nowMicros()
+            val outageBeganMicros = world.clock.nowMicros()
             world.onLeaseEnd = { tasks -> lost = lost + tasks }
-            world.onCommand = { _, verb, task -> commands += Command((world.clock.nowMicros() - began) / 1_000_000, verb, task) }
+            world.onCommand =
+                { _, verb, task -> commands += Command((world.clock.nowMicros() - outageBeganMicros) / 1_000_000, verb, task) }
             completedBefore = world.completed.size
             delay(outageMillis)
             repeat(3) { world.startNode(it) }
@@ -77,7 +78,7 @@
     }
 
     private fun println(outcome: Outcome) = println(
-        "orders: ${outcome.tasks("start").size} start, ${outcome.tasks("halt").size} halt, ${outcome.tasks("clear").size} clear; " +
+        "commands: ${outcome.tasks("start").size} start, ${outcome.tasks("halt").size} halt, ${outcome.tasks("clear").size} clear; " +
             "differences: ${outcome.lost.size} lost, ${outcome.unregistered.size} unrecorded",
     )
 
@@ -92,12 +93,12 @@
     }
 
     @Test
-    fun `after an outage shorter than a lease the orders are just the differences`() {
-        val outcome = play(seed = 71, enabled = true, outageMillis = 3_000, damages = false)
+    fun `after an outage shorter than a lease only the differences lead to commands`() {
+        val outcome = runOutage(seed = 71, enabled = true, outageMillis = 3_000, damages = false)
         println(outcome)
         checkAllEnded(outcome)
         assertEquals(outcome.unregistered - outcome.lost, outcome.tasks("halt").toSet(), "nothing else is stopped")
-        assertEquals(outcome.lost - outcome.unregistered, outcome.tasks("start").toSet(), "nothing else is started anew")
+        assertEquals(outcome.lost - outcome.unregistered, outcome.tasks("start").toSet(), "nothing else is started again")
         assertTrue(outcome.unregistered.any { it !in outcome.lost })
         assertTrue(outcome.tasks("start").size <= outcome.lost.size * 11 / 10, "${outcome.tasks("start").size} starts")
         assertTrue(outcome.tasks("halt").size <= outcome.unregistered.size * 3, "${outcome.tasks("halt").size} stops")
@@ -107,8 +108,8 @@
     }
 
     @Test
-    fun `after an outage longer than a lease everything is started anew, no faster than allowed`() {
-        val outcome = play(seed = 72, enabled = true, outageMillis = 12_000, damages = false, ordersPerSecond = 25.0)
+    fun `after an outage longer than a lease all tasks are started again within the rate limit`() {
+        val outcome = runOutage(seed = 72, enabled = true, outageMillis = 12_000, damages = false, ordersPerSecond = 25.0)
         println(outcome)
         checkAllEnded(outcome)
         val unfinished = 4 * TASKS + 10 * 2 - outcome.completedBefore
@@ -125,8 +126,8 @@
     }
 
     @Test
-    fun `tasks of a job whose record was lost in part go on, and their results are kept`() {
-        val outcome = play(seed = 73, enabled = true, outageMillis = 3_000, damages = true)
+    fun `tasks of a job whose record is incomplete go on and their results are kept`() {
+        val outcome = runOutage(seed = 73, enabled = true, outageMillis = 3_000, damages = true)
         println(outcome)
         checkAllEnded(outcome)
         val damaged = outcome.damaged!!.id
@@ -136,10 +137,10 @@
         assertEquals("inconsistent", listed[damaged])
     }
 
-    /** The same play without the subsystem: the fault that it is for occurs, so that the test above can fail. */
+    /** The same scenario without recovery: the fault occurs, so that the test above can fail. */
     @Test
-    fun `without the subsystem they are ended and their results forgotten`() {
-        val outcome = play(seed = 73, enabled = false, outageMillis = 3_000, damages = true)
+    fun `without recovery tasks of a job whose record is incomplete are stopped and their results discarded`() {
+        val outcome = runOutage(seed = 73, enabled = false, outageMillis = 3_000, damages = true)
         println(outcome)
         val damaged = outcome.damaged!!.id
         assertTrue(outcome.tasks("halt").any { it.startsWith("$damaged/") })
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
@@ -4,8 +4,9 @@
 import linemast.cloud.MachineTypeCodec
 import linemast.domain.JobOutcome
 import linemast.duties.IntentCodec
-import linemast.jobs.CompletedTasks
+import linemast.jobs.CompletedTasksCodec
 import linemast.jobs.JobRecordCodec
+import linemast.jobs.OutcomeRecordCodec
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
 import linemast.settings.Duty
@@ -36,12 +37,12 @@
 
     @Test
     fun `the records hold every job outcome, job state and duty`() {
-        val outcomes = ofKind("j/").map { JobRecordCodec.decodeOutcome(it.fields).outcome }.toSet()
+        val outcomes = ofKind("j/").map { OutcomeRecordCodec.decode(it.fields).outcome }.toSet()
         assertEquals(JobOutcome.entries.toSet(), outcomes)
-        val states = ofKind("o/").map { JobRecordCodec.decodeJob(it.fields) }.map { it.opened to it.cancelled }.toSet()
+        val states = ofKind("o/").map { JobRecordCodec.decode(it.fields) }.map { it.opened to it.cancelled }.toSet()
         assertEquals(setOf(false to false, true to false, false to true, true to true), states)
         assertEquals(Duty.entries.toSet(), ofKind("duty/").map { IntentCodec.decode(it.fields).action.duty }.toSet())
-        assertTrue(ofKind("w/").all { JobRecordCodec.decodeJob(it.fields).spec.dependencies.isNotEmpty() })
+        assertTrue(ofKind("w/").all { JobRecordCodec.decode(it.fields).spec.dependencies.isNotEmpty() })
     }
 
     @ParameterizedTest
@@ -52,9 +53,9 @@
 
     private fun rewritten(record: StoredRecord): Map<String, Any?> = when (record.kind) {
         "types" -> MachineTypeCodec.encode(MachineTypeCodec.decode(record.fields))
-        "j/" -> JobRecordCodec.encode(JobRecordCodec.decodeOutcome(record.fields))
-        "o/", "w/" -> JobRecordCodec.encode(JobRecordCodec.decodeJob(record.fields))
-        "d/" -> mapOf("bits" to rewrittenPart(record.fields.text("bits"), record.key.substringAfterLast('/').toInt()))
+        "j/" -> OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(record.fields))
+        "o/", "w/" -> JobRecordCodec.encode(JobRecordCodec.decode(record.fields))
+        "d/" -> rewrittenPart(record.fields, record.key.substringAfterLast('/').toInt())
         "fleet/" -> rewrittenChunk(record)
         "duty/" -> IntentCodec.encode(IntentCodec.decode(record.fields))
         "admission/plan" -> AdmissionCodec.encode(AdmissionCodec.decodePlan(record.fields))
@@ -62,11 +63,11 @@
         else -> error("no codec for ${record.key}")
     }
 
-    private fun rewrittenPart(text: String, part: Int): String {
+    private fun rewrittenPart(fields: Fields, part: Int): Map<String, Any?> {
         val done = BitSet()
-        CompletedTasks.decodePart(text, part, done)
+        CompletedTasksCodec.decode(fields, part, done)
         assertTrue(!done.isEmpty)
-        return CompletedTasks.encodePart(done, part)
+        return CompletedTasksCodec.encode(done, part)
     }
 
     private fun rewrittenChunk(record: StoredRecord): Map<String, Any?> {
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -6,9 +6,10 @@
 import linemast.domain.Machine
 import linemast.domain.MachineType
 import linemast.domain.OutcomeRecord
-import linemast.jobs.JobCodec
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
+import linemast.jobs.JobSpecCodec
+import linemast.jobs.OutcomeRecordCodec
 import linemast.peers.PeerStatus
 import linemast.peers.PeerStatusCodec
 import linemast.serialization.Cbor
@@ -42,14 +43,14 @@
 
     @Test
     fun `records of jobs are read and rewritten without a loss`() {
-        val record = JobRecordCodec.decodeJob(stored(oldOpen))
+        val record = JobRecordCodec.decode(stored(oldOpen))
         assertEquals(oldOpen, stored(JobRecordCodec.encode(record)).map)
         assertEquals(oldOpen + ("withdrawn" to true), stored(JobRecordCodec.encode(record.with(cancelled = true).within(types))).map)
         assertEquals(emptyList<String>(), record.spec.dependencies)
         assertNull(record.releasedWallMicros)
         for (outcome in listOf("open", "done", "withdrawn")) {
             val old = mapOf("verdict" to outcome, "pieces" to 16L)
-            assertEquals(old, stored(JobRecordCodec.encode(JobRecordCodec.decodeOutcome(stored(old)))).map)
+            assertEquals(old, stored(OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(stored(old)))).map)
         }
     }
 
@@ -61,10 +62,10 @@
         assertTrue(released.child("job").map.keys.containsAll(oldJob.keys - setOf("builds", "due_s")))
         assertFalse(released.child("job").has("awaits"), "a job that may start awaits nothing: nothing is lost when it is rewritten")
         assertEquals(listOf(5L, true, false), listOf(released.long("at_us"), released.flag("opened"), released.flag("withdrawn")))
-        JobCodec.decode(released.child("job"))
-        val rewritten = JobRecordCodec.decodeJob(stored(released.map - "from_us"))
+        JobSpecCodec.decode(released.child("job"))
+        val rewritten = JobRecordCodec.decode(stored(released.map - "from_us"))
         assertEquals(rewritten.acceptedWallMicros, rewritten.releasedWallMicros ?: 5L)
-        val outcome = stored(JobRecordCodec.encode(OutcomeRecord(JobOutcome.OPEN, 3, listOf("req-1"))))
+        val outcome = stored(OutcomeRecordCodec.encode(OutcomeRecord(JobOutcome.OPEN, 3, listOf("req-1"))))
         assertEquals("open" to 3L, outcome.text("verdict") to outcome.long("pieces"))
     }
 
@@ -77,7 +78,7 @@
             "opened" to false,
             "withdrawn" to false,
         )
-        val record = JobRecordCodec.decodeJob(stored(waiting))
+        val record = JobRecordCodec.decode(stored(waiting))
         assertEquals(listOf("req-000398", "req-000405"), record.spec.dependencies)
         assertEquals(waiting, stored(JobRecordCodec.encode(record)).map)
         val released = oldOpen + ("from_us" to 1_700_000_050_000_000L)
@@ -86,13 +87,13 @@
             stored(JobRecordCodec.encode(record.released(1_700_000_050_000_000L))).map,
             "what a release puts in place of it",
         )
-        assertEquals(released, stored(JobRecordCodec.encode(JobRecordCodec.decodeJob(stored(released)))).map)
+        assertEquals(released, stored(JobRecordCodec.encode(JobRecordCodec.decode(stored(released)))).map)
         assertEquals(
             released + ("withdrawn" to true),
-            stored(JobRecordCodec.encode(JobRecordCodec.decodeJob(stored(released)).with(cancelled = true))).map,
+            stored(JobRecordCodec.encode(JobRecordCodec.decode(stored(released)).with(cancelled = true))).map,
         )
         val outcome = mapOf("verdict" to "open", "pieces" to 16L, "awaits" to listOf("req-000398", "req-000405"))
-        assertEquals(outcome, stored(JobRecordCodec.encode(JobRecordCodec.decodeOutcome(stored(outcome)))).map)
+        assertEquals(outcome, stored(OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(stored(outcome)))).map)
         assertEquals(
             listOf("j/req-1", "o/req-1", "w/req-1", "d/req-1/0"),
             listOf(JobKeys.outcome("req-1"), JobKeys.open("req-1"), JobKeys.waiting("req-1"), JobKeys.donePart("req-1", 0)),
