--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -13,7 +13,7 @@
  *
  * @param leaderLeaseMicros time to live of the leader's lease in the store.
  * @param degradedModeMicros how long a leader that cannot renew its lease may go on answering heartbeats.
- * @property view is told of every leader and fencing token that is seen, and of this controller's own lease.
+ * @property view is kept up to date with every leader and fencing token seen, and with this controller's own lease.
  * @property onElected is called when a term of this controller begins.
  * @property onLost is called when it ends, for whatever reason.
  */
--- a/src/main/kotlin/linemast/leadership/LeaderView.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderView.kt
@@ -1,8 +1,8 @@
 package linemast.leadership
 
-/** Who leads, as far as this controller knows; it is fed by the store and by the statuses of the peers. */
+/** Who leads, as this controller has last seen it in the store or in the statuses of its peers. */
 class LeaderView {
-    /** Name of the controller that leads; null if none is known to. */
+    /** Name of the controller that leads; null if none is. */
     var leaderName: String? = null
 
     /** Highest fencing token seen anywhere. */
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -4,7 +4,7 @@
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
 
-/** What this controller knows of its peers: the latest status of each, for as long as it is fresh. */
+/** The latest status of each peer, for as long as it is fresh. */
 class PeerView(private val clock: Clock) {
     private class ReceivedStatus(val status: PeerStatus, val receivedMicros: Long)
 
--- a/src/main/kotlin/linemast/transport/HttpStatus.kt
+++ b/src/main/kotlin/linemast/transport/HttpStatus.kt
@@ -1,6 +1,6 @@
 package linemast.transport
 
-/** The HTTP status codes that controllers, workers, users, the cloud and the state service exchange. */
+/** The HTTP status codes that controllers, workers, users, the cloud and the key-value store exchange. */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
--- a/src/test/kotlin/linemast/store/TokenBucketTest.kt
+++ b/src/test/kotlin/linemast/store/TokenBucketTest.kt
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Progress of running jobs once used up the writes, and submissions were turned away on a quiet day. */
+    /** Progress of running jobs once used up the writes, and submissions were refused on a quiet day. */
     @Test
     fun `background calls leave most tokens to submissions`() {
         val bucket = TokenBucket(20.0)
