--- a/src/main/kotlin/linemast/store/RetryPolicy.kt
+++ b/src/main/kotlin/linemast/store/RetryPolicy.kt
@@ -26,11 +26,6 @@
         while (true) retryingOnce(log, operation, call)?.let { return it }
     }
 
-    /** Repeats [call] for as long as [condition] holds; only a failure is followed by a wait. */
-    suspend fun repeatWhile(condition: () -> Boolean, log: Logger, operation: String? = null, call: suspend () -> Unit) {
-        while (condition()) retryingOnce(log, operation, call)
-    }
-
     /** Repeats [call] until the coroutine is cancelled; only a failure is followed by a wait. */
     suspend fun repeatForever(log: Logger, operation: String? = null, call: suspend () -> Unit): Nothing {
         while (true) retryingOnce(log, operation, call)
--- a/src/test/kotlin/linemast/store/RetryPolicyTest.kt
+++ b/src/test/kotlin/linemast/store/RetryPolicyTest.kt
@@ -1,11 +1,14 @@
 package linemast.store
 
 import kotlinx.coroutines.ExperimentalCoroutinesApi
+import kotlinx.coroutines.awaitCancellation
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.currentTime
 import kotlinx.coroutines.test.runTest
+import kotlinx.coroutines.withTimeoutOrNull
 import linemast.serialization.MalformedException
 import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -39,12 +42,18 @@
     }
 
     @Test
-    fun `a loop waits after failures only, and ends when its condition no longer holds`() = runTest {
+    fun `a loop waits after failures only, and ends when it is cancelled`() = runTest {
         val calledAtMillis = ArrayList<Long>()
-        retry.repeatWhile({ calledAtMillis.size < 4 }, log, "test") {
-            calledAtMillis += currentTime
-            if (calledAtMillis.size == 2) throw StoreException.Refused(503)
+        val result = withTimeoutOrNull(10_000) {
+            retry.repeatForever(log, "test") {
+                calledAtMillis += currentTime
+                when (calledAtMillis.size) {
+                    2 -> throw StoreException.Refused(503)
+                    4 -> awaitCancellation()
+                }
+            }
         }
+        assertNull(result)
         assertEquals(listOf(0L, 0L, 250L, 250L), calledAtMillis)
     }
 
