--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -173,7 +173,7 @@
         lastHeartbeatMicros = clock.nowMicros()
         view.observeFencingToken(heartbeat.fencingToken)
         val answer = leader?.answer(heartbeat) ?: return elsewhere()
-        val body = HeartbeatCodec.encodeAnswer(answer.fencingToken, answer.commands)
+        val body = HeartbeatCodec.encodeResponse(answer.fencingToken, answer.commands)
         return HttpResponse(HttpStatus.OK, Cbor.encode(body), stillValid = { answer.isValid(clock.nowMicros()) })
     }
 
--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -20,7 +20,7 @@
 
     /** Writes [parts] of [job] if neither its record nor these parts have changed. */
     suspend fun commit(job: Job, parts: List<CompletedTaskPart>): TermCommitResult {
-        val revisions = parts.map { Precondition(JobKeys.donePart(job.id, it.part), job.partRevisions[it.part] ?: 0L) }
+        val revisions = parts.map { Precondition(JobKeys.donePart(job.id, it.part), job.storedProgress.partRevisions[it.part] ?: 0L) }
         return term.commit(
             listOf(Precondition(JobKeys.open(job.id), job.revision)) + revisions,
             parts.map { Write.Put(JobKeys.donePart(job.id, it.part), it.encoded) },
@@ -35,7 +35,7 @@
     fun apply(job: Job, entry: Entry, part: Int) {
         val tasks = BitSet()
         CompletedTasksCodec.decode(entry.value, part, tasks)
-        job.partRevisions[part] = entry.revision
+        job.storedProgress.partRevisions[part] = entry.revision
         tasks.stream().forEach { job.markDone(it) }
     }
 
@@ -58,7 +58,7 @@
     companion object {
         /** The parts of [job] that changed since they were last stored, at most [maxParts]. */
         fun changed(job: Job, maxParts: Int): List<CompletedTaskPart> {
-            val parts = job.dirtyParts.stream().limit(maxParts.toLong()).toArray()
+            val parts = job.storedProgress.dirtyParts.stream().limit(maxParts.toLong()).toArray()
             return parts.map { CompletedTaskPart(it, CompletedTasksCodec.encode(job.done, it)) }
         }
     }
--- a/src/main/kotlin/linemast/control/JobActivationStore.kt
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -26,7 +26,7 @@
             val revision = job.revision
             when (storeResultOrNull(log) { commitActivation(job) } ?: TermCommitResult.NoResult) {
                 is TermCommitResult.Applied -> return term.loop.run {
-                    job.opened = Job.Opened.YES
+                    job.activation = Job.Activation.ACTIVE
                     cluster.dirty = true
                 }
                 TermCommitResult.LeadershipLost -> return term.lease.end()
--- a/src/main/kotlin/linemast/control/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -26,7 +26,7 @@
 
     /** Stores the changed parts of the completed tasks of [job], or its end if all its tasks are done. */
     fun storeProgress(job: Job) {
-        job.writingDone = true
+        job.storedProgress.isWriting = true
         term.scope.launch {
             val parts = CompletedTaskPart.changed(job, term.limits.maxTxnOps)
             val isDone = job.isDone
@@ -42,7 +42,7 @@
 
     /** Deletes the record of [job], which is cancelled and has no task left anywhere. */
     fun deleteCancelled(job: Job) {
-        job.writingDone = true
+        job.storedProgress.isWriting = true
         term.scope.launch {
             val result = storeResultOrNull(log) { outcomes.commitCancelled(job) }
             term.loop.run { settle(job, result) { cluster.jobs.remove(job.id) } }
@@ -51,7 +51,7 @@
 
     /** Ends the write of [job]; without a result the cluster state asks for the write again. */
     private fun settle(job: Job, result: TermCommitResult?, onApplied: (Long) -> Unit) {
-        job.writingDone = false
+        job.storedProgress.isWriting = false
         when (result) {
             is TermCommitResult.Applied -> onApplied(result.revision)
             is TermCommitResult.Conflict -> refresh(job)
@@ -62,14 +62,14 @@
 
     private fun partsStored(job: Job, parts: List<CompletedTaskPart>, revision: Long) {
         for (part in parts) {
-            job.dirtyParts.clear(part.part)
-            job.partRevisions[part.part] = revision
+            job.storedProgress.dirtyParts.clear(part.part)
+            job.storedProgress.partRevisions[part.part] = revision
         }
     }
 
     /** Tasks completed while the write was under way are in the next one. */
     private fun keepChanged(job: Job, parts: List<CompletedTaskPart>) =
-        parts.filterNot { it.isCurrent(job) }.forEach { job.dirtyParts.set(it.part) }
+        parts.filterNot { it.isCurrent(job) }.forEach { job.storedProgress.dirtyParts.set(it.part) }
 
     private fun finish(job: Job) {
         log.info("{}: done, {} tasks", job.id, job.spec.taskCount)
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -14,6 +14,9 @@
 import linemast.recovery.ReconciliationMonitor
 import linemast.recovery.StateReconciliation
 import linemast.scheduling.Cluster
+import linemast.scheduling.ClusterTerm
+import linemast.scheduling.LeaderClocks
+import linemast.scheduling.OptionalPolicies
 
 /** Creates the collaborators of one leader term and connects them. */
 internal class LeaderComponents(environment: LeaderEnvironment, term: LeaderTerm) {
@@ -32,16 +35,16 @@
     /** Jobs, machines and placements of this term. */
     val cluster = Cluster(
         settings,
-        term.lease.fencingToken,
-        LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros),
+        ClusterTerm(
+            term.lease.fencingToken,
+            LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros),
+        ),
         effects,
         times,
         planner,
-        term.wallMicros,
-        term.clock,
+        LeaderClocks(term.clock, term.wallMicros),
         cancellationFreshness,
-        startTurns = features.admission?.let { FlowRoundRobin(flows) },
-        recovery,
+        OptionalPolicies(startTurns = features.admission?.let { FlowRoundRobin(flows) }, recovery),
     )
 
     /** Reads and writes of the reconciliation after an outage; null if it is not enabled. */
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -1,6 +1,7 @@
 package linemast.control
 
 import linemast.domain.MachineType
+import linemast.domain.StoredJobRecord
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
 import linemast.leadership.CancellationFreshness
@@ -39,7 +40,7 @@
         val blocked = term.store.listAll(JobKeys.WAITING_PREFIX)
         val completed = term.store.listAll(JobKeys.DONE_PREFIX)
         val machines = machineRegistryStore.load()
-        val records = open.entries.map { JobRecordCodec.decode(it.value) to it.revision }
+        val records = open.entries.map { StoredJobRecord(JobRecordCodec.decode(it.value), it.revision) }
         cluster.load(records, machines, term.clock.nowMicros())
         applyCompletedTasks(completed.entries)
         dependencyCoordinator.load(blocked.entries)
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -25,7 +25,7 @@
         this.machineRegistry = machineRegistry
     }
 
-    override fun storeOpened(job: Job) = activations.activate(job)
+    override fun storeActivation(job: Job) = activations.activate(job)
 
     override fun storeDone(job: Job) = jobs.storeProgress(job)
 
--- a/src/main/kotlin/linemast/control/UtilizationLog.kt
+++ b/src/main/kotlin/linemast/control/UtilizationLog.kt
@@ -36,7 +36,7 @@
             machines.sumOf { it.type.vcpus }.toInt(),
             vcpusIn(Placement.Phase.RUNNING),
             vcpusIn(Placement.Phase.FETCHING),
-            vcpusIn(Placement.Phase.SAVING),
+            vcpusIn(Placement.Phase.CHECKPOINTING),
             vcpusIn(Placement.Phase.SENT),
             machines.filter { it.placements.isEmpty() }.sumOf { it.type.vcpus }.toInt(),
         )
--- a/src/main/kotlin/linemast/domain/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -1,135 +1,100 @@
 package linemast.domain
 
-import org.agrona.collections.Int2IntCounterMap
 import java.util.BitSet
 
-/** An unfinished job as the leader sees it. */
-class Job(record: JobRecord, revision: Long, inherited: Boolean) {
-    val spec = record.spec
+/**
+ * An open job as the leader sees it: what is stored of it, its tasks, and its position in the schedule.
+ *
+ * Times named `...WallMicros` are microseconds of the time of day, others are readings of the leader's clock.
+ */
+class Job(
+    record: JobRecord,
+    /** Revision of its record in the store that the leader last saw. */
+    var revision: Long,
+    /** Whether a previous leader may have started tasks of it. */
+    inherited: Boolean,
+) {
+    /** How far the store knows that tasks may have been started. */
+    enum class Activation {
+        /** The store does not say so; no start may leave. */
+        INACTIVE,
 
-    /** Whether tasks that an earlier leader started may be on machines that this one has not heard from. */
-    var unconfirmed = inherited
+        /** The write is under way. */
+        STORING,
+
+        /** The store says so; starts may leave. */
+        ACTIVE,
+    }
+
+    val spec = record.spec
     val id: String get() = spec.id
     val acceptedWallMicros = record.acceptedWallMicros
 
-    /** From when on it could start, if there was room: waiting for other jobs does not count as waiting. */
+    /** From when on it could start if there was free capacity: the time until its dependencies were done does not count. */
     val readyWallMicros = record.releasedWallMicros ?: record.acceptedWallMicros
 
-    /** Its own priority, or that of a job that needs it. */
-    var priority = record.spec.priority
-
-    /** When it has to end for the jobs that need it. */
-    var neededByWallMicros: Long? = null
-
-    /** Revision of its record in the store that the leader last saw. */
-    var revision = revision
-
-    /** How far the store knows that tasks may have been started. */
-    enum class Opened { NO, STORING, YES }
+    /** Whether tasks that a previous leader started may be on machines that have sent this one no heartbeat. */
+    var unconfirmed = inherited
 
-    /** Whether the store says that tasks may have been started. */
-    var opened = if (record.opened) Opened.YES else Opened.NO
+    var activation = if (record.opened) Activation.ACTIVE else Activation.INACTIVE
     var cancelled = record.cancelled
 
-    /** The earliest that its cancellation can have been confirmed, as far as this leader can tell. */
+    /** The earliest time at which its cancellation can have been confirmed, as far as this leader can tell. */
     var cancelledSinceMicros = 0L
 
-    val done = BitSet()
-    var doneCount = 0
-        private set
-
-    /** Parts of the done set that changed since they were last written. */
-    val dirtyParts = BitSet()
-    var writingDone = false
-    var doneStoredMicros = 0L
-
-    /** Revisions of the stored parts: each write builds on them, so that a late one cannot undo a newer one. */
-    val partRevisions = HashMap<Int, Long>()
+    /** Whether its end is stored. */
     var finished = false
 
-    /** All that may be on a machine, or is assigned to one. */
-    val placements = LinkedHashSet<Placement>()
-    private val live = Int2IntCounterMap(0)
-
-    /** Tasks that are done, or may be on a machine, or are assigned. */
-    private val taken = BitSet()
-    var takenCount = 0
-        private set
-
-    var gangAttempt = 0L
-
-    /** Whether a start of [gangAttempt] has left. */
-    var gangAttemptUsed = false
+    /** Its own priority, or a higher one that it inherits from a dependent job. */
+    var priority = record.spec.priority
 
-    /** Whether [gangAttempt] was seen running: it cannot be completed by a replacement any more. */
-    var gangRan = false
+    /** When it has to end so that dependent jobs meet their deadlines; null if none has a deadline. */
+    var neededByWallMicros: Long? = null
 
     /** Why no task of it could be placed last; null once one was placed. */
     var pendingReason: PendingReason? = null
 
-    /** Within its team's guarantee, together with the team's earlier jobs. */
+    /** Whether it is within its team's quota, together with the team's earlier jobs. */
     var withinQuota = false
 
-    /** Accepted long ago and no task of it has been started yet. */
+    /** Whether it was accepted long ago and no task of it has been started yet. */
     var isStarving = false
-    var failures = 0
-    val failedOn = HashSet<String>()
-    var backOffUntilMicros = 0L
 
-    /** Machines and attempts that were acknowledged: starting the same again there would run it once more. */
-    private val acknowledged = HashSet<Pair<String, Long>>()
+    private val tasks = TaskSet(spec.taskCount)
+    val storedProgress = StoredProgress()
 
-    /** The machine was told to forget an attempt of a task. */
-    fun acknowledgedOn(machine: Machine, attempt: Long) {
-        acknowledged += machine.name to attempt
-    }
+    /** The attempt that its tasks share; without meaning for jobs that are no gangs. */
+    val gangAttempt = GangAttempt()
+    val failureBackOff = FailureBackOff()
+    val runTimes = MeasuredRunTimes()
 
-    /** Whether the machine was told to forget a task of the present gang attempt. */
-    fun isAcknowledgedOn(machine: Machine): Boolean = acknowledged.isNotEmpty() && (machine.name to gangAttempt) in acknowledged
+    /** Tasks that have run to completion. */
+    val done: BitSet get() = tasks.done
+    val doneCount: Int get() = tasks.doneCount
+    val isDone: Boolean get() = tasks.isDone
 
-    /** Run times of completed tasks against the owner's estimate. */
-    var measuredMicros = 0L
-    var measuredTasks = 0
+    /** Number of tasks that are done or have a placement. */
+    val doneOrPlacedCount: Int get() = tasks.doneOrPlacedCount
 
-    val pendingCount: Int get() = spec.taskCount - takenCount
-    val isDone: Boolean get() = doneCount == spec.taskCount
-    val runningCount: Int get() = placements.count { it.phase == Placement.Phase.RUNNING }
+    /** Number of tasks that are neither done nor placed. */
+    val pendingCount: Int get() = tasks.pendingCount
 
-    /** The first task from [from] on that is neither done nor placed; -1 if there is none. */
-    fun nextPending(from: Int): Int = taken.nextClearBit(from).let { if (it < spec.taskCount) it else -1 }
+    /** All task attempts that may be on a machine, or are assigned to one. */
+    val placements: Set<Placement> get() = tasks.placements
+    val runningCount: Int get() = placements.count { it.isRunning }
 
-    /** Whether task [index] has a placement. */
-    fun isLive(index: Int): Boolean = live.get(index) > 0
+    /** Names of the machines where a task of it has failed. */
+    val failedOn: MutableSet<String> get() = failureBackOff.failedOn
 
-    /** Counts task [index] as done; false if it was already. */
-    fun markDone(index: Int): Boolean {
-        if (index >= spec.taskCount || done.get(index)) return false
-        done.set(index)
-        doneCount++
-        take(index)
-        return true
-    }
+    /** See [TaskSet.nextPending]. */
+    fun nextPending(from: Int): Int = tasks.nextPending(from)
 
-    /** Takes a placement of one of its tasks. */
-    fun add(placement: Placement) {
-        if (!placements.add(placement)) return
-        live.incrementAndGet(placement.task.index)
-        take(placement.task.index)
-    }
+    /** See [TaskSet.markDone]. */
+    fun markDone(index: Int): Boolean = tasks.markDone(index)
 
-    /** Forgets a placement of one of its tasks. */
-    fun remove(placement: Placement) {
-        if (!placements.remove(placement)) return
-        val index = placement.task.index
-        if (live.decrementAndGet(index) == 0 && !done.get(index)) {
-            taken.clear(index)
-            takenCount--
-        }
-    }
+    /** See [TaskSet.add]. */
+    fun add(placement: Placement) = tasks.add(placement)
 
-    private fun take(index: Int) {
-        if (taken.get(index)) return
-        taken.set(index)
-        takenCount++
-    }
+    /** See [TaskSet.remove]. */
+    fun remove(placement: Placement) = tasks.remove(placement)
 }
--- a/src/main/kotlin/linemast/domain/JobSpec.kt
+++ b/src/main/kotlin/linemast/domain/JobSpec.kt
@@ -43,7 +43,7 @@
     val isGang: Boolean get() = kind == JobKind.GANG
 
     /** Whether stopping a task loses all its work. */
-    val neverSaves: Boolean get() = checkpointIntervalMicros == 0L
+    val neverCheckpoints: Boolean get() = checkpointIntervalMicros == 0L
 
     /** How many of its tasks may be in one zone at a time. */
     val maxTasksPerZone: Int get() = if (spread) (taskCount + 1) / 2 else taskCount
--- /dev/null
+++ b/src/main/kotlin/linemast/domain/TaskId.kt
@@ -0,0 +1,24 @@
+package linemast.domain
+
+/** Identifies a task: the job that it belongs to and its index within the job. */
+data class TaskId(
+    /** Id of the job. */
+    val job: String,
+    /** Position within the job, from 0 to the job's task count less one. */
+    val index: Int,
+) {
+    /** The wire form `job/index`, which [parse] reads. */
+    override fun toString() = "$job/$index"
+
+    companion object {
+        /** Reads the form `job/index`; null if [text] has another form. */
+        fun parse(text: String): TaskId? {
+            val job = text.substringBefore('/')
+            val index = text.substringAfter('/', "").toIntOrNull() ?: return null
+            return if (JobSpec.isId(job) && index >= 0) TaskId(job, index) else null
+        }
+    }
+}
+
+/** Identifies one attempt to run a task. Attempt numbers begin with the fencing token of the leader that chose them. */
+data class TaskAttempt(val task: TaskId, val attempt: Long)
--- a/src/main/kotlin/linemast/planning/RunTimeEstimates.kt
+++ b/src/main/kotlin/linemast/planning/RunTimeEstimates.kt
@@ -23,7 +23,7 @@
 
     /** How long a task of [job] runs, by its own finished tasks if there are enough. */
     fun estimateMicros(job: Job): Long {
-        if (job.measuredTasks >= MIN_MEASURED_TASKS) return job.measuredMicros / job.measuredTasks
+        if (job.runTimes.taskCount >= MIN_MEASURED_TASKS) return job.runTimes.averageMicros
         return estimateMicros(job.spec)
     }
 
--- a/src/main/kotlin/linemast/scheduling/AttemptNumbers.kt
+++ b/src/main/kotlin/linemast/scheduling/AttemptNumbers.kt
@@ -3,34 +3,34 @@
 /**
  * The attempt numbers of one leader, which no other leader uses: they begin with its fencing token.
  *
- * A pass of placement numbers everything it chooses, and the next one chooses most of that anew. So numbers that never
- * left this process are given out again; at thousands of machines they would be used up within hours otherwise.
+ * A scheduling cycle numbers all its assignments, and the next cycle makes most of them anew. So numbers that never left
+ * this process are given out again; otherwise thousands of machines would exhaust them within hours.
  */
-internal class AttemptNumbers(fencingToken: Long, private val most: Long = PER_TOKEN) {
+internal class AttemptNumbers(fencingToken: Long, private val max: Long = PER_TOKEN) {
     private val base = fencingToken * PER_TOKEN
     private var latest = 0L
     private var latestUsed = 0L
 
-    /** Whether the numbers are nearly used up: a leader with the next fencing token has to go on. */
-    val isNearlyExhausted: Boolean get() = latestUsed >= most - most / RESERVED_PART
+    /** Whether the numbers are nearly exhausted: a leader with the next fencing token has to go on. */
+    val isNearlyExhausted: Boolean get() = latestUsed >= max - max / RESERVED_PART
 
     /** A number that no command has carried. */
     fun next(): Long = base + ++latest
 
     /** [attempt] leaves in a command, or is kept for one: it is never given out again. */
-    fun use(attempt: Long) {
+    fun markUsed(attempt: Long) {
         latestUsed = maxOf(latestUsed, attempt - base)
     }
 
-    /** All choices that have not left were dropped: their numbers are free again. */
-    fun forgetUnused() {
+    /** All assignments whose start has not left were dropped: their numbers are free again. */
+    fun releaseUnused() {
         latest = latestUsed
     }
 
     companion object {
         const val PER_TOKEN = 1L shl 24
 
-        /** One part in this many, a million, is more than a pass can choose before the leader has given up. */
+        /** One part in this many, a million, is more than a cycle can assign before the leader has stepped down. */
         private const val RESERVED_PART = 16
     }
 }
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -1,6 +1,5 @@
 package linemast.scheduling
 
-import linemast.admission.FlowRoundRobin
 import linemast.domain.Command
 import linemast.domain.Heartbeat
 import linemast.domain.Job
@@ -9,6 +8,7 @@
 import linemast.domain.MachineType
 import linemast.domain.Placement
 import linemast.domain.StopReason
+import linemast.domain.StoredJobRecord
 import linemast.domain.TaskId
 import linemast.leadership.CancellationFreshness
 import linemast.planning.Planner
@@ -16,7 +16,6 @@
 import linemast.planning.WaitingStage
 import linemast.recovery.StateReconciliation
 import linemast.settings.Settings
-import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
 /**
@@ -24,68 +23,85 @@
  *
  * Pure: events and the time go in, commands and [ClusterEffects] come out. It is owned by one coroutine.
  *
- * That no task runs twice rests on one thing: a placement is only removed when its task is surely not on the
- * machine, and a task with a placement is never started. Placements end here in [Cluster.remove] alone.
+ * That no task runs twice rests on one invariant: a placement is only removed when its task is surely not on the
+ * machine, and a task with a placement is never started. Placements end in [Cluster.remove] alone.
  */
 class Cluster(
-    private val settings: Settings,
-    val fencingToken: Long,
-    private val degradedModeMicros: Long,
+    settings: Settings,
+    term: ClusterTerm,
     private val effects: ClusterEffects,
     val times: RunTimeEstimates,
     val planner: Planner,
-    val wallMicros: () -> Long,
-    private val clock: Clock,
+    private val clocks: LeaderClocks,
     private val cancellationFreshness: CancellationFreshness = CancellationFreshness(settings.workers),
-    /** Whose turn it is among jobs that have waited for long; without it all of them go first. */
-    startTurns: FlowRoundRobin? = null,
-    /** The reconciliation after an outage; null if it is not enabled. */
-    internal val recovery: StateReconciliation? = null,
+    policies: OptionalPolicies = OptionalPolicies(),
 ) {
     private val log = LoggerFactory.getLogger(Cluster::class.java)
+
+    /** The fencing token of this leader's term. */
+    val fencingToken = term.fencingToken
+
+    /** The reconciliation after an outage; null if it is not enabled. */
+    internal val recovery: StateReconciliation? = policies.recovery
+
+    /** Open jobs by id, in the order in which they became known. */
     val jobs = LinkedHashMap<String, Job>()
-    val machines = LinkedHashMap<String, Machine>()
-    var types: Map<String, MachineType> = emptyMap()
 
-    /** Tasks that were chosen for a machine and whose command has not left. */
-    private val chosen = LinkedHashSet<Placement>()
+    /** Machines, and what the cloud says of them. */
+    internal val inventory = MachineInventory(this)
 
-    /** Tasks that are being stopped to make room or before a preemption. */
-    val stopping = LinkedHashSet<Placement>()
-    private var baseline: Set<String> = emptySet()
+    /** Known machines by name. */
+    val machines: MutableMap<String, Machine> get() = inventory.machines
 
-    /** Machines of which the cloud has confirmed that they are gone; names are never used again. */
-    private val returned = LinkedHashSet<String>()
+    /** Machine types by name. */
+    var types: Map<String, MachineType> = emptyMap()
 
-    /** Machines whose return may be carried out at any moment: they get no work. */
-    private val beingReturned = HashSet<String>()
+    /** Placements that were assigned to a machine and whose start has not left. */
+    private val assigned = LinkedHashSet<Placement>()
+
+    /** Placements that are being stopped to free their resources, or before the cloud preempts their machine. */
+    val stopping = LinkedHashSet<Placement>()
 
     internal val attemptNumbers = AttemptNumbers(fencingToken)
+
+    /** What teams use of their quotas. */
     val quota = QuotaUsage(settings.teams)
-    private val scheduler = Scheduler(this, settings, startTurns)
 
-    /** Tasks of a job that the plan books on owned machines side by side. */
+    /** How many tasks of a job the plan runs side by side on baseline machines. */
     var bookings: (Job) -> Int = { 0 }
 
-    /** Jobs that wait for others of which it can be told when they end: they are planned ahead, and nothing else is done. */
+    /** Jobs blocked by dependencies whose ends can be predicted: they are planned ahead, and nothing else. */
     var waitingStages: List<WaitingStage> = emptyList()
 
-    /** Set by whatever may change what can be placed. */
+    /** Whether something changed that may let the scheduler place more tasks. */
     var dirty = true
-    private var nextCycleMicros = 0L
 
     private val timing = WorkerTiming(settings.workers)
-    internal val failover = FailoverReconciliation(this, degradedModeMicros, timing)
-    private val heartbeatHandler = HeartbeatHandler(this, settings.workers, timing, cancellationFreshness, TaskCommands(this))
-
-    /** Whether every task that an earlier leader started has been seen or is surely gone. */
+    private val scheduler = Scheduler(this, settings, policies.startTurns)
+    private val cycleTimer = CycleTimer(clocks.monotonic)
+    private val leaseExpiry = LeaseExpiry(this, effects)
+    private val jobFollowUp = JobFollowUp(this, effects)
+    internal val failover = FailoverReconciliation(this, term.degradedModeMicros, timing)
+    private val heartbeatHandler = HeartbeatHandler(
+        this,
+        settings.workers,
+        HeartbeatAcceptance(this, timing),
+        TaskReconciliation(this, timing, TaskEndings(this)),
+        TaskCommands(this),
+        cancellationFreshness,
+    )
+
+    /** Whether every task that a previous leader started has been seen or has surely ended. */
     val isReconciled: Boolean get() = failover.isReconciled
 
-    /** Takes what the store held; reports count from [nowMicros] on. */
-    fun load(records: List<Pair<JobRecord, Long>>, recorded: List<Machine>, nowMicros: Long) {
-        for ((record, revision) in records) add(record, revision, inherited = record.opened)
-        for (machine in recorded) machines[machine.name] = machine
-        failover.begin(recorded, nowMicros)
+    /** The time of day in microseconds. */
+    fun wallMicros(): Long = clocks.wallMicros()
+
+    /** Takes what the store held; heartbeats count from [nowMicros] on. */
+    fun load(records: List<StoredJobRecord>, registered: List<Machine>, nowMicros: Long) {
+        for (stored in records) add(stored.record, stored.revision, inherited = stored.record.opened)
+        for (machine in registered) machines[machine.name] = machine
+        failover.begin(registered, nowMicros)
         failover.reconcile(nowMicros)
     }
 
@@ -93,14 +109,14 @@
     fun endPreviousLeaders(nowMicros: Long) = failover.endPreviousLeaders(nowMicros)
 
     /** See [HeartbeatHandler.handle]. */
-    fun heartbeat(heartbeat: Heartbeat, nowMicros: Long, allowedCommands: CommandPermission = CommandPermission.ALL): List<Command>? =
-        heartbeatHandler.handle(heartbeat, nowMicros, allowedCommands)
+    fun heartbeat(heartbeat: Heartbeat, nowMicros: Long, permission: CommandPermission = CommandPermission.ALL): List<Command>? =
+        heartbeatHandler.handle(heartbeat, nowMicros, permission)
 
     /** Takes a job's record as the store holds it at [revision]. */
     fun putJob(record: JobRecord, revision: Long) {
         val job = jobs[record.spec.id]
         if (job == null) {
-            // Whatever an earlier leader opened was there to be loaded.
+            // Whatever a previous leader activated was there to be loaded.
             add(record, revision, inherited = false)
         } else {
             job.revision = maxOf(job.revision, revision)
@@ -111,7 +127,7 @@
 
     private fun add(record: JobRecord, revision: Long, inherited: Boolean) {
         val job = Job(record, revision, inherited)
-        if (job.cancelled) job.cancelledSinceMicros = clock.nowMicros()
+        if (job.cancelled) job.cancelledSinceMicros = clocks.monotonic.nowMicros()
         jobs[job.id] = job
     }
 
@@ -119,7 +135,7 @@
     fun dropJob(id: String) {
         val job = jobs[id] ?: return
         job.finished = true
-        unassign(job)
+        removeAssigned(job)
         if (job.placements.isEmpty()) jobs.remove(id)
         dirty = true
     }
@@ -132,55 +148,56 @@
         dirty = true
     }
 
-    /** Stops [job] for good; its user was told that it is cancelled. */
+    /** Stops [job] for good; the cancellation was confirmed to its user. */
     fun cancel(job: Job) {
         if (job.cancelled) return
         job.cancelled = true
         // Confirmed after the last complete read, or that would have shown it.
-        job.cancelledSinceMicros = cancellationFreshness.freshAsOfMicros ?: clock.nowMicros()
+        job.cancelledSinceMicros = cancellationFreshness.freshAsOfMicros ?: clocks.monotonic.nowMicros()
         log.info("{}: cancelled by its user, {} tasks to stop", job.id, job.placements.count { !it.isAssigned })
-        unassign(job)
+        removeAssigned(job)
         dirty = true
     }
 
-    private fun unassign(job: Job) = job.placements.filter { it.isAssigned }.forEach(::remove)
+    private fun removeAssigned(job: Job) = job.placements.filter { it.isAssigned }.forEach(::remove)
 
-    /** Chooses [machine] for a task; the command leaves with the machine's next report. */
-    fun addAssigned(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
+    /** Assigns a task to [machine]; its start leaves with the response to the machine's next heartbeat. */
+    fun assign(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
         val placement = Placement(machine, TaskId(job.id, index), attempt, job)
         put(placement)
         return placement
     }
 
+    /** Adds a placement and counts its resources. */
     internal fun put(placement: Placement) {
-        if (placement.isAssigned) chosen += placement
+        if (placement.isAssigned) assigned += placement
         placement.machine.put(placement)
         placement.job?.add(placement)
         placement.job?.let { quota.add(it.spec) }
     }
 
-    /** The start of [placement] has left in an answer. */
-    internal fun commandSent(placement: Placement) {
-        chosen -= placement
-        attemptNumbers.use(placement.attempt)
+    /** The start of [placement] has left in a response. */
+    internal fun startSent(placement: Placement) {
+        assigned -= placement
+        attemptNumbers.markUsed(placement.attempt)
     }
 
-    /** Choices whose command has not left may be dropped at will. */
-    fun forgetChoices() {
-        chosen.toList().forEach(::remove)
-        attemptNumbers.forgetUnused()
+    /** Drops all assignments whose start has not left, so that the scheduler makes them anew. */
+    fun dropAssignments() {
+        assigned.toList().forEach(::remove)
+        attemptNumbers.releaseUnused()
     }
 
-    /** Has a task stopped with the next answer to its machine. */
+    /** Has a task stopped with the response to its machine's next heartbeat. */
     fun stop(placement: Placement, reason: StopReason, gracePeriodMicros: Long) {
         placement.stopReason = reason
         placement.stopGracePeriodMicros = gracePeriodMicros
         stopping += placement
     }
 
-    /** Forgets a placement: its task is surely not on the machine any more. */
+    /** Removes a placement: its task is surely not on the machine any more. */
     fun remove(placement: Placement) {
-        chosen -= placement
+        assigned -= placement
         stopping -= placement
         placement.machine.remove(placement)
         placement.job?.let {
@@ -190,147 +207,62 @@
         dirty = true
     }
 
-    /** Regular work: ends leases, follows up on cancelled jobs, places what can be placed. */
+    /** Regular work: expires leases and reservations, follows up on jobs, places what can be placed. */
     fun tick(nowMicros: Long) {
-        endLeases(nowMicros)
-        releaseReservations(nowMicros)
-        // What was chosen for a machine that has fallen silent since is chosen anew.
-        if (!dirty) dirty = chosen.any { !scheduler.isFresh(it.machine, nowMicros) }
+        leaseExpiry.expireLeases(nowMicros)
+        expireReservations(nowMicros)
+        // What was assigned to a machine whose heartbeat is missing since is assigned anew.
+        if (!dirty) dirty = assigned.any { !scheduler.isFresh(it.machine, nowMicros) }
         failover.reconcile(nowMicros)
-        val unregistered = machines.values.filter { !it.isRegistered && it.lastHeartbeatMicros > 0 && nowMicros < it.leaseEndMicros }
-        if (unregistered.isNotEmpty()) effects.storeMachines(unregistered)
-        for (job in jobs.values.toList()) followUp(job, nowMicros)
+        leaseExpiry.registerMachines(nowMicros)
+        for (job in jobs.values.toList()) jobFollowUp.followUp(job, nowMicros)
         runCycleIfDue(nowMicros)
     }
 
-    /** What runs nothing any more is taken off the record, so that the next leader need not wait for it. */
-    private fun endLeases(nowMicros: Long) {
-        val over = ArrayList<String>()
+    /** Ends reservations that have expired or whose job needs no more machines. */
+    private fun expireReservations(nowMicros: Long) {
         for (machine in machines.values) {
-            if (nowMicros < machine.leaseEndMicros || (!machine.isRegistered && machine.placements.isEmpty())) continue
-            if (machine.placements.isNotEmpty()) {
-                log.info("{}: silent for longer than a lease, {} tasks lost", machine.name, machine.placements.size)
-                machine.placements.values.toList().forEach(::remove)
-                machine.ended.clear()
-            }
-            if (machine.isRegistered) over += machine.name
-            machine.isRegistered = false
-        }
-        if (over.isNotEmpty()) effects.dropMachines(over)
-    }
-
-    /** Those that are over, or whose job has no more need: nothing else would have the machines looked at again. */
-    private fun releaseReservations(nowMicros: Long) {
-        for (machine in machines.values) {
-            val job = machine.reservedFor ?: continue
-            if (nowMicros < machine.reservedUntilMicros && jobs[job.id] === job && !job.cancelled && job.pendingCount > 0) continue
-            machine.reservedFor = null
+            val reservation = machine.reservation ?: continue
+            val job = reservation.job
+            if (nowMicros < reservation.untilMicros && jobs[job.id] === job && !job.cancelled && job.pendingCount > 0) continue
+            machine.reservation = null
+            // Nothing else would make the scheduler look at the machine again.
             dirty = true
         }
     }
 
-    private fun followUp(job: Job, nowMicros: Long) {
-        if (job.finished) {
-            if (job.placements.isEmpty()) jobs.remove(job.id)
-        } else if (job.cancelled) {
-            if (failover.isReconciledFor(job) && job.placements.isEmpty() && !job.writingDone) effects.dropCancelled(job)
-        } else if (!job.writingDone && !job.dirtyParts.isEmpty) {
-            // Progress is stored now and then: each write takes from what submissions and ends of jobs need.
-            if (!job.isDone && nowMicros < job.doneStoredMicros + PROGRESS_MICROS) return
-            job.doneStoredMicros = nowMicros
-            effects.storeDone(job)
-        }
-    }
-
-    /** Passes take a bounded part of the time, however large the fleet: what a long one costs, reports get before the next. */
+    /** Runs a scheduling cycle if something changed and the pause after the last cycle is over. */
     internal fun runCycleIfDue(nowMicros: Long) {
-        if (!dirty || nowMicros < nextCycleMicros) return
-        val start = clock.nowMicros()
-        scheduler.runCycle(nowMicros)
-        nextCycleMicros = nowMicros + maxOf(CYCLE_MICROS, (clock.nowMicros() - start) * IDLE_SPANS_PER_CYCLE)
+        if (dirty && cycleTimer.isDue(nowMicros)) cycleTimer.run(nowMicros) { scheduler.runCycle(nowMicros) }
     }
 
     /** Has it stored that tasks of [job] may have been started, before the first start leaves. */
-    fun open(job: Job) {
-        if (job.opened != Job.Opened.NO) return
-        job.opened = Job.Opened.STORING
-        effects.storeOpened(job)
+    fun activate(job: Job) {
+        if (job.activation != Job.Activation.INACTIVE) return
+        job.activation = Job.Activation.STORING
+        effects.storeActivation(job)
     }
 
-    /** Whether most workers that reported to this leader have fallen silent at once. */
-    fun hasLostWorkers(nowMicros: Long): Boolean {
-        var known = 0
-        var heard = 0
-        for (machine in machines.values) {
-            if (machine.lastHeartbeatMicros == 0L || machine.draining) continue
-            known++
-            if (nowMicros - machine.lastHeartbeatMicros < timing.lostAfterMicros) heard++
-        }
-        return known >= FEW_WORKERS && heard * MOSTLY < known
-    }
+    /** Whether heartbeats of most workers that reached this leader are missing at once. */
+    fun hasLostWorkers(nowMicros: Long): Boolean = inventory.isMostlyMissingHeartbeats(nowMicros, timing.missingHeartbeatMicros)
 
-    /** Machines that fit a job and are yet kept from it do not count as room for it, neither there nor to be rented. */
+    /** Whether machines of this kind are kept from [job] although it fits: they count neither as free nor as worth renting for it. */
     fun isClosedTo(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isClosedTo(type, spot, job.spec)
 
     internal fun isStartable(job: Job, nowMicros: Long): Boolean = scheduler.isStartable(job, nowMicros)
 
-    internal fun isBaseline(machineName: String): Boolean = machineName in baseline
-
-    /** Whether the cloud has confirmed that the machine is gone. */
-    internal fun isReturned(machineName: String): Boolean = machineName in returned
+    /** See [MachineInventory.markBaseline]. */
+    fun markBaseline(names: Set<String>) = inventory.markBaseline(names)
 
-    /** Whether the machine's return may be carried out at any moment. */
-    internal fun isBeingReturned(machineName: String): Boolean = machineName in beingReturned
+    /** See [MachineInventory.markScalingIn]. */
+    fun markBeingReturned(names: Collection<String>) = inventory.markScalingIn(names)
 
-    /** An earlier leader has decided the return of these: they get no work any more. */
-    fun markBeingReturned(names: Collection<String>) {
-        beingReturned += names
-        names.forEach { machines[it]?.draining = true }
-    }
-
-    /** Whether no task can be on the machine, as far as that can be known. */
-    fun isFree(machineName: String): Boolean = isReconciled && machines[machineName]?.placements.isNullOrEmpty()
+    /** See [MachineInventory.markTerminated]. */
+    fun returned(names: Collection<String>) = inventory.markTerminated(names)
 
-    /** Which machines are owned is known by the fleet. */
-    fun markBaseline(names: Set<String>) {
-        baseline = names
-        machines.values.forEach { it.baseline = it.name in names }
-    }
+    /** See [MachineInventory.removeUnlisted]. */
+    fun forgetAbsent(listed: Set<String>, nowMicros: Long): List<String> = inventory.removeUnlisted(listed, nowMicros)
 
-    /** Machines that are neither listed nor heard of any more; the names of those that were on record. */
-    fun forgetAbsent(listed: Set<String>, nowMicros: Long): List<String> {
-        val absent = machines.values.filter {
-            it.name !in listed && it.placements.isEmpty() && nowMicros > it.leaseEndMicros + FORGET_MICROS
-        }
-        absent.forEach { machines.remove(it.name) }
-        return absent.filter { it.isRegistered }.map { it.name }
-    }
-
-    /** The cloud has confirmed that these are gone. */
-    fun returned(names: Collection<String>) {
-        for (name in names) {
-            returned += name
-            beingReturned -= name
-            val machine = machines.remove(name) ?: continue
-            machine.placements.values.toList().forEach(::remove)
-        }
-        while (returned.size > MAX_RETURNED) returned.remove(returned.first())
-        dirty = true
-    }
-
-    private companion object {
-        const val CYCLE_MICROS = 100_000L
-
-        /** A pass is followed by at least this many times its own span without one. */
-        const val IDLE_SPANS_PER_CYCLE = 8
-        const val FEW_WORKERS = 3
-
-        /** Most are lost if less than one in this many is heard. */
-        const val MOSTLY = 4
-
-        /** Late reports come minutes late at most; so many are four times the machines of the largest fleet. */
-        const val MAX_RETURNED = 24_000
-        const val PROGRESS_MICROS = 5_000_000L
-        const val FORGET_MICROS = 30_000_000L
-    }
+    /** See [MachineInventory.isFree]. */
+    fun isFree(machineName: String): Boolean = inventory.isFree(machineName)
 }
--- a/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
+++ b/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
@@ -3,20 +3,24 @@
 import linemast.domain.Job
 import linemast.domain.Machine
 
-/** What the leader's state wants done in the outside world. */
+/**
+ * Writes to the store that the cluster state asks for.
+ *
+ * Calls return at once. The outcome of a write is taken back into the state by the coroutine that owns it.
+ */
 interface ClusterEffects {
-    /** Store that tasks of this job may be started from now on. */
-    fun storeOpened(job: Job)
+    /** Store that tasks of [job] may be started from now on. */
+    fun storeActivation(job: Job)
 
-    /** Store the changed parts of its done set, and its end when it is done. */
+    /** Store the dirty parts of the job's set of completed tasks, or its end when it is done. */
     fun storeDone(job: Job)
 
-    /** Store that these machines may run tasks. */
+    /** Register [machines] as ones that may run tasks. */
     fun storeMachines(machines: List<Machine>)
 
-    /** Store that these machines run nothing any more. */
+    /** Unregister the machines [names], which run nothing any more. */
     fun dropMachines(names: List<String>)
 
-    /** A cancelled job has no task left anywhere: drop its open record. */
+    /** Delete the open record of [job], which is cancelled and has no task left on any machine. */
     fun dropCancelled(job: Job)
 }
--- a/src/main/kotlin/linemast/scheduling/CommandPermission.kt
+++ b/src/main/kotlin/linemast/scheduling/CommandPermission.kt
@@ -1,12 +1,12 @@
 package linemast.scheduling
 
-/** Which commands the answer to a report may carry. */
+/** Which commands the response to a heartbeat may carry. */
 enum class CommandPermission {
     ALL,
 
     /** A cancellation may be unknown to this leader: nothing may be started. */
     NO_STARTS,
 
-    /** This leader's term may be over: nothing but the end of what is known to be cancelled. */
+    /** This leader's term may be over: nothing but stops of tasks that are known to be cancelled. */
     NO_COMMANDS,
 }
--- a/src/main/kotlin/linemast/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPlacement.kt
@@ -48,16 +48,15 @@
 
     /** Machines of [zone], or of all zones if it is null. One that acknowledged a task of this attempt must not get it again. */
     private fun candidates(gang: Job, zone: String?, cycle: SchedulingCycle): Sequence<Machine> =
-        cycle.machines.candidates(gang).filter { (zone == null || it.zone == zone) && !gang.isAcknowledgedOn(it) }
+        cycle.machines.candidates(gang).filter { (zone == null || it.zone == zone) && !gang.gangAttempt.isAcknowledgedOn(it) }
 
     /** Chooses an attempt number for a gang without placements; false if the present attempt cannot be completed any more. */
     private fun prepareAttempt(gang: Job): Boolean {
-        if (gang.placements.isNotEmpty()) return !gang.gangRan && gang.placements.all { it.attempt == gang.gangAttempt }
-        gang.gangRan = false
-        if (gang.gangAttempt == 0L || gang.gangAttemptUsed) {
+        if (gang.placements.isNotEmpty()) return !gang.gangAttempt.hasRun && gang.placements.all { it.attempt == gang.gangAttempt.number }
+        gang.gangAttempt.hasRun = false
+        if (gang.gangAttempt.isUsed) {
             // The number is used for all cycles until the gang can start as a whole.
-            gang.gangAttempt = cluster.attemptNumbers.next().also(cluster.attemptNumbers::use)
-            gang.gangAttemptUsed = false
+            gang.gangAttempt.begin(cluster.attemptNumbers.next().also(cluster.attemptNumbers::markUsed))
         }
         return true
     }
@@ -68,7 +67,7 @@
         var index = gang.nextPending(0)
         for (machine in machines) {
             while (index >= 0 && machine.fits(gang) && spread.allows(machine.zone)) {
-                placed += cycle.assign(machine, gang, index, gang.gangAttempt)
+                placed += cycle.assign(machine, gang, index, gang.gangAttempt.number)
                 spread.add(machine.zone)
                 index = gang.nextPending(index + 1)
             }
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -109,6 +109,6 @@
     /** Work that a preemption loses, in microseconds of one vcpu: all since the start, or the time to save a checkpoint. */
     private fun lostWork(placement: Placement, nowMicros: Long): Double {
         val spec = placement.job?.spec ?: return 0.0
-        return if (spec.neverSaves) (nowMicros - placement.sentMicros) * spec.vcpus else spec.checkpointMicros * spec.vcpus
+        return if (spec.neverCheckpoints) (nowMicros - placement.sentMicros) * spec.vcpus else spec.checkpointMicros * spec.vcpus
     }
 }
--- a/src/main/kotlin/linemast/scheduling/GangReservation.kt
+++ b/src/main/kotlin/linemast/scheduling/GangReservation.kt
@@ -2,6 +2,7 @@
 
 import linemast.domain.Job
 import linemast.domain.Machine
+import linemast.domain.Reservation
 
 /**
  * The machines reserved for one starving gang.
@@ -20,7 +21,7 @@
         switchTo(gang)
         val available = availableMachines(gang, cycle)
         val chosen = soonestFree(gang, available) ?: return false
-        for ((machine, _) in available) if (machine !in chosen) machine.reservedFor = null
+        for ((machine, _) in available) if (machine !in chosen) machine.reservation = null
         for (machine in chosen) machine.reserveFor(gang, cycle.nowMicros + RESERVATION_MICROS)
         return true
     }
@@ -30,7 +31,7 @@
         val previous = gang
         if (previous === next) return
         if (previous != null) {
-            for (machine in cluster.machines.values) if (machine.reservedFor === previous) machine.reservedFor = null
+            for (machine in cluster.machines.values) if (machine.reservedFor === previous) machine.reservation = null
         }
         gang = next
     }
@@ -58,6 +59,5 @@
 
 /** Reserves this machine for [gang] until [untilMicros]: no other job gets its free capacity. */
 internal fun Machine.reserveFor(gang: Job, untilMicros: Long) {
-    reservedFor = gang
-    reservedUntilMicros = untilMicros
+    reservation = Reservation(gang, untilMicros = untilMicros)
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
@@ -0,0 +1,61 @@
+package linemast.scheduling
+
+import linemast.domain.Heartbeat
+import linemast.domain.HeartbeatOrder
+import linemast.domain.Machine
+import org.slf4j.LoggerFactory
+
+/** Decides which heartbeats count, and records their order, their sender's incarnation and its lease. */
+internal class HeartbeatAcceptance(private val cluster: Cluster, private val timing: WorkerTiming) {
+    private val log = LoggerFactory.getLogger(HeartbeatAcceptance::class.java)
+
+    /** Records [heartbeat] as the newest one of its machine; null if it does not count. */
+    fun accept(heartbeat: Heartbeat, nowMicros: Long): Machine? {
+        // The cloud has confirmed that the machine is gone: a delayed copy must not bring it back.
+        if (cluster.inventory.isTerminated(heartbeat.machineName)) return null
+        val machine = machineOf(heartbeat) ?: return null
+        val heartbeats = machine.heartbeats
+        val order = heartbeats.classify(heartbeat, nowMicros, machine.leaseEndMicros, timing.acknowledgedIntervalMicros)
+        if (order == HeartbeatOrder.STALE) return null
+        if (order == HeartbeatOrder.NEWER && contradicts(machine, heartbeat)) return null
+        val wasUsable = isUsable(machine, machine.fencingToken)
+        val isNewIncarnation = order == HeartbeatOrder.RESTARTED || heartbeat.incarnation > heartbeats.incarnation
+        heartbeats.record(heartbeat, nowMicros, timing.acknowledgedIntervalMicros, timing.minLeaseMicros)
+        if (!wasUsable && isUsable(machine, heartbeat.fencingToken)) cluster.dirty = true
+        if (isNewIncarnation) endIncarnation(machine)
+        machine.leaseEndMicros = cluster.failover.answeredUntilMicros(heartbeat.fencingToken, nowMicros) + timing.maxLeaseMicros
+        return machine
+    }
+
+    private fun isUsable(machine: Machine, fencingToken: Long): Boolean =
+        machine.acknowledgesResponses && fencingToken >= cluster.fencingToken
+
+    /** The machine of [heartbeat], added if it is new; null if its type is unknown. */
+    private fun machineOf(heartbeat: Heartbeat): Machine? {
+        cluster.machines[heartbeat.machineName]?.let { return it }
+        val type = cluster.types[heartbeat.machineType] ?: return null
+        val machine = Machine(heartbeat.machineName, type, heartbeat.zone, heartbeat.spot)
+        cluster.inventory.add(machine)
+        return machine
+    }
+
+    /**
+     * Whether [heartbeat] is of the present incarnation and lacks a task that this incarnation has reported and not ended.
+     * A worker lists its tasks until their ends are acknowledged: such a heartbeat is a delayed copy from before a restart,
+     * whatever its sequence number.
+     */
+    private fun contradicts(machine: Machine, heartbeat: Heartbeat): Boolean {
+        if (heartbeat.incarnation != machine.heartbeats.incarnation) return false
+        val listed = heartbeat.tasks.mapTo(HashSet()) { it.key }
+        return machine.placements.values.any { it.isReported && it.key !in listed }
+    }
+
+    /** The worker has begun a new incarnation: all tasks of the earlier one have ended. */
+    private fun endIncarnation(machine: Machine) {
+        if (machine.placements.isNotEmpty()) log.info("{}: new incarnation, {} tasks lost", machine.name, machine.placements.size)
+        machine.placements.values.toList().forEach { if (!it.isAssigned) cluster.remove(it) }
+        machine.ended.clear()
+        machine.images.clear()
+        cluster.dirty = true
+    }
+}
--- a/src/main/kotlin/linemast/scheduling/JobReadiness.kt
+++ b/src/main/kotlin/linemast/scheduling/JobReadiness.kt
@@ -6,24 +6,24 @@
 /** Tells which jobs may be scheduled now. */
 internal class JobReadiness(private val cluster: Cluster, private val pendingReasons: PendingReasonLog) {
     /** Whether a start of one of the tasks of [job] may be sent. */
-    fun isStartable(job: Job, nowMicros: Long): Boolean = job.opened == Job.Opened.YES &&
+    fun isStartable(job: Job, nowMicros: Long): Boolean = job.activation == Job.Activation.ACTIVE &&
         !job.cancelled &&
         !job.finished &&
-        nowMicros >= job.backOffUntilMicros &&
+        nowMicros >= job.failureBackOff.untilMicros &&
         cluster.failover.isReconciledFor(job)
 
     /** Whether [job] takes part in a scheduling cycle; if not, has done what is needed for that, and records why it is pending. */
     fun prepare(job: Job, nowMicros: Long): Boolean {
-        if (job.opened == Job.Opened.NO) cluster.open(job)
+        if (job.activation == Job.Activation.INACTIVE) cluster.activate(job)
         // Nothing else would trigger the cycle in which the back-off is over.
-        if (nowMicros < job.backOffUntilMicros) cluster.dirty = true
+        if (nowMicros < job.failureBackOff.untilMicros) cluster.dirty = true
         if (isStartable(job, nowMicros)) return true
         pendingReasons.record(job, reasonNotReady(job, nowMicros))
         return false
     }
 
     private fun reasonNotReady(job: Job, nowMicros: Long): PendingReason = when {
-        nowMicros < job.backOffUntilMicros -> PendingReason.BackOff(job.failures)
+        nowMicros < job.failureBackOff.untilMicros -> PendingReason.BackOff(job.failureBackOff.failures)
         !cluster.failover.isReconciledFor(job) -> PendingReason.UnconfirmedTasks
         else -> PendingReason.NotOpened
     }
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -41,7 +41,7 @@
 
     /** Assigns what can be assigned now, and preempts tasks where that is needed and allowed. */
     fun runCycle(nowMicros: Long) {
-        cluster.forgetChoices()
+        cluster.dropAssignments()
         cluster.dirty = false
         val ranked = rankJobs(nowMicros)
         val jobs = ranked.map { it.job }
--- a/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -20,7 +20,7 @@
 
     /** Assigns task [index] of [job] to [machine]; the start leaves with the response to the machine's next heartbeat. */
     fun assign(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
-        val placement = cluster.addAssigned(machine, job, index, attempt)
+        val placement = cluster.assign(machine, job, index, attempt)
         machines.assigned(placement)
         return placement
     }
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -2,24 +2,25 @@
 
 import linemast.domain.Command
 import linemast.domain.EndCause
+import linemast.domain.Job
 import linemast.domain.Machine
 import linemast.domain.Placement
 import linemast.domain.TaskStatus
 import linemast.jobs.CompletedTaskParts
 import linemast.recovery.ReconciliationStatistics
 
-/** Chooses the commands that leave in the answer to a worker's report. */
+/** Chooses the commands of the response to a worker's heartbeat. */
 internal class TaskCommands(private val cluster: Cluster) {
-    /** Verdicts are final: what they end may be ended by an earlier leader too. */
+    /** Stops of cancelled tasks alone. A cancellation is final, so that a previous leader too may act on it. */
     fun stopsOfCancelled(machine: Machine): List<Command> =
         machine.placements.values.filter { it.job?.cancelled == true && !it.isAssigned }.map(::stopAtOnce)
 
     private fun stopAtOnce(placement: Placement): Command {
-        placement.stopSent = true
+        placement.isStopSent = true
         return Command.Stop(placement.task, placement.attempt, 0)
     }
 
-    /** The commands for the answer to a report of [machine]; starts only if [mayStart]. */
+    /** The commands for the response to a heartbeat of [machine]; starts only if [mayStart]. */
     fun commandsFor(machine: Machine, mayStart: Boolean, nowMicros: Long): List<Command> {
         val commands = ArrayList<Command>()
         for (task in machine.ended.values) {
@@ -28,63 +29,75 @@
         cluster.recovery?.count(ReconciliationStatistics.Command.ACKNOWLEDGE, commands.size)
         for (placement in machine.placements.values.toList()) {
             if (commands.size >= MAX_COMMANDS) break
-            if (placement.isAssigned) {
-                if (!mayStart || !mayStart(machine, placement, nowMicros) || !isInPace(placement, nowMicros)) {
-                    cluster.remove(placement)
-                    continue
-                }
-                placement.phase = Placement.Phase.SENT
-                placement.sentMicros = nowMicros
-                cluster.commandSent(placement)
-                placement.job?.gangAttemptUsed = true
-                commands += Command.Start(placement.task, placement.attempt)
-                cluster.recovery?.count(ReconciliationStatistics.Command.START)
-            } else if (shouldStop(placement, nowMicros)) {
-                if (!placement.stopSent) cluster.recovery?.count(ReconciliationStatistics.Command.STOP)
-                placement.stopSent = true
-                commands += Command.Stop(placement.task, placement.attempt, placement.stopGracePeriodMicros)
-            }
+            val command = if (placement.isAssigned) start(placement, mayStart, nowMicros) else stop(placement, nowMicros)
+            if (command != null) commands += command
         }
         return commands
     }
 
-    /** A result may be forgotten by the worker only once the store has it. */
+    /** The start of an assigned task; null if it may not leave, which drops the assignment. */
+    private fun start(placement: Placement, mayStart: Boolean, nowMicros: Long): Command? {
+        if (!mayStart || !mayStart(placement, nowMicros) || !isWithinStartRate(placement, nowMicros)) {
+            cluster.remove(placement)
+            return null
+        }
+        placement.phase = Placement.Phase.SENT
+        placement.sentMicros = nowMicros
+        cluster.startSent(placement)
+        placement.job?.gangAttempt?.isStartSent = true
+        cluster.recovery?.count(ReconciliationStatistics.Command.START)
+        return Command.Start(placement.task, placement.attempt)
+    }
+
+    /** The stop of a task that may be on the machine; null if it is to go on. */
+    private fun stop(placement: Placement, nowMicros: Long): Command? {
+        if (!shouldStop(placement, nowMicros)) return null
+        if (!placement.isStopSent) cluster.recovery?.count(ReconciliationStatistics.Command.STOP)
+        placement.isStopSent = true
+        return Command.Stop(placement.task, placement.attempt, placement.stopGracePeriodMicros)
+    }
+
+    /** The worker may forget a result only once the store has it. */
     private fun mayAcknowledge(machine: Machine, task: TaskStatus, nowMicros: Long): Boolean {
         val job = cluster.jobs[task.task.job] ?: return mayDiscard(task.task.job, nowMicros)
         if (job.cancelled || job.finished) return true
-        if (job.spec.isGang) job.acknowledgedOn(machine, task.attempt)
+        if (job.spec.isGang) job.gangAttempt.recordAcknowledgement(machine, task.attempt)
         if (task.cause != EndCause.DONE) return true
         val part = CompletedTaskParts.partOf(task.task.index)
-        return !job.dirtyParts.get(part) && !job.writingDone
+        return !job.storedProgress.dirtyParts.get(part) && !job.storedProgress.isWriting
     }
 
-    private fun mayStart(machine: Machine, placement: Placement, nowMicros: Long): Boolean {
+    private fun mayStart(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job ?: return false
-        return !job.cancelled && !job.finished && !machine.draining && machine.isRegistered && cluster.isStartable(job, nowMicros)
+        if (job.cancelled || job.finished) return false
+        return !placement.machine.draining && placement.machine.isRegistered && cluster.isStartable(job, nowMicros)
     }
 
     /** Without a record of its job a task, or its result, is not to be ended before the store has been asked. */
     private fun mayDiscard(job: String, nowMicros: Long): Boolean = cluster.recovery?.mayDiscard(job, nowMicros) ?: true
 
     /** The starts of a gang leave together: one that comes late would hold the machines of all others. */
-    private fun isInPace(placement: Placement, nowMicros: Long): Boolean = placement.job?.spec?.isGang == true || mayOrder(nowMicros)
+    private fun isWithinStartRate(placement: Placement, nowMicros: Long): Boolean =
+        placement.job?.spec?.isGang == true || mayCommand(nowMicros)
 
-    private fun mayOrder(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
+    private fun mayCommand(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
 
     private fun shouldStop(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job
-        if (job == null && !(mayDiscard(placement.task.job, nowMicros) && mayOrder(nowMicros))) return false
-        if (job == null || job.cancelled || job.finished || job.done.get(placement.task.index)) {
-            placement.stopGracePeriodMicros = 0
-            return true
-        }
-        if (job.spec.isGang && placement.attempt < job.gangAttempt) {
+        if (job == null && !(mayDiscard(placement.task.job, nowMicros) && mayCommand(nowMicros))) return false
+        if (job == null || isObsolete(placement, job)) {
             placement.stopGracePeriodMicros = 0
             return true
         }
         return placement.stopReason != null
     }
 
+    /** Whether nothing that the task could still do is of use. */
+    private fun isObsolete(placement: Placement, job: Job): Boolean = job.cancelled ||
+        job.finished ||
+        job.done.get(placement.task.index) ||
+        (job.spec.isGang && placement.attempt < job.gangAttempt.number)
+
     private companion object {
         const val MAX_COMMANDS = 300
     }
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -0,0 +1,70 @@
+package linemast.scheduling
+
+import linemast.domain.EndCause
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.Placement
+import linemast.domain.TaskStatus
+import linemast.jobs.CompletedTaskParts
+import linemast.recovery.ReconciliationStatistics
+import org.slf4j.LoggerFactory
+
+/** Takes the ends of tasks: counts completed ones, delays jobs that keep failing, and quarantines faulty machines. */
+internal class TaskEndings(private val cluster: Cluster) {
+    private val log = LoggerFactory.getLogger(TaskEndings::class.java)
+
+    /** [task] has ended on [machine]; [placement] is null if its end was taken before, or if the leader did not know of it. */
+    fun ended(machine: Machine, task: TaskStatus, placement: Placement?, nowMicros: Long) {
+        if (placement != null) cluster.remove(placement)
+        val job = cluster.jobs[task.task.job]
+        if (job == null) cluster.recovery?.countUnknown(task.key)
+        if (job == null || task.task.index >= job.spec.taskCount) return
+        when (task.cause) {
+            EndCause.DONE -> completed(machine, job, task, placement, nowMicros)
+            EndCause.FAILED -> failed(machine, job, nowMicros)
+            else -> if (placement != null) log.debug("{}: ended on {}: {}", task.task, machine.name, task.cause)
+        }
+    }
+
+    private fun completed(machine: Machine, job: Job, task: TaskStatus, placement: Placement?, nowMicros: Long) {
+        machine.failedJobs.clear()
+        job.failureBackOff.recordSuccess()
+        if (placement != null) measureRunTime(job, placement, nowMicros)
+        if (job.finished || job.cancelled) return
+        // A gang completes together: the end of one of its tasks is the end of all.
+        val indices = if (job.spec.isGang) 0 until job.spec.taskCount else task.task.index..task.task.index
+        for (index in indices) {
+            if (!job.markDone(index)) continue
+            job.storedProgress.dirtyParts.set(CompletedTaskParts.partOf(index))
+            cluster.recovery?.count(ReconciliationStatistics.Difference.RESULT)
+        }
+        cluster.dirty = true
+    }
+
+    private fun measureRunTime(job: Job, placement: Placement, nowMicros: Long) {
+        if (placement.runningSinceMicros == 0L || job.spec.isGang) return
+        val runMicros = nowMicros - placement.runningSinceMicros
+        job.runTimes.add(runMicros)
+        cluster.times.recordFinished(job.spec, runMicros)
+    }
+
+    private fun failed(machine: Machine, job: Job, nowMicros: Long) {
+        // The same failure is reported until its end is acknowledged; it counts once.
+        if (!job.failedOn.add(machine.name) && !machine.failedJobs.add(job.id)) return
+        machine.failedJobs += job.id
+        job.failureBackOff.recordFailure(nowMicros)
+        log.debug("{}: failed on {}, {} times in all", job.id, machine.name, job.failureBackOff.failures)
+        if (machine.failedJobs.size >= FAILED_JOBS_BEFORE_QUARANTINE && !machine.draining) quarantine(machine)
+        cluster.dirty = true
+    }
+
+    /** A machine where several jobs fail and none completes is faulty. */
+    private fun quarantine(machine: Machine) {
+        log.info("{}: {} jobs failed here with none completed, quarantined", machine.name, machine.failedJobs.size)
+        machine.draining = true
+    }
+
+    private companion object {
+        const val FAILED_JOBS_BEFORE_QUARANTINE = 2
+    }
+}
--- a/src/main/kotlin/linemast/scheduling/TaskPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskPreemption.kt
@@ -16,7 +16,7 @@
 
     private fun gracePeriodMicrosOf(placement: Placement): Long {
         val spec = placement.job?.spec
-        return if (spec == null || spec.neverSaves) 0 else spec.checkpointMicros + gracePeriodMicros
+        return if (spec == null || spec.neverCheckpoints) 0 else spec.checkpointMicros + gracePeriodMicros
     }
 
     /** Vcpus of the tasks of [team] that are being stopped. */
--- /dev/null
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -0,0 +1,79 @@
+package linemast.scheduling
+
+import linemast.domain.Heartbeat
+import linemast.domain.Job
+import linemast.domain.Machine
+import linemast.domain.Placement
+import linemast.domain.TaskAttempt
+import linemast.domain.TaskState
+import linemast.domain.TaskStatus
+import linemast.recovery.ReconciliationStatistics
+import org.slf4j.LoggerFactory
+
+/** Reconciles a machine's placements with the tasks that its worker reports. */
+internal class TaskReconciliation(private val cluster: Cluster, private val timing: WorkerTiming, private val taskEndings: TaskEndings) {
+    private val log = LoggerFactory.getLogger(TaskReconciliation::class.java)
+
+    /** Takes all tasks of an accepted heartbeat: found ones are adopted, missing ones are lost. */
+    fun reconcile(machine: Machine, heartbeat: Heartbeat, nowMicros: Long) {
+        val reported = HashSet<TaskAttempt>()
+        machine.ended.clear()
+        for (task in heartbeat.tasks) {
+            reported += task.key
+            val placement = machine.placements[task.key]
+            if (task.state == TaskState.ENDED) {
+                machine.ended[task.key] = task
+                taskEndings.ended(machine, task, placement, nowMicros)
+            } else {
+                advance(placement ?: adopt(machine, task, nowMicros), task, nowMicros)
+            }
+        }
+        machine.placements.values.filter { isLost(it, reported, nowMicros) }.forEach(::lost)
+        if (machine.placements.isNotEmpty() || machine.idleSinceMicros == 0L) machine.idleSinceMicros = nowMicros
+    }
+
+    /** A placement for a task that this leader has not started. */
+    private fun adopt(machine: Machine, task: TaskStatus, nowMicros: Long): Placement {
+        val job = cluster.jobs[task.task.job]?.takeIf { task.task.index < it.spec.taskCount }
+        val placement = Placement(machine, task.task, task.attempt, job)
+        placement.phase = Placement.Phase.SENT
+        placement.sentMicros = nowMicros
+        cluster.put(placement)
+        countFound(job, task.key)
+        if (job != null && job.spec.isGang) job.gangAttempt.adopt(task.attempt)
+        return placement
+    }
+
+    private fun countFound(job: Job?, attempt: TaskAttempt) {
+        val recovery = cluster.recovery ?: return
+        if (job == null) recovery.countUnknown(attempt) else recovery.count(ReconciliationStatistics.Difference.ADOPTED)
+    }
+
+    private fun advance(placement: Placement, task: TaskStatus, nowMicros: Long) {
+        placement.phase = when (task.state) {
+            TaskState.FETCHING -> Placement.Phase.FETCHING
+            TaskState.WAITING_FOR_GANG -> Placement.Phase.WAITING_FOR_GANG
+            TaskState.RUNNING -> Placement.Phase.RUNNING
+            TaskState.CHECKPOINTING, TaskState.ENDED -> Placement.Phase.CHECKPOINTING
+        }
+        if (placement.isRunning) {
+            if (placement.runningSinceMicros == 0L) placement.runningSinceMicros = nowMicros
+            placement.job?.gangAttempt?.hasRun = true
+        }
+        if (placement.phase != Placement.Phase.FETCHING) placement.job?.let { placement.machine.images += it.spec.image }
+    }
+
+    /** Where a delayed copy looks like a heartbeat, a start is not taken for lost before heartbeats had time to show it. */
+    private fun isLost(placement: Placement, reported: Set<TaskAttempt>, nowMicros: Long): Boolean {
+        if (placement.key in reported || placement.isAssigned) return false
+        return !placement.machine.heartbeats.isAmbiguous || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
+    }
+
+    private fun lost(placement: Placement) {
+        cluster.recovery?.count(ReconciliationStatistics.Difference.LOST)
+        if (placement.phase != Placement.Phase.SENT) {
+            log.info("{} on {}: not reported any more", placement.task, placement.machine.name)
+        }
+        cluster.remove(placement)
+    }
+}
--- a/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
+++ b/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
@@ -3,30 +3,30 @@
 import linemast.leadership.LeaderLease
 import linemast.settings.WorkerSettings
 
-/** Durations that follow from how often workers report and how long their leases are, with room for clock drift. */
+/** Durations that follow from workers' heartbeat interval and lease, with margins for clock drift. */
 internal class WorkerTiming(workers: WorkerSettings) {
-    /** Leases that some leader could have renewed are over after this long, on any clock. */
-    val longestLeaseMicros = workers.leaseMicros.let { it + 2 * LeaderLease.driftMicros(it) + LEASE_MARGIN_MICROS }
+    /** Leases that some leader could have renewed have expired after this long, on any clock. */
+    val maxLeaseMicros = workers.leaseMicros.let { it + 2 * LeaderLease.driftMicros(it) + LEASE_MARGIN_MICROS }
 
     /** A lease that a worker has just been given lasts at least this long, on any clock. */
-    val shortestLeaseMicros = workers.leaseMicros.let { it - 2 * LeaderLease.driftMicros(it) }
+    val minLeaseMicros = workers.leaseMicros.let { it - 2 * LeaderLease.driftMicros(it) }
 
     /**
-     * A worker that got no answer reports again after its time-out and a pause; one that reports sooner than that
-     * got the answer before.
+     * A worker that got no response sends its next heartbeat after its timeout and a pause; one that sends it sooner than
+     * this got the response before.
      */
-    val answeredWithinMicros = maxOf(UNANSWERED_MICROS, workers.heartbeatIntervalMicros * 5 / 4 + REPORT_SLACK_MICROS)
+    val acknowledgedIntervalMicros = maxOf(UNACKNOWLEDGED_INTERVAL_MICROS, workers.heartbeatIntervalMicros * 5 / 4 + HEARTBEAT_SLACK_MICROS)
 
-    /** A worker that has been silent for this long does not get through. */
-    val lostAfterMicros = workers.heartbeatIntervalMicros * 3 / 2 + 2 * REPORT_SLACK_MICROS
+    /** A worker without a heartbeat for this long does not get through. */
+    val missingHeartbeatMicros = workers.heartbeatIntervalMicros * 3 / 2 + 2 * HEARTBEAT_SLACK_MICROS
 
     /** Workers can have found a new leader within this time. */
-    val takeoverMicros = workers.heartbeatIntervalMicros * 5 / 4 + TAKEOVER_MARGIN_MICROS
+    val failoverMicros = workers.heartbeatIntervalMicros * 5 / 4 + FAILOVER_MARGIN_MICROS
 
     private companion object {
         const val LEASE_MARGIN_MICROS = 300_000L
-        const val UNANSWERED_MICROS = 4_700_000L
-        const val REPORT_SLACK_MICROS = 1_000_000L
-        const val TAKEOVER_MARGIN_MICROS = 3_000_000L
+        const val UNACKNOWLEDGED_INTERVAL_MICROS = 4_700_000L
+        const val HEARTBEAT_SLACK_MICROS = 1_000_000L
+        const val FAILOVER_MARGIN_MICROS = 3_000_000L
     }
 }
--- a/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
+++ b/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
@@ -9,13 +9,13 @@
 import linemast.serialization.Fields
 import linemast.serialization.MalformedException
 
-/** The wire form of workers' reports and of the answers to them; see docs/glossary.md for the names. */
+/** The wire form of workers' heartbeats and of the responses to them; see docs/glossary.md for the names. */
 object HeartbeatCodec {
     private val states = mapOf(
         "fetching" to TaskState.FETCHING,
         "gathering" to TaskState.WAITING_FOR_GANG,
         "running" to TaskState.RUNNING,
-        "saving" to TaskState.SAVING,
+        "saving" to TaskState.CHECKPOINTING,
         "ended" to TaskState.ENDED,
     )
     private val causes = mapOf(
@@ -24,12 +24,12 @@
         "mates_gone" to EndCause.GANG_LOST,
         "alone" to EndCause.GANG_INCOMPLETE,
         "error" to EndCause.FAILED,
-        "no_room" to EndCause.NO_ROOM,
-        "busy" to EndCause.BUSY,
+        "no_room" to EndCause.INSUFFICIENT_RESOURCES,
+        "busy" to EndCause.OTHER_ATTEMPT_PRESENT,
         "unknown" to EndCause.UNKNOWN_TASK,
     )
 
-    /** Reads a report's body. */
+    /** Reads the body of a heartbeat. Throws [MalformedException] if a field is missing or has a wrong form. */
     fun decode(fields: Fields) = Heartbeat(
         machineName = fields.text("rig"),
         addr = fields.textOrNull("addr") ?: "",
@@ -46,16 +46,16 @@
     private fun decodeTask(fields: Fields) = TaskStatus(
         task = TaskId.parse(fields.text("piece")) ?: throw MalformedException("piece: is not a task"),
         attempt = fields.long("try"),
-        status = states[fields.text("status")] ?: fields.fail("status", "is unknown"),
+        state = states[fields.text("status")] ?: fields.fail("status", "is unknown"),
         cause = fields.textOrNull("cause")?.let { causes[it] ?: EndCause.OTHER },
-        saved = fields.flagOrNull("saved") ?: false,
+        hasCheckpoint = fields.flagOrNull("saved") ?: false,
     )
 
-    /** The body of an answer that carries [commands]. */
-    fun encodeAnswer(fencingToken: Long, commands: List<Command>): Map<String, Any?> =
+    /** The body of a response that carries [commands]. */
+    fun encodeResponse(fencingToken: Long, commands: List<Command>): Map<String, Any?> =
         mapOf("helm" to fencingToken, "orders" to commands.map(::encode))
 
-    /** The body of an answer that sends the worker to the controller [nodeName]. */
+    /** The body of a response that redirects the worker to the controller [nodeName]. */
     fun encodeRedirect(nodeName: String): Map<String, Any?> = mapOf("bridge" to nodeName)
 
     private fun encode(command: Command): Map<String, Any?> = when (command) {
--- a/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
@@ -16,7 +16,7 @@
     private fun reasonAfter(idleMicros: Long, isBaseline: Boolean, demandCeased: Boolean, isNeeded: Boolean = false): ScaleInReason? {
         val nowMicros = 600_000_000L
         val worker = Machine("host-000001", type, "z", false)
-        worker.lastHeartbeatMicros = nowMicros - 500_000
+        worker.heartbeats.lastMicros = nowMicros - 500_000
         worker.idleSinceMicros = nowMicros - idleMicros
         val listed = CloudMachine(worker.name, type, "z", false, createdMicros = 0)
         val situation = ScaleInPolicy.Situation({ isNeeded }, demandCeased, setOf("z"), nowMicros)
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -8,7 +8,7 @@
 import linemast.jobs.JobKeys
 import linemast.jobs.JobRecordCodec
 import linemast.scheduling.ClusterFixture
-import linemast.scheduling.HandWorker
+import linemast.scheduling.FakeWorker
 import linemast.serialization.Fields
 import linemast.settings.StoreLimits
 import linemast.simulation.SimStore
@@ -43,7 +43,7 @@
         client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
         val fixture = ClusterFixture()
         val first = fixture.submit("req-1", 2)
-        HandWorker(fixture, "host-000001").reportFor(3)
+        FakeWorker(fixture, "host-000001").heartbeatFor(3)
         val coordinator = coordinator(client, fixture)
         coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
         coordinator.step()
--- a/src/test/kotlin/linemast/scheduling/AttemptNumbersTest.kt
+++ b/src/test/kotlin/linemast/scheduling/AttemptNumbersTest.kt
@@ -9,18 +9,18 @@
 /** Numbers that have left are never given out again, and those that have not are not wasted. */
 class AttemptNumbersTest {
     @Test
-    fun `generated passes never use a number twice`() {
+    fun `a number that has left in a command is never given out again`() {
         val seed = 5
         println("seed $seed")
         val random = Random(seed)
         val numbers = AttemptNumbers(fencingToken = 7)
         val used = HashSet<Long>()
         repeat(2_000) {
-            numbers.forgetUnused()
+            numbers.releaseUnused()
             val chosen = List(random.nextInt(50)) { numbers.next() }
             for (attempt in chosen) {
                 if (random.nextInt(10) > 0) continue
-                numbers.use(attempt)
+                numbers.markUsed(attempt)
                 assertTrue(used.add(attempt), "attempt $attempt was used twice")
             }
         }
@@ -30,22 +30,22 @@
     }
 
     @Test
-    fun `passes that send nothing use up nothing`() {
+    fun `scheduling cycles that send nothing consume no numbers`() {
         val numbers = AttemptNumbers(fencingToken = 7)
         val first = numbers.next()
         repeat(100_000) {
-            numbers.forgetUnused()
+            numbers.releaseUnused()
             assertEquals(first, numbers.next())
         }
     }
 
     @Test
-    fun `the end of the numbers shows before a number of the next token is reached`() {
-        val numbers = AttemptNumbers(fencingToken = 7, most = 1_600)
+    fun `numbers are reported as nearly exhausted before they reach those of the next token`() {
+        val numbers = AttemptNumbers(fencingToken = 7, max = 1_600)
         val last = (1..1_499).map { numbers.next() }.last()
-        numbers.use(last)
+        numbers.markUsed(last)
         assertFalse(numbers.isNearlyExhausted)
-        numbers.use(numbers.next())
+        numbers.markUsed(numbers.next())
         assertTrue(numbers.isNearlyExhausted)
     }
 }
--- a/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -6,6 +6,7 @@
 import linemast.domain.Machine
 import linemast.domain.MachineType
 import linemast.domain.Placement
+import linemast.domain.Reservation
 import linemast.domain.TaskId
 import linemast.testSpec
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -86,7 +87,7 @@
             val job = jobs.random(random)
             if (machine.fits(job)) machine.put(Placement(machine, TaskId("req-99", at), 1, job))
         }
-        if (random.nextInt(6) == 0) machine.reservedFor = jobs.random(random)
+        if (random.nextInt(6) == 0) machine.reservation = Reservation(jobs.random(random), untilMicros = 0)
         if (random.nextInt(8) == 0) jobs.random(random).failedOn += machine.name
         return machine
     }
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -7,6 +7,7 @@
 import linemast.domain.JobRecord
 import linemast.domain.Machine
 import linemast.domain.MachineType
+import linemast.domain.StoredJobRecord
 import linemast.domain.TaskId
 import linemast.domain.TaskState
 import linemast.domain.TaskStatus
@@ -29,12 +30,12 @@
     val workers get() = settings.workers
     private val times = RunTimeEstimates()
     private val effects = object : ClusterEffects {
-        override fun storeOpened(job: Job) {
-            job.opened = Job.Opened.YES
+        override fun storeActivation(job: Job) {
+            job.activation = Job.Activation.ACTIVE
         }
 
         override fun storeDone(job: Job) {
-            job.dirtyParts.clear()
+            job.storedProgress.dirtyParts.clear()
             if (job.isDone) cluster.finish(job)
         }
 
@@ -47,11 +48,18 @@
         override fun dropCancelled(job: Job) = Unit
     }
     val cluster: Cluster =
-        Cluster(settings, fencingToken, GRACE_MICROS, effects, times, Planner(settings, Policy(), times), { now }, { now })
+        Cluster(
+            settings,
+            ClusterTerm(fencingToken, DEGRADED_MODE_MICROS),
+            effects,
+            times,
+            Planner(settings, Policy(), times),
+            LeaderClocks({ now }, { now }),
+        )
 
     init {
         cluster.types = mapOf(TYPE.name to TYPE)
-        cluster.load(open.map { it to 1L }, recorded.map { Machine(it, TYPE, "z", false) }, now)
+        cluster.load(open.map { StoredJobRecord(it, revision = 1) }, recorded.map { Machine(it, TYPE, "z", false) }, now)
     }
 
     fun submit(id: String, taskCount: Int, gang: Boolean = false, vcpus: Double = 1.0, team: String = "team"): Job {
@@ -71,7 +79,7 @@
     }
 
     companion object {
-        const val GRACE_MICROS = 14_000_000L
+        const val DEGRADED_MODE_MICROS = 14_000_000L
         const val TEAM = """{ name = "team", cpus = 8, cpus_max = 64, gpus = 0, gpus_max = 0 }"""
         val TYPE = MachineType("t", 8.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("z"))
 
@@ -88,13 +96,13 @@
 }
 
 /** A worker that does what it is told, if the answer reaches it. */
-internal class HandWorker(private val fixture: ClusterFixture, val name: String) {
+internal class FakeWorker(private val fixture: ClusterFixture, val name: String) {
     var incarnation = 1L
     var sequenceNumber = 0L
     var fencingToken = 0L
     val tasks = LinkedHashMap<Pair<TaskId, Long>, TaskState>()
 
-    fun makeReport(): Heartbeat = Heartbeat(
+    fun nextHeartbeat(): Heartbeat = Heartbeat(
         name, "", ClusterFixture.TYPE.name, "z", false, incarnation, ++sequenceNumber, fencingToken, null,
         tasks.map { (key, status) ->
             TaskStatus(
@@ -114,7 +122,7 @@
     )
 
     fun heartbeat(answered: Boolean = true): List<Command> {
-        val commands = fixture.heartbeat(makeReport())
+        val commands = fixture.heartbeat(nextHeartbeat())
         if (!answered) return commands
         fencingToken = fixture.fencingToken
         for (order in commands) {
@@ -129,7 +137,7 @@
     }
 
     /** Reports once a second for [seconds]. */
-    fun reportFor(seconds: Int, answered: Boolean = true): List<Command> = (1..seconds).flatMap {
+    fun heartbeatFor(seconds: Int, answered: Boolean = true): List<Command> = (1..seconds).flatMap {
         fixture.pass(1_000_000)
         heartbeat(answered)
     }
--- /dev/null
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -0,0 +1,153 @@
+package linemast.scheduling
+
+import linemast.domain.Command
+import linemast.domain.Heartbeat
+import linemast.domain.TaskState
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+import kotlin.random.Random
+
+/** Which heartbeats count, when copies come late or a worker restarts. */
+class HeartbeatOrderTest {
+    /** Copies of a worker's heartbeats come again, up to several leases late. */
+    @ParameterizedTest
+    @ValueSource(ints = [11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30])
+    fun `late copies of heartbeats change nothing`(seed: Int) {
+        val random = Random(seed)
+        val fixture = ClusterFixture()
+        val worker = FakeWorker(fixture, "host-000001")
+        fixture.submit("req-1", 40)
+        val sent = ArrayList<Heartbeat>()
+        repeat(40) {
+            fixture.pass(1_000_000)
+            if (random.nextInt(3) == 0) worker.tasks.keys.randomOrNull(random)?.let { worker.tasks[it] = TaskState.ENDED }
+            worker.heartbeat()
+            sent += worker.nextHeartbeat().also { worker.sequenceNumber-- }
+            val before = state(fixture)
+            repeat(random.nextInt(3)) {
+                val copy = sent[random.nextInt(sent.size)]
+                if (copy.sequenceNumber < worker.sequenceNumber) assertEquals(emptyList<Command>(), fixture.heartbeat(copy))
+            }
+            assertEquals(before, state(fixture))
+        }
+    }
+
+    private fun state(fixture: ClusterFixture) = fixture.cluster.machines.values.map { machine ->
+        listOf(
+            machine.name,
+            machine.heartbeats.incarnation,
+            machine.heartbeats.sequenceNumber,
+            machine.fencingToken,
+            machine.lastHeartbeatMicros,
+            machine.leaseEndMicros,
+            machine.placements.keys.toList(),
+        )
+    } to fixture.cluster.jobs.values.map { it.doneCount to it.pendingCount }
+
+    @Test
+    fun `a late copy does not bring a terminated machine back`() {
+        val fixture = ClusterFixture()
+        val worker = FakeWorker(fixture, "host-000001")
+        worker.heartbeatFor(3)
+        val copy = worker.nextHeartbeat()
+        fixture.cluster.returned(listOf(worker.name))
+        assertEquals(emptyList<Command>(), fixture.heartbeat(copy))
+        assertFalse(worker.name in fixture.cluster.machines)
+    }
+
+    @Test
+    fun `a restarted worker is accepted once its lease has expired, a single late copy is not`() {
+        val fixture = ClusterFixture()
+        val worker = FakeWorker(fixture, "host-000001")
+        fixture.submit("req-1", 4)
+        worker.heartbeatFor(6)
+        assertEquals(4, worker.tasks.size)
+        val machine = fixture.cluster.machines.getValue(worker.name)
+        val old = worker.nextHeartbeat().also(fixture::heartbeat)
+        worker.sequenceNumber = 0
+        worker.tasks.clear()
+        worker.heartbeatFor(2)
+        assertEquals(4, machine.placements.size, "within the lease the earlier worker may still run them")
+        fixture.pass(12_000_000)
+        fixture.heartbeat(old)
+        worker.heartbeatFor(5)
+        assertEquals(4, worker.tasks.size)
+    }
+
+    /**
+     * A machine was back at once: its worker counts from the start, and takes up work again. A copy of a heartbeat from
+     * before, which counts further, must not make the leader believe that this work is gone.
+     */
+    @Test
+    fun `a late copy from before a restart does not end tasks started since`() {
+        for (incarnations in listOf(1L, 3L)) {
+            val fixture = ClusterFixture()
+            val worker = FakeWorker(fixture, "host-000001").apply { incarnation = incarnations }
+            worker.heartbeatFor(60)
+            val copy = worker.nextHeartbeat()
+            worker.incarnation = 1
+            worker.sequenceNumber = 0
+            worker.fencingToken = 0
+            worker.heartbeatFor(30)
+            fixture.submit("req-1", 8)
+            worker.heartbeatFor(5)
+            assertEquals(8, worker.tasks.size)
+            val machine = fixture.cluster.machines.getValue(worker.name)
+            assertNull(fixture.cluster.heartbeat(copy, fixture.now))
+            assertEquals(8, machine.placements.size)
+            worker.heartbeatFor(2)
+            assertEquals(8, machine.placements.size)
+        }
+    }
+
+    /** A worker that looks like an older one may hold tasks: a response would renew a lease that the leader's records do not count. */
+    @Test
+    fun `a heartbeat that does not count gets no response`() {
+        val fixture = ClusterFixture()
+        val worker = FakeWorker(fixture, "host-000001")
+        worker.heartbeatFor(6)
+        worker.sequenceNumber = 0
+        assertNull(fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.now))
+    }
+
+    /** After a restart a copy from before may count just as the next report would, and list nothing. */
+    @Test
+    fun `a late copy with the next sequence number ends neither reported tasks nor a start on its way`() {
+        for (seen in listOf(true, false)) {
+            val fixture = ClusterFixture()
+            val worker = FakeWorker(fixture, "host-000001")
+            worker.heartbeatFor(60)
+            worker.incarnation = 1
+            worker.sequenceNumber = 0
+            worker.fencingToken = 0
+            worker.heartbeatFor(30)
+            val job = fixture.submit("req-1", 8)
+            worker.heartbeatFor(if (seen) 5 else 2)
+            assertEquals(8, worker.tasks.size)
+            fixture.pass(1_000_000)
+            val before = job.placements.map { it.key }.toSet()
+            val copy =
+                Heartbeat(
+                    worker.name,
+                    "",
+                    ClusterFixture.TYPE.name,
+                    "z",
+                    false,
+                    1,
+                    worker.sequenceNumber + 1,
+                    fixture.fencingToken,
+                    null,
+                    emptyList(),
+                )
+            fixture.cluster.heartbeat(copy, fixture.now)
+            assertEquals(before, job.placements.map { it.key }.toSet())
+            worker.sequenceNumber++
+            worker.heartbeatFor(3)
+            assertEquals(before, job.placements.map { it.key }.toSet())
+        }
+    }
+}
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -61,11 +61,11 @@
     @Test
     fun `a machine whose image no job needs goes to any job in the same cycle`() {
         val fixture = ClusterFixture()
-        val worker = HandWorker(fixture, "host-000001")
-        worker.reportFor(3)
+        val worker = FakeWorker(fixture, "host-000001")
+        worker.heartbeatFor(3)
         fixture.cluster.machines.getValue(worker.name).images += "held"
         val job = fixture.submit("req-1", taskCount = 3)
-        worker.reportFor(2)
-        assertEquals(3, job.takenCount)
+        worker.heartbeatFor(2)
+        assertEquals(3, job.doneOrPlacedCount)
     }
 }
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -11,6 +11,7 @@
 import linemast.domain.JobSpec
 import linemast.domain.Machine
 import linemast.domain.MachineType
+import linemast.domain.StoredJobRecord
 import linemast.domain.TaskId
 import linemast.domain.TaskState
 import linemast.domain.TaskStatus
@@ -18,6 +19,8 @@
 import linemast.planning.RunTimeEstimates
 import linemast.scheduling.Cluster
 import linemast.scheduling.ClusterEffects
+import linemast.scheduling.ClusterTerm
+import linemast.scheduling.LeaderClocks
 import linemast.settings.Policy
 import linemast.settings.Settings
 import linemast.testSpec
@@ -55,9 +58,9 @@
     private val jobs = HashMap<String, ScenarioJob>()
 
     private val effects = object : ClusterEffects {
-        override fun storeOpened(job: Job) {
+        override fun storeActivation(job: Job) {
             at(20_000) {
-                job.opened = Job.Opened.YES
+                job.activation = Job.Activation.ACTIVE
                 cluster.dirty = true
             }
         }
@@ -68,7 +71,7 @@
                 job.finished = true
                 cluster.jobs.remove(job.id)
             }
-            job.dirtyParts.clear()
+            job.storedProgress.dirtyParts.clear()
         }
 
         override fun storeMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
@@ -83,7 +86,8 @@
         private val times = RunTimeEstimates()
         private val planner = Planner(settings, Policy(), times)
         val fleet = Fleet(settings, Policy(), fencingToken)
-        val cluster: Cluster = Cluster(settings, fencingToken, GRACE_MICROS, effects, times, planner, { now }, { now })
+        val cluster: Cluster =
+            Cluster(settings, ClusterTerm(fencingToken, GRACE_MICROS), effects, times, planner, LeaderClocks({ now }, { now }))
         val autoscaler = Autoscaler(cluster, fleet, planner, Policy())
     }
 
@@ -99,7 +103,10 @@
         cluster.types = before.cluster.types
         val open = before.cluster.jobs.values.filter { !it.finished }
         cluster.load(
-            open.map { JobRecord(it.spec, it.acceptedWallMicros, opened = it.opened == Job.Opened.YES, cancelled = false) to 1L },
+            open.map {
+                val activated = it.activation == Job.Activation.ACTIVE
+                StoredJobRecord(JobRecord(it.spec, it.acceptedWallMicros, opened = activated, cancelled = false), revision = 1)
+            },
             before.cluster.machines.values.filter { it.isRegistered }.map { Machine(it.name, it.type, it.zone, it.spot) },
             now,
         )
