--- a/src/main/kotlin/linemast/domain/JobRecord.kt
+++ b/src/main/kotlin/linemast/domain/JobRecord.kt
@@ -1,6 +1,6 @@
 package linemast.domain
 
-/** The outcome of a job as the store holds it: every answer to a user is derived from it. */
+/** The outcome of a job as the store holds it: every response to a user is derived from it. */
 enum class JobOutcome {
     OPEN,
     DONE,
@@ -24,8 +24,9 @@
     val spec: JobSpec,
     /** Time of day of the submission; precise enough to order jobs and to count deadlines from. */
     val acceptedWallMicros: Long,
-    /** Whether a start may ever have been sent. */
+    /** Whether a start may ever have been sent: see [Job.Activation]. */
     val opened: Boolean,
+    /** Whether its user has cancelled it. */
     val cancelled: Boolean,
     /** Time of day when its last dependency was done; null if it has none. */
     val releasedWallMicros: Long? = null,
--- a/src/main/kotlin/linemast/domain/JobSpec.kt
+++ b/src/main/kotlin/linemast/domain/JobSpec.kt
@@ -15,9 +15,11 @@
 /** Declared from the most to the least urgent, so that a smaller ordinal goes first. */
 enum class JobPriority { CRITICAL, HIGH, NORMAL, IDLE }
 
-/** A job as its user submitted it. */
+/** A job as its user submitted it. Resource amounts are those of one task; durations are in microseconds. */
 data class JobSpec(
+    /** Chosen by the user; of the form that [isId] checks. */
     val id: String,
+    /** Jobs of one class share service-level objectives and behave alike. */
     val jobClass: String,
     val team: String,
     val kind: JobKind,
@@ -26,29 +28,39 @@
     val vcpus: Double,
     val gpus: Double,
     val memoryGb: Double,
+    /** The image that a machine fetches before it runs a task. */
     val image: String,
     val imageGb: Double,
+    /** Names of the machine types that its tasks may run on; null allows all. */
     val machineTypes: List<String>?,
+    /** The zone that its tasks have to run in; null allows all. */
     val zone: String?,
+    /** Whether all its tasks have to run in one zone. */
     val sameZone: Boolean,
+    /** Whether its tasks have to be spread over zones: see [maxTasksPerZone]. */
     val spread: Boolean,
+    /** Whether its tasks may run on spot machines. */
     val spot: Boolean,
+    /** The owner's estimate of a task's run time. */
     val estimatedRunMicros: Long,
+    /** Interval of a running task's checkpoints; 0 if it writes none. */
     val checkpointIntervalMicros: Long,
+    /** How long writing a checkpoint takes. */
     val checkpointMicros: Long,
+    /** When the job should be done, counted from its submission; null if it has no deadline. */
     val deadlineMicros: Long?,
     /** Jobs that have to be done before any task of this one starts. */
     val dependencies: List<String> = emptyList(),
 ) {
     val isGang: Boolean get() = kind == JobKind.GANG
 
-    /** Whether stopping a task loses all its work. */
+    /** Whether its tasks write no checkpoints, so that stopping one loses all its work. */
     val neverCheckpoints: Boolean get() = checkpointIntervalMicros == 0L
 
     /** How many of its tasks may be in one zone at a time. */
     val maxTasksPerZone: Int get() = if (spread) (taskCount + 1) / 2 else taskCount
 
-    /** Without the names of machine types that there are none of: what is stored has to fit a value. */
+    /** A copy without names of unknown machine types, so that the record fits a stored value. */
     fun within(types: Collection<MachineType>): JobSpec =
         if (machineTypes == null) this else copy(machineTypes = machineTypes.filter { name -> types.any { it.name == name } })
 
--- a/src/test/kotlin/linemast/scheduling/AttemptNumbersTest.kt
+++ b/src/test/kotlin/linemast/scheduling/AttemptNumbersTest.kt
@@ -4,14 +4,15 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
 /** Numbers that have left are never given out again, and those that have not are not wasted. */
 class AttemptNumbersTest {
-    @Test
-    fun `a number that has left in a command is never given out again`() {
-        val seed = 5
-        println("seed $seed")
+    @ParameterizedTest
+    @ValueSource(ints = [5])
+    fun `a number that has left in a command is never given out again`(seed: Int) {
         val random = Random(seed)
         val numbers = AttemptNumbers(fencingToken = 7)
         val used = HashSet<Long>()
--- a/src/test/kotlin/linemast/workers/MachineRegistryTest.kt
+++ b/src/test/kotlin/linemast/workers/MachineRegistryTest.kt
@@ -8,38 +8,39 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
 class MachineRegistryTest {
     private val type = MachineType("mare-32", 32.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("bucuresti"))
     private val types = mapOf(type.name to type)
 
-    /** The store, as far as this record goes. */
+    /** The store, as far as the registry goes. */
     private val stored = sortedMapOf<String, Map<String, Any?>>()
 
     private fun machine(number: Int) = Machine("host-%06d".format(number), type, "bucuresti", number % 3 == 0)
 
-    private fun reread(record: MachineRegistry) = record.read(
+    private fun reread(registry: MachineRegistry) = registry.read(
         stored.map { (key, value) ->
             Entry(key, Fields(value), 1)
         },
         types,
     ).map { it.name }
 
-    @Test
-    fun `whatever changes, values keep within the limit and nothing is lost between two writes`() {
-        val seed = 5
-        println("seed $seed")
+    @ParameterizedTest
+    @ValueSource(ints = [5])
+    fun `whatever changes, values keep within the limit and nothing is lost between two writes`(seed: Int) {
         val random = Random(seed)
         for (limit in listOf(1_536, 2_048, 16_384)) {
             stored.clear()
-            val record = MachineRegistry(limit)
+            val registry = MachineRegistry(limit)
             val expected = LinkedHashSet<String>()
             repeat(200) {
                 val gone = if (random.nextInt(3) == 0) expected.shuffled(random).take(random.nextInt(30)) else emptyList()
                 val come = List(if (gone.isEmpty()) random.nextInt(25) else 0) { machine(random.nextInt(400)) }
                 expected -= gone.toSet()
-                val writes = if (gone.isEmpty()) record.with(come) else record.without(gone)
+                val writes = if (gone.isEmpty()) registry.with(come) else registry.without(gone)
                 for ((key, value) in writes) {
                     stored[key] = value
                     assertTrue(JsonSize.of(value) <= limit, "$key is too large")
@@ -54,19 +55,19 @@
     /** As the version before pipelines wrote it: 60 machines in a value, under numbers without a gap. */
     @Test
     fun `a chunk that was stored larger is read, and split when it is written again`() {
-        fun rig(number: Int) = mapOf(
+        fun machineEntry(number: Int) = mapOf(
             "rig" to "host-%06d".format(number),
             "build" to "mare-32",
             "yard" to "bucuresti",
             "loaners" to false,
             "owned" to true,
         )
-        stored["fleet/0"] = mapOf("rigs" to List(60) { rig(it) })
-        stored["fleet/1"] = mapOf("rigs" to List(7) { rig(60 + it) })
-        val record = MachineRegistry(2_048)
-        val all = reread(record)
+        stored["fleet/0"] = mapOf("rigs" to List(60) { machineEntry(it) })
+        stored["fleet/1"] = mapOf("rigs" to List(7) { machineEntry(60 + it) })
+        val registry = MachineRegistry(2_048)
+        val all = reread(registry)
         assertEquals(67, all.size)
-        for ((key, value) in record.without(listOf("host-000003"))) {
+        for ((key, value) in registry.without(listOf("host-000003"))) {
             stored[key] = value
             assertTrue(reread(MachineRegistry(2_048)).containsAll(all - "host-000003"))
         }
@@ -76,7 +77,7 @@
     }
 
     @Test
-    fun `records just at, under and over a value's limit`() {
+    fun `a registry just at, under and over the limit of a value stays within it`() {
         val size = JsonSize.of(MachineRegistry(16_384).with(List(10) { machine(it) }).getValue("fleet/0"))
         assertEquals(setOf("fleet/0"), MachineRegistry(size + 1).with(List(10) { machine(it) }).keys)
         assertEquals(setOf("fleet/0", "fleet/1"), MachineRegistry(size - 1).with(List(10) { machine(it) }).keys)
