--- a/src/main/kotlin/linemast/cloud/Cloud.kt
+++ b/src/main/kotlin/linemast/cloud/Cloud.kt
@@ -31,7 +31,9 @@
     val addr: String,
     /** Name of its [MachineType]. */
     val machineType: String,
+    /** Zone of the cloud that it stands in. */
     val zone: String,
+    /** Whether it is a spot machine, which the cloud may preempt. */
     val spot: Boolean,
     /** The cloud's word for its state; see [CloudMachine]. */
     val status: String,
@@ -44,7 +46,9 @@
     val requestId: String,
     /** Name of the [MachineType]. */
     val machineType: String,
+    /** Zone of the cloud in which the machines are to be. */
     val zone: String,
+    /** Whether spot machines are requested. */
     val spot: Boolean,
     val number: Int,
 )
--- a/src/main/kotlin/linemast/cloud/CloudMachine.kt
+++ b/src/main/kotlin/linemast/cloud/CloudMachine.kt
@@ -6,7 +6,13 @@
 /**
  * A machine that the cloud lists, or that it has granted and does not list yet.
  *
- * [createdMicros] is in time of the leader's steady clock, as are all times here.
+ * Times are readings of the leader's steady clock.
+ *
+ * @property name name that the cloud gave it; never reused.
+ * @property type its machine type.
+ * @property zone zone of the cloud that it stands in.
+ * @property spot whether it is a spot machine, which the cloud may preempt.
+ * @property createdMicros when it was granted.
  */
 class CloudMachine(val name: String, val type: MachineType, val zone: String, val spot: Boolean, val createdMicros: Long) {
     /** Type, zone and price model together. */
--- a/src/main/kotlin/linemast/cloud/ScaleInBatch.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInBatch.kt
@@ -1,6 +1,6 @@
 package linemast.cloud
 
-/** Machines to be removed, by name and in order, each with the reason. */
+/** Machines to be removed, in this order: [reasons] holds why, by machine name. */
 class ScaleInBatch(val reasons: Map<String, ScaleInReason>) {
     /** Names of the machines. */
     val names: List<String> get() = reasons.keys.toList()
--- a/src/main/kotlin/linemast/control/dependencies/BlockedJob.kt
+++ b/src/main/kotlin/linemast/control/dependencies/BlockedJob.kt
@@ -2,7 +2,7 @@
 
 import linemast.domain.JobRecord
 
-/** A job that is blocked by its dependencies, as the store holds it at [revision]. */
+/** A job that is blocked by its dependencies, with its [record] as the store holds it at [revision]. */
 class BlockedJob(val record: JobRecord, val revision: Long) {
     /** The id of the job. */
     val id: String get() = record.spec.id
--- a/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
@@ -14,7 +14,13 @@
  * with what it reads. Nothing here recurses, since a chain of dependencies may be long.
  */
 class DependencyGraph {
-    /** Jobs to release, jobs to cancel, and ids of jobs whose outcome has to be read from the store. */
+    /**
+     * What is to be done next.
+     *
+     * @property released jobs to release, since all their dependencies are done.
+     * @property cancelled jobs to cancel, since one of their dependencies was cancelled.
+     * @property outcomesToRead ids of jobs whose outcome has to be read from the store.
+     */
     class Step(val released: List<BlockedJob>, val cancelled: List<BlockedJob>, val outcomesToRead: List<String>)
 
     private val blocked = LinkedHashMap<String, BlockedJob>()
--- a/src/main/kotlin/linemast/control/dependencies/InheritedRequirement.kt
+++ b/src/main/kotlin/linemast/control/dependencies/InheritedRequirement.kt
@@ -3,7 +3,12 @@
 import linemast.domain.JobPriority
 import linemast.domain.JobRecord
 
-/** What the dependents of a job require of it: to have at least this priority, and to end by a time of day if it can. */
+/**
+ * What the dependents of a job require of it.
+ *
+ * @property priority the priority that it has to have at least.
+ * @property endByWallMicros time of day by which it should end; null if nothing sets one.
+ */
 data class InheritedRequirement(val priority: JobPriority, val endByWallMicros: Long?) {
     /** The stricter of both in each respect. */
     fun mergedWith(other: InheritedRequirement?): InheritedRequirement = if (other == null) {
--- a/src/main/kotlin/linemast/control/dependencies/StartPrediction.kt
+++ b/src/main/kotlin/linemast/control/dependencies/StartPrediction.kt
@@ -2,7 +2,7 @@
 
 import linemast.domain.JobRecord
 
-/** A blocked job of which it can be told when its last dependency ends. */
+/** A blocked [job] whose last dependency is predicted to end in [startsInMicros] from now. */
 class PredictedStart(val job: BlockedJob, val startsInMicros: Long)
 
 /** Predicts when blocked jobs can start. */
--- a/src/main/kotlin/linemast/duties/AuditFinding.kt
+++ b/src/main/kotlin/linemast/duties/AuditFinding.kt
@@ -1,6 +1,6 @@
 package linemast.duties
 
-/** A stored intent that breaks [rule], or that an operator should look at; [message] says so in the report. */
+/** The stored [intent] breaks [rule], or an operator should look at it; [message] says so in the report. */
 data class AuditFinding(val rule: AuditRule, val intent: IntentId, val message: String) {
     /** How serious the finding is. */
     val severity: Severity get() = rule.severity
@@ -15,7 +15,7 @@
     }
 }
 
-/** What the audit checks of the stored intents. */
+/** What the audit checks of the stored intents; a finding has the [severity] of its rule. */
 enum class AuditRule(val severity: AuditFinding.Severity) {
     /** Every fencing token of an intent has been issued. */
     TOKEN_ISSUED(AuditFinding.Severity.VIOLATION),
--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -3,7 +3,7 @@
 import linemast.cloud.ScaleOutRequest
 import linemast.settings.Duty
 
-/** Identifies an intent: the fencing token of the term that decided it, and its number within that term, from 1 up. */
+/** Identifies an intent: the [fencingToken] of the term that decided it, and its [number] within that term, from 1 up. */
 data class IntentId(val fencingToken: Long, val number: Long) : Comparable<IntentId> {
     override fun compareTo(other: IntentId): Int = compareValuesBy(this, other, IntentId::fencingToken, IntentId::number)
 
@@ -15,7 +15,7 @@
     /** The duty that the action belongs to, by which operators may suspend it. */
     val duty: Duty
 
-    /** Requests machines; a repetition under the same request id grants no further ones. */
+    /** Sends [request] for machines; a repetition under the same request id grants no further ones. */
     data class ScaleOut(val request: ScaleOutRequest) : CloudAction {
         override val duty get() = Duty.SCALE_OUT
     }
@@ -58,10 +58,13 @@
  * later leaders carry it out and do nothing that contradicts it.
  */
 data class Intent(
+    /** Identifies it among all intents; see [IntentId]. */
     val id: IntentId,
+    /** What the cloud is asked to do. */
     val action: CloudAction,
     /** Wall-clock time of the decision; only good enough to tell how old it is. */
     val decidedWallMicros: Long,
+    /** How far it has come, as the store holds it. */
     val state: IntentState = IntentState.OPEN,
     /** Number of machines that the cloud granted or removed. */
     val machineCount: Int = 0,
--- a/src/main/kotlin/linemast/duties/IntentLog.kt
+++ b/src/main/kotlin/linemast/duties/IntentLog.kt
@@ -7,7 +7,7 @@
 import linemast.serialization.MalformedException
 import linemast.store.Entry
 
-/** An intent with the slot that holds it and the revision of that slot. */
+/** An [intent] with the number of the [slot] that holds it, and the [revision] at which the store holds that slot. */
 data class StoredIntent(val slot: Int, val intent: Intent, val revision: Long)
 
 /**
--- a/src/main/kotlin/linemast/duties/PendingScaleIns.kt
+++ b/src/main/kotlin/linemast/duties/PendingScaleIns.kt
@@ -7,7 +7,7 @@
  * no new tasks, and are removed as soon as no task is on them.
  */
 class PendingScaleIns(openIntents: List<StoredIntent>) {
-    /** A scale-in intent with its action. */
+    /** The scale-in intent [stored], with its [action]. */
     class ScaleInIntent(val stored: StoredIntent, val action: CloudAction.ScaleIn) {
         internal val unconfirmed = LinkedHashSet(action.names)
     }
--- a/src/main/kotlin/linemast/jobs/JobResponse.kt
+++ b/src/main/kotlin/linemast/jobs/JobResponse.kt
@@ -4,9 +4,16 @@
 
 /** The state of a job as users see it. */
 enum class JobState {
+    /** Accepted, and no task of it runs. */
     PENDING,
+
+    /** At least one task of it runs. */
     RUNNING,
+
+    /** All its tasks have run to completion. */
     DONE,
+
+    /** It was cancelled; tasks of it may still be ending. */
     CANCELLED,
 }
 
--- a/src/main/kotlin/linemast/jobs/StoredOutcome.kt
+++ b/src/main/kotlin/linemast/jobs/StoredOutcome.kt
@@ -9,7 +9,7 @@
 
 private val log = LoggerFactory.getLogger(StoredOutcome::class.java)
 
-/** A job's outcome as read from the store, with the revision of its entry. */
+/** A job's outcome [record] as read from the store, with the [revision] of its entry. */
 class StoredOutcome(val record: OutcomeRecord, val revision: Long)
 
 /**
--- a/src/main/kotlin/linemast/planning/PlanningRequest.kt
+++ b/src/main/kotlin/linemast/planning/PlanningRequest.kt
@@ -4,7 +4,12 @@
 import linemast.domain.Machine
 import linemast.domain.MachineType
 
-/** What is known of the machines that could be scaled out for a job: how long they take to start, and the price of a vcpu. */
+/**
+ * What is known of the machines that could be scaled out for a job.
+ *
+ * @property startupMicros how long they take to start.
+ * @property vcpuPrice price of one vcpu for an hour.
+ */
 class ScaleOutEstimates(val startupMicros: (Job) -> Long, val vcpuPrice: (Job) -> Double)
 
 /**
@@ -14,6 +19,7 @@
  * @property stages jobs that wait for others; they are planned last, on the capacity that is left.
  * @property baselineMachines machines whose free capacity is forecast.
  * @property isClosed whether machines of a type, spot or not, are kept from a job that would fit them.
+ * @property scaleOutEstimates start times and prices of the machines that could be scaled out.
  * @property replanAll plans all jobs anew; otherwise only those without a plan that still holds.
  * @property wallMicros now on the wall clock, which deadlines are on.
  * @property nowMicros now on the steady clock.
--- a/src/main/kotlin/linemast/planning/WaitingStage.kt
+++ b/src/main/kotlin/linemast/planning/WaitingStage.kt
@@ -5,6 +5,7 @@
 /**
  * A job that waits for others, as far as it can be planned before it may start.
  *
+ * @property job the job that waits.
  * @property dependencies ids of the jobs that it waits for, running ones and waiting ones.
  * @property startsInMicros how long until the last of them ends, by estimate.
  */
--- a/src/main/kotlin/linemast/recovery/ReconciliationStatistics.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationStatistics.kt
@@ -21,7 +21,16 @@
     }
 
     /** Kinds of commands to workers. */
-    enum class Command { START, STOP, ACKNOWLEDGE }
+    enum class Command {
+        /** Start a task. */
+        START,
+
+        /** Stop a task. */
+        STOP,
+
+        /** Forget an ended task. */
+        ACKNOWLEDGE,
+    }
 
     private val differences = EnumMap<Difference, Int>(Difference::class.java)
     private val commands = EnumMap<Command, Int>(Command::class.java)
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -22,7 +22,7 @@
 
 /** The result of reading a job's outcome. */
 sealed interface OutcomeLookup {
-    /** The store has this outcome. */
+    /** The store holds [outcome] for the job. */
     data class Found(val outcome: JobOutcome) : OutcomeLookup
 
     /** The store has no record. */
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -30,7 +30,9 @@
     settings: Settings,
     term: ClusterTerm,
     private val effects: ClusterEffects,
+    /** Run times of tasks, as estimated by owners and corrected by measurement. */
     val times: RunTimeEstimates,
+    /** Plans capacity for the jobs; its objectives and deadlines also rank them. */
     val planner: Planner,
     private val clocks: LeaderClocks,
     private val cancellationFreshness: CancellationFreshness = CancellationFreshness(settings.workers),
--- a/src/main/kotlin/linemast/scheduling/CommandPermission.kt
+++ b/src/main/kotlin/linemast/scheduling/CommandPermission.kt
@@ -2,6 +2,7 @@
 
 /** Which commands the response to a heartbeat may carry. */
 enum class CommandPermission {
+    /** All commands: the leader knows every confirmed cancellation, and its term goes on. */
     ALL,
 
     /** A cancellation may be unknown to this leader: nothing may be started. */
--- a/src/main/kotlin/linemast/scheduling/JobRanking.kt
+++ b/src/main/kotlin/linemast/scheduling/JobRanking.kt
@@ -5,6 +5,7 @@
 
 /** A job with what its rank follows from. */
 data class RankedJob(
+    /** The job that is ranked. */
     val job: Job,
     /** Whether the job fits within its team's quota, together with the team's earlier jobs. */
     val withinQuota: Boolean,
--- a/src/main/kotlin/linemast/store/Entry.kt
+++ b/src/main/kotlin/linemast/store/Entry.kt
@@ -6,7 +6,7 @@
 class Entry(val key: String, val value: Fields, val revision: Long)
 
 /**
- * Some of the entries of a prefix, in key order, as of [revision].
+ * Some of the [entries] of a prefix, in key order, as of [revision].
  *
  * @property truncated whether the store holds more of them behind the last one.
  */
--- a/src/main/kotlin/linemast/store/Transaction.kt
+++ b/src/main/kotlin/linemast/store/Transaction.kt
@@ -17,7 +17,7 @@
     /** The key that is changed. */
     val key: String
 
-    /** Sets a value. With a [lease] the key is deleted when that lease expires or is revoked. */
+    /** Sets [value]. With a [lease] the key is deleted when that lease expires or is revoked. */
     class Put(override val key: String, val value: Map<String, Any?>, val lease: Long? = null) : Write
 
     /** Deletes a key. */
--- a/src/main/kotlin/linemast/transport/Address.kt
+++ b/src/main/kotlin/linemast/transport/Address.kt
@@ -1,6 +1,6 @@
 package linemast.transport
 
-/** Host and port of an endpoint, as the settings write it: `10.0.0.1:8080`. */
+/** The endpoint at [host], an IPv4 address or a name, and [port], as the settings write it: `10.0.0.1:8080`. */
 data class Address(val host: String, val port: Int) {
     override fun toString() = "$host:$port"
 
--- a/src/main/kotlin/linemast/transport/HttpMessages.kt
+++ b/src/main/kotlin/linemast/transport/HttpMessages.kt
@@ -9,14 +9,18 @@
 /**
  * A request that this process received, with its whole body.
  *
+ * @property method method, such as `GET`.
  * @property path path without the query.
  * @property query text behind the question mark; empty if there is none.
+ * @property body body, empty if there is none.
  */
 class HttpRequest(val method: String, val path: String, val query: String, val body: ByteArray)
 
 /**
  * A response to a request that this process received.
  *
+ * @property status HTTP status code.
+ * @property body encoded body, empty if there is none.
  * @property retryAfterSeconds when the client is to try again; null leaves the header out.
  * @property stillValid decided when the bytes are about to leave: false turns the response into a 503.
  */
@@ -37,7 +41,7 @@
     }
 }
 
-/** The reply to a request that this process sent. */
+/** The reply to a request that this process sent: its HTTP [status] code, and its [body], empty if there is none. */
 class HttpReply(val status: Int, val body: ByteArray) {
     /** The body, which has to be a map; throws a MalformedException otherwise. */
     fun fields(): Fields = Cbor.decodeMap(body)
