--- a/src/main/kotlin/linemast/settings/Settings.kt
+++ b/src/main/kotlin/linemast/settings/Settings.kt
@@ -14,13 +14,14 @@
  * @property storeAddress address of the consensus-backed key-value store.
  * @property zones zones of the cloud.
  * @property maxClockErrorMicros how far the wall clock may be off.
+ * @property teams the teams that submit jobs, with their quotas.
  * @property objectives service-level objectives that the users state.
  * @property workers intervals and timeouts of workers.
  * @property storeLimits limits of the key-value store.
  * @property cloudLimits limits of the cloud.
  * @property processLimits limits of this process.
  */
-class Settings(
+data class Settings(
     val nodeName: String,
     val domain: String,
     val listenAddress: Address,
@@ -41,10 +42,18 @@
     val controllers: Int get() = members.size + 1
 }
 
-/** Another controller: its name, its failure domain and where it listens for its peers. */
+/** Another controller, called [nodeName], in the failure domain [domain]; it listens for its peers at [peerAddress]. */
 class Member(val nodeName: String, val domain: String, val peerAddress: Address)
 
-/** A team with its quota: what it is guaranteed, and the most that its tasks may use at any time. A limit of 0 means none. */
+/**
+ * A team with its quota. A value of 0 means none.
+ *
+ * @property name name that jobs give for their team.
+ * @property guaranteedVcpus vcpus that its jobs need not wait for other teams to get.
+ * @property maxVcpus most vcpus that its tasks may use at any time.
+ * @property guaranteedGpus GPUs that its jobs need not wait for other teams to get.
+ * @property maxGpus most GPUs that its tasks may use at any time.
+ */
 class Team(val name: String, val guaranteedVcpus: Double, val maxVcpus: Double, val guaranteedGpus: Double, val maxGpus: Double)
 
 /**
@@ -84,8 +93,8 @@
     val maxTxnOps: Int get() = minOf(txnOps, next?.txnOps ?: txnOps)
 }
 
-/** What the cloud takes: [rps] requests a second; and for how long at most its list of machines lags behind. */
+/** What the cloud takes: [rps] requests a second. Its list of machines lags behind by [listLagMicros], at times by up to twice that. */
 class CloudLimits(val rps: Double, val listLagMicros: Long)
 
-/** What the platform allows this process: a share of a core, memory in MB, and open files and sockets. */
+/** What the platform allows this process: [cpuShare] of one core, [memMb] MB of memory, and [fdLimit] open files and sockets. */
 class ProcessLimits(val cpuShare: Double, val memMb: Double, val fdLimit: Int)
--- a/src/main/kotlin/linemast/transport/EventLoop.kt
+++ b/src/main/kotlin/linemast/transport/EventLoop.kt
@@ -8,6 +8,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Delay
 import kotlinx.coroutines.DisposableHandle
+import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.InternalCoroutinesApi
 import kotlinx.coroutines.async
 import java.nio.ByteBuffer
@@ -23,7 +24,7 @@
  * message then passes through three threads. At a small share of a core that was most of the cost of a heartbeat. Here the
  * thread that runs the coroutines asks the selector between them.
  */
-@OptIn(InternalCoroutinesApi::class)
+@OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
     CoroutineDispatcher(),
     Delay,
