--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -149,7 +149,7 @@
         view.observeFencingToken(status.fencingToken)
         if (status.isLeader && status.fencingToken >= view.highestFencingToken && view.own == null) view.leaderName = status.node
         peers.received(status)
-        leader?.peerKnows(status.node, status.fencingToken)
+        leader?.peerObservedToken(status.node, status.fencingToken)
     }
 
     /** Answers a request of a user, a worker or the load balancer. */
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -48,7 +48,7 @@
         plannedIds.clear()
         jobs.forEach { plannedIds += it.id }
         planner.retainPlans(plannedIds + waitingIds)
-        cluster.bookings = { job -> baselineSlots(job, nowMicros) }
+        cluster.plannedBaselineTasks = { job -> baselineSlots(job, nowMicros) }
         cluster.dirty = true
         if (isFull) logPlans(jobs)
     }
--- a/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
@@ -124,7 +124,7 @@
 
     /** Shapes that fit [job], the cheapest per task first, without those that the cloud had no capacity for lately. */
     private fun availableShapes(job: Job, types: Collection<MachineType>, nowMicros: Long): List<MachineShape> = types
-        .filter { it.takes(job.spec) }
+        .filter { it.canHost(job.spec) }
         .flatMap { pricedShapes(it, job.spec) }
         .filter { backoff.isAvailable(it.shape, nowMicros) }
         .sortedBy { it.pricePerSlot }
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -93,7 +93,7 @@
     /** The cloud has confirmed that the machines are gone. */
     fun scaleInConfirmed(names: List<String>) {
         fleet.scaleInConfirmed(names)
-        cluster.returned(names)
+        cluster.markTerminated(names)
         machineRegistryStore.remove(names)
     }
 
--- a/src/main/kotlin/linemast/control/DependencyForecast.kt
+++ b/src/main/kotlin/linemast/control/DependencyForecast.kt
@@ -37,7 +37,7 @@
 
     private fun Job.inherit(requirement: InheritedRequirement?) {
         priority = minOf(spec.priority, requirement?.priority ?: spec.priority)
-        neededByWallMicros = requirement?.endByWallMicros
+        requiredEndWallMicros = requirement?.endByWallMicros
     }
 
     /** How long a job that has not started will take, from the end of its last dependency. */
--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -25,7 +25,7 @@
     suspend fun takeOver() {
         RETRY.untilResult(log) { duties.load() }
         val pendingIntents = PendingIntentResolver(duties, this, term.loop::run)
-        cluster.markBeingReturned(pendingIntents.machinesScalingIn)
+        cluster.markScalingIn(pendingIntents.machinesScalingIn)
         fleet.markScalingIn(pendingIntents.machinesScalingIn)
         pendingIntents.scaleOuts.forEach(fleet::addPendingScaleOut)
         term.scope.launch { duties.run() }
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -50,7 +50,7 @@
     suspend fun answer(heartbeat: Heartbeat): HeartbeatResponse? = responder.respond(heartbeat)
 
     /** The controller [node] has seen [fencingToken]. */
-    fun peerKnows(node: String, fencingToken: Long) = previousLeaders.peerKnows(node, fencingToken)
+    fun peerObservedToken(node: String, fencingToken: Long) = previousLeaders.peerObservedToken(node, fencingToken)
 
     /** Task counts of a job; null if the leader has no such job. */
     fun progressOf(id: String): JobProgress? = components.jobStatistics.progressOf(id)
--- a/src/main/kotlin/linemast/control/MachineListWatcher.kt
+++ b/src/main/kotlin/linemast/control/MachineListWatcher.kt
@@ -50,7 +50,7 @@
     private fun apply(machines: List<ListedMachine>) {
         val now = term.clock.nowMicros()
         fleet.updateFromList(machines, cluster.types, now)
-        val absent = cluster.forgetAbsent(fleet.machines.keys, now)
+        val absent = cluster.removeUnlisted(fleet.machines.keys, now)
         if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
     }
 
--- a/src/main/kotlin/linemast/control/PreviousLeaders.kt
+++ b/src/main/kotlin/linemast/control/PreviousLeaders.kt
@@ -20,7 +20,7 @@
     private val informedPeers = HashSet<String>()
 
     /** The controller [node] has seen [fencingToken], which may be an earlier one. */
-    fun peerKnows(node: String, fencingToken: Long) {
+    fun peerObservedToken(node: String, fencingToken: Long) {
         if (fencingToken < this.fencingToken || !informedPeers.add(node)) return
         endIfAllPeersKnow()
     }
--- a/src/main/kotlin/linemast/domain/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -36,7 +36,7 @@
     /** Whether tasks that a previous leader started may be on machines that have sent this one no heartbeat. */
     var unconfirmed = inherited
 
-    var activation = if (record.opened) Activation.ACTIVE else Activation.INACTIVE
+    var activation = if (record.activated) Activation.ACTIVE else Activation.INACTIVE
     var cancelled = record.cancelled
 
     /** The earliest time at which its cancellation can have been confirmed, as far as this leader can tell. */
@@ -49,7 +49,7 @@
     var priority = record.spec.priority
 
     /** When it has to end so that dependent jobs meet their deadlines; null if none has a deadline. */
-    var neededByWallMicros: Long? = null
+    var requiredEndWallMicros: Long? = null
 
     /** Why no task of it could be placed last; null once one was placed. */
     var pendingReason: PendingReason? = null
--- a/src/main/kotlin/linemast/domain/JobRecord.kt
+++ b/src/main/kotlin/linemast/domain/JobRecord.kt
@@ -25,20 +25,21 @@
     /** Time of day of the submission; precise enough to order jobs and to count deadlines from. */
     val acceptedWallMicros: Long,
     /** Whether a start may ever have been sent: see [Job.Activation]. */
-    val opened: Boolean,
+    val activated: Boolean,
     /** Whether its user has cancelled it. */
     val cancelled: Boolean,
     /** Time of day when its last dependency was done; null if it has none. */
     val releasedWallMicros: Long? = null,
 ) {
     /** A copy with other flags. */
-    fun with(opened: Boolean = this.opened, cancelled: Boolean = this.cancelled) =
-        JobRecord(spec, acceptedWallMicros, opened, cancelled, releasedWallMicros)
+    fun with(activated: Boolean = this.activated, cancelled: Boolean = this.cancelled) =
+        JobRecord(spec, acceptedWallMicros, activated, cancelled, releasedWallMicros)
 
     /** A copy that may start from now on; the dependencies are dropped, since they no longer matter. */
     fun released(wallMicros: Long) =
-        JobRecord(spec.copy(dependencies = emptyList()), acceptedWallMicros, opened = true, cancelled, wallMicros)
+        JobRecord(spec.copy(dependencies = emptyList()), acceptedWallMicros, activated = true, cancelled, wallMicros)
 
     /** A copy that names only known machine types, so that the record fits a stored value. */
-    fun within(types: Collection<MachineType>) = JobRecord(spec.within(types), acceptedWallMicros, opened, cancelled, releasedWallMicros)
+    fun withKnownMachineTypes(types: Collection<MachineType>) =
+        JobRecord(spec.withKnownMachineTypes(types), acceptedWallMicros, activated, cancelled, releasedWallMicros)
 }
--- a/src/main/kotlin/linemast/domain/JobSpec.kt
+++ b/src/main/kotlin/linemast/domain/JobSpec.kt
@@ -61,7 +61,7 @@
     val maxTasksPerZone: Int get() = if (spread) (taskCount + 1) / 2 else taskCount
 
     /** A copy without names of unknown machine types, so that the record fits a stored value. */
-    fun within(types: Collection<MachineType>): JobSpec =
+    fun withKnownMachineTypes(types: Collection<MachineType>): JobSpec =
         if (machineTypes == null) this else copy(machineTypes = machineTypes.filter { name -> types.any { it.name == name } })
 
     companion object {
--- a/src/main/kotlin/linemast/domain/MachineShape.kt
+++ b/src/main/kotlin/linemast/domain/MachineShape.kt
@@ -3,5 +3,5 @@
 /** What machines have in common as far as placing a job goes: a few shapes stand for a fleet of any size. */
 data class MachineShape(val type: MachineType, val zone: String, val spot: Boolean) {
     /** Whether a task of [spec] may be on such a machine at all. */
-    fun allows(spec: JobSpec): Boolean = type.takes(spec) && (spec.spot || !spot) && (spec.zone == null || spec.zone == zone)
+    fun allows(spec: JobSpec): Boolean = type.canHost(spec) && (spec.spot || !spot) && (spec.zone == null || spec.zone == zone)
 }
--- a/src/main/kotlin/linemast/domain/MachineType.kt
+++ b/src/main/kotlin/linemast/domain/MachineType.kt
@@ -14,7 +14,7 @@
     val zones: List<String>,
 ) {
     /** Whether one task of [spec] fits an empty machine of this type that the job allows. */
-    fun takes(spec: JobSpec): Boolean = (spec.machineTypes == null || name in spec.machineTypes) &&
+    fun canHost(spec: JobSpec): Boolean = (spec.machineTypes == null || name in spec.machineTypes) &&
         spec.vcpus <= vcpus &&
         spec.gpus <= gpus &&
         spec.memoryGb <= memoryGb
--- a/src/main/kotlin/linemast/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/linemast/jobs/CancellationHandler.kt
@@ -57,7 +57,7 @@
     private fun cancelledRecord(openJob: Entry): Map<String, Any?> {
         val record = readingStoredRecord { JobRecordCodec.decode(openJob.value) }.with(cancelled = true)
         val types = machineTypes() ?: return JobRecordCodec.encode(record)
-        return JobRecordCodec.encode(record.within(types))
+        return JobRecordCodec.encode(record.withKnownMachineTypes(types))
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/jobs/JobFeasibility.kt
+++ b/src/main/kotlin/linemast/jobs/JobFeasibility.kt
@@ -12,7 +12,7 @@
         val concurrentTasks = if (spec.isGang) spec.taskCount else 1
         if (spec.vcpus * concurrentTasks > team.maxVcpus || spec.gpus * concurrentTasks > team.maxGpus) return false
         return machineTypes.any { type ->
-            type.takes(spec) && (spec.zone == null || type.zones.isEmpty() || spec.zone in type.zones)
+            type.canHost(spec) && (spec.zone == null || type.zones.isEmpty() || spec.zone in type.zones)
         }
     }
 }
--- a/src/main/kotlin/linemast/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobRecordCodec.kt
@@ -9,7 +9,7 @@
     fun encode(record: JobRecord): Map<String, Any?> = buildMap {
         put("job", JobSpecCodec.encode(record.spec))
         put("at_us", record.acceptedWallMicros)
-        put("opened", record.opened)
+        put("opened", record.activated)
         put("withdrawn", record.cancelled)
         record.releasedWallMicros?.let { put("from_us", it) }
     }
@@ -18,7 +18,7 @@
     fun decode(fields: Fields) = JobRecord(
         spec = JobSpecCodec.decode(fields.child("job")),
         acceptedWallMicros = fields.long("at_us"),
-        opened = fields.flag("opened"),
+        activated = fields.flag("opened"),
         cancelled = fields.flag("withdrawn"),
         releasedWallMicros = fields.longOrNull("from_us"),
     )
--- a/src/main/kotlin/linemast/jobs/JobWriter.kt
+++ b/src/main/kotlin/linemast/jobs/JobWriter.kt
@@ -38,7 +38,7 @@
      * stored value.
      */
     suspend fun write(spec: JobSpec, outcome: JobOutcome): JobWriteResult {
-        val record = JobRecordCodec.encode(JobRecord(spec, wallMicros(), opened = false, cancelled = false))
+        val record = JobRecordCodec.encode(JobRecord(spec, wallMicros(), activated = false, cancelled = false))
         if (JsonSize.of(record) > maxValueBytes) throw MalformedException("the job is too large to be stored")
         val outcomeRecord = OutcomeRecord(outcome, spec.taskCount, spec.dependencies)
         val writes = ArrayList<Write>()
--- a/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
@@ -33,14 +33,14 @@
         }
         if (spec.dependencies.isEmpty()) return submitIndependent(spec, types)
         // An accepted job keeps its dependencies, whatever a repeated submission names.
-        return statusIfAccepted(spec.id) ?: submitDependent(spec.within(types))
+        return statusIfAccepted(spec.id) ?: submitDependent(spec.withKnownMachineTypes(types))
     }
 
     private suspend fun statusIfAccepted(id: String): JobResponse? = outcomes.fresh(id)?.let { statusQuery.statusOf(id, it) }
 
     private suspend fun submitIndependent(spec: JobSpec, types: List<MachineType>): JobResponse =
         when (val admission = deferral?.admit(spec) ?: AdmissionOutcome.Admitted) {
-            AdmissionOutcome.Admitted -> accept(spec.within(types), JobOutcome.OPEN)
+            AdmissionOutcome.Admitted -> accept(spec.withKnownMachineTypes(types), JobOutcome.OPEN)
             is AdmissionOutcome.AcceptedBefore -> statusQuery.statusOf(spec.id, admission.record)
             is AdmissionOutcome.Deferred -> JobResponse.Deferred(admission.retryAfterSeconds)
         }
--- a/src/main/kotlin/linemast/planning/JobDeadlines.kt
+++ b/src/main/kotlin/linemast/planning/JobDeadlines.kt
@@ -13,7 +13,7 @@
     /** The deadline of [job] on the wall clock: its own or an implied one, or the end of its window in a pipeline if that is earlier. */
     fun wallMicros(job: Job): Long {
         val own = job.spec.deadlineMicros?.let { job.acceptedWallMicros + it } ?: (job.readyWallMicros + impliedMicros(job))
-        return minOf(own, job.neededByWallMicros ?: own)
+        return minOf(own, job.requiredEndWallMicros ?: own)
     }
 
     /** A job without a deadline is planned as if due when the objectives for its job class say. */
--- a/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
@@ -55,7 +55,7 @@
     fun feasibleZones(job: Job): List<String> =
         poolsFor(job).flatMap { it.zones }.distinct().filter { job.spec.zone == null || job.spec.zone == it }
 
-    private fun poolsFor(job: Job): List<MachinePool> = pools.filter { it.kind.takes(job) }
+    private fun poolsFor(job: Job): List<MachinePool> = pools.filter { it.kind.canHost(job) }
 
     /**
      * Machines that a task of [job] fits on, the best first: those reserved for it, then those that no other job class needs more.
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -70,7 +70,7 @@
     val quota = QuotaUsage(settings.teams)
 
     /** How many tasks of a job the plan runs side by side on baseline machines. */
-    var bookings: (Job) -> Int = { 0 }
+    var plannedBaselineTasks: (Job) -> Int = { 0 }
 
     /** Jobs blocked by dependencies whose ends can be predicted: they are planned ahead, and nothing else. */
     var waitingStages: List<WaitingStage> = emptyList()
@@ -101,7 +101,7 @@
 
     /** Takes what the store held; heartbeats count from [nowMicros] on. */
     fun load(records: List<StoredJobRecord>, registered: List<Machine>, nowMicros: Long) {
-        for (stored in records) add(stored.record, stored.revision, inherited = stored.record.opened)
+        for (stored in records) add(stored.record, stored.revision, inherited = stored.record.activated)
         for (machine in registered) machines[machine.name] = machine
         failover.begin(registered, nowMicros)
         failover.reconcile(nowMicros)
@@ -246,7 +246,7 @@
     }
 
     /** Whether heartbeats of most workers that reached this leader are missing at once. */
-    fun hasLostWorkers(nowMicros: Long): Boolean = inventory.isMostlyMissingHeartbeats(nowMicros, timing.missingHeartbeatMicros)
+    fun isMostlyMissingHeartbeats(nowMicros: Long): Boolean = inventory.isMostlyMissingHeartbeats(nowMicros, timing.missingHeartbeatMicros)
 
     /** Whether machines of this kind are kept from [job] although it fits: they count neither as free nor as worth renting for it. */
     fun isClosedTo(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isClosedTo(type, spot, job.spec)
@@ -257,13 +257,13 @@
     fun markBaseline(names: Set<String>) = inventory.markBaseline(names)
 
     /** See [MachineInventory.markScalingIn]. */
-    fun markBeingReturned(names: Collection<String>) = inventory.markScalingIn(names)
+    fun markScalingIn(names: Collection<String>) = inventory.markScalingIn(names)
 
     /** See [MachineInventory.markTerminated]. */
-    fun returned(names: Collection<String>) = inventory.markTerminated(names)
+    fun markTerminated(names: Collection<String>) = inventory.markTerminated(names)
 
     /** See [MachineInventory.removeUnlisted]. */
-    fun forgetAbsent(listed: Set<String>, nowMicros: Long): List<String> = inventory.removeUnlisted(listed, nowMicros)
+    fun removeUnlisted(listed: Set<String>, nowMicros: Long): List<String> = inventory.removeUnlisted(listed, nowMicros)
 
     /** See [MachineInventory.isFree]. */
     fun isFree(machineName: String): Boolean = inventory.isFree(machineName)
--- a/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -39,7 +39,7 @@
     }
 
     private fun demandOf(spec: JobSpec, types: Collection<MachineType>, nowMicros: Long): Demand? {
-        val fitting = types.filter { it.takes(spec) }
+        val fitting = types.filter { it.canHost(spec) }
         val smallestVcpus = fitting.minOfOrNull { it.vcpus } ?: return null
         if (types.none { it.vcpus < smallestVcpus }) return null
         return Demand(spec, fitting.mapTo(HashSet()) { it.name }, nowMicros)
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -78,7 +78,7 @@
             if (job.spec.isGang) {
                 gangs.place(job, cycle)
             } else {
-                arrays.place(job, cycle, maxOnBaseline = if (job.withinQuota) null else cluster.bookings(job))
+                arrays.place(job, cycle, maxOnBaseline = if (job.withinQuota) null else cluster.plannedBaselineTasks(job))
             }
         }
     }
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -121,7 +121,7 @@
 
     private fun job(number: Int, team: String, jobClass: String): Job {
         val spec = testSpec("req-%06d".format(number), "crew" to team, "lane" to jobClass)
-        return Job(JobRecord(spec, number.toLong(), opened = true, cancelled = false), 1, false)
+        return Job(JobRecord(spec, number.toLong(), activated = true, cancelled = false), 1, false)
     }
 
     @Test
--- a/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
@@ -21,7 +21,7 @@
     private val fleet = Fleet(testSettings(), Policy(), fencingToken = 1).also { it.baselineMachines = emptySet() }
     private val unconstrained = ScaleOutConstraints(maxSlots = { Double.MAX_VALUE }, isExcluded = { _, _, _ -> false })
     private val job = Job(
-        JobRecord(testSpec("req-1", "pieces" to 10_000, "vcpus" to 2.0), 0L, opened = true, cancelled = false),
+        JobRecord(testSpec("req-1", "pieces" to 10_000, "vcpus" to 2.0), 0L, activated = true, cancelled = false),
         1L,
         inherited = false,
     )
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -36,7 +36,7 @@
             JobRecord(
                 testSpec("req-2", "awaits" to listOf("req-1"), "urgency" to "high", "due_s" to 90.0),
                 0,
-                opened = false,
+                activated = false,
                 cancelled = false,
             )
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
@@ -59,7 +59,7 @@
         fixture.pass(2_000_000)
         coordinator.step()
         assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
-        assertNull(other.neededByWallMicros)
+        assertNull(other.requiredEndWallMicros)
         assertEquals(
             listOf(true, true),
             Fields(store.valueOf("o/req-2")?.map.orEmpty()).let {
@@ -74,7 +74,7 @@
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(2))
         val inner = store.clientOf("mast-0")
-        val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, opened = false, cancelled = false)
+        val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, activated = false, cancelled = false)
         inner.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
         inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
         val racing = object : KeyValueStore by inner {
--- a/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
@@ -15,7 +15,7 @@
 private fun blockedRecord(id: Int, dependencies: Collection<Int>, vararg fields: Pair<String, Any?>) = JobRecord(
     testSpec("req-$id", "awaits" to dependencies.map { "req-$it" }, *fields),
     1_000,
-    opened = false,
+    activated = false,
     cancelled = false,
 )
 
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -124,7 +124,7 @@
         val client = store.clientOf("users")
         for ((at, dependencies) in graph.dependencies.withIndex()) {
             val spec = testSpec(id(at), "awaits" to dependencies.map(::id))
-            val record = JobRecord(spec, 0, opened = false, cancelled = false)
+            val record = JobRecord(spec, 0, activated = false, cancelled = false)
             val key = if (dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.waiting(spec.id)
             val outcome = OutcomeRecord(JobOutcome.OPEN, spec.taskCount, spec.dependencies)
             client.commit(
--- a/src/test/kotlin/linemast/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobServiceTest.kt
@@ -51,7 +51,7 @@
     /** The size of a stored job is counted in the form in which the store counts it. */
     @Test
     fun `a job is accepted up to the size limit of a stored value and rejected one byte above it`() = runTest {
-        val record = JobRecordCodec.encode(JobRecord(JobSpecCodec.decode(Fields(job())), 0L, opened = false, cancelled = false))
+        val record = JobRecordCodec.encode(JobRecord(JobSpecCodec.decode(Fields(job())), 0L, activated = false, cancelled = false))
         val size = JsonSize.of(record)
         assertEquals(201, submit(jobService(store(), maxValueBytes = size), job()))
         assertEquals(201, submit(jobService(store(), maxValueBytes = size + 1), job()))
--- a/src/test/kotlin/linemast/planning/PlanningFixture.kt
+++ b/src/test/kotlin/linemast/planning/PlanningFixture.kt
@@ -33,5 +33,5 @@
 
 internal fun job(id: String, taskCount: Int, estimateS: Int, deadlineS: Int): Job {
     val spec = testSpec(id, "pieces" to taskCount, "guess_s" to estimateS, "due_s" to deadlineS)
-    return Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
+    return Job(JobRecord(spec, 0L, activated = true, cancelled = false), 1L, inherited = false)
 }
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -81,7 +81,7 @@
         planner.plan(planningRequest(listOf(job), machines))
         assertFalse(planner.isOutdated(job))
         val before = requireNotNull(planner.planOf(job))
-        job.neededByWallMicros = 70_000_000
+        job.requiredEndWallMicros = 70_000_000
         assertTrue(planner.isOutdated(job))
         planner.plan(planningRequest(listOf(job), machines, replanAll = false))
         val after = requireNotNull(planner.planOf(job))
@@ -93,7 +93,7 @@
     @Test
     fun `a deadline counts from the submission and a wait from the release`() {
         val spec = testSpec("req-1", "due_s" to 100.0, "awaits" to listOf("req-0"))
-        val record = JobRecord(spec, 5_000_000, opened = false, cancelled = false).released(80_000_000)
+        val record = JobRecord(spec, 5_000_000, activated = false, cancelled = false).released(80_000_000)
         val job = Job(record, 1, inherited = false)
         assertEquals(105_000_000, planner().deadlineWallMicros(job))
         assertEquals(80_000_000, job.readyWallMicros)
--- a/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -100,7 +100,7 @@
             "bundle" to "img-${random.nextInt(3)}", "yard" to listOf(null, "a", "b")[random.nextInt(3)],
             "loaners" to random.nextBoolean(), "guess_s" to 10.0, "due_s" to 100.0,
         )
-        val job = Job(JobRecord(spec, 0L, opened = true, cancelled = false), 1L, inherited = false)
+        val job = Job(JobRecord(spec, 0L, activated = true, cancelled = false), 1L, inherited = false)
         job.withinQuota = random.nextBoolean()
         return job
     }
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -63,7 +63,7 @@
     }
 
     fun submit(id: String, taskCount: Int, gang: Boolean = false, vcpus: Double = 1.0, team: String = "team"): Job {
-        cluster.putJob(JobRecord(spec(id, taskCount, gang, vcpus, team), now, opened = false, cancelled = false), 1)
+        cluster.putJob(JobRecord(spec(id, taskCount, gang, vcpus, team), now, activated = false, cancelled = false), 1)
         return cluster.jobs.getValue(id)
     }
 
--- a/src/test/kotlin/linemast/scheduling/FailoverReconciliationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/FailoverReconciliationTest.kt
@@ -13,8 +13,8 @@
     /** A copy of a heartbeat to a previous leader must not count as proof that the machine knows this one. */
     @Test
     fun `after a failover activated jobs wait for machines that can hold their tasks, and a late copy does not end the wait`() {
-        val opened = JobRecord(ClusterFixture.spec("req-1", 4), 0, opened = true, cancelled = false)
-        val fixture = ClusterFixture(recorded = listOf("host-000001", "host-000002"), open = listOf(opened))
+        val activated = JobRecord(ClusterFixture.spec("req-1", 4), 0, activated = true, cancelled = false)
+        val fixture = ClusterFixture(recorded = listOf("host-000001", "host-000002"), open = listOf(activated))
         val reporting = FakeWorker(fixture, "host-000001")
         val missing = FakeWorker(fixture, "host-000002").apply { fencingToken = 4 }
         reporting.heartbeatFor(2)
@@ -31,9 +31,9 @@
     /** Spot machines are preempted without notice all the time: each failover waited for a lease because of them. */
     @Test
     fun `a machine missing in a zone that mostly reports ends the wait once it is confirmed gone`() {
-        val opened = JobRecord(ClusterFixture.spec("req-1", 4), 0, opened = true, cancelled = false)
+        val activated = JobRecord(ClusterFixture.spec("req-1", 4), 0, activated = true, cancelled = false)
         val names = List(5) { "host-00000$it" }
-        val fixture = ClusterFixture(recorded = names, open = listOf(opened))
+        val fixture = ClusterFixture(recorded = names, open = listOf(activated))
         val workers = names.take(4).map { FakeWorker(fixture, it) }
         fun heartbeat(seconds: Int, who: List<FakeWorker>) = repeat(seconds) {
             fixture.pass(1_000_000)
@@ -45,7 +45,7 @@
         assertEquals(setOf("z"), fixture.cluster.failover.zonesMostlyReporting())
         assertEquals(listOf("host-000004"), fixture.cluster.failover.missingMachines(fixture.now).map { it.name })
         assertFalse(fixture.cluster.isReconciled)
-        fixture.cluster.returned(listOf("host-000004"))
+        fixture.cluster.markTerminated(listOf("host-000004"))
         heartbeat(2, workers)
         assertTrue(fixture.cluster.isReconciled)
         assertEquals(4, workers.sumOf { it.tasks.size })
@@ -54,7 +54,7 @@
     /** One of its tasks is reported as done, another may still be on a machine that has sent the new leader no heartbeat. */
     @Test
     fun `an unconfirmed task of a gang that is done counts against the quota limit of its team`() {
-        val open = JobRecord(ClusterFixture.spec("req-1", 2, gang = true, vcpus = 6.0), 0, opened = true, cancelled = false)
+        val open = JobRecord(ClusterFixture.spec("req-1", 2, gang = true, vcpus = 6.0), 0, activated = true, cancelled = false)
         val team = """{ name = "team", cpus = 8, cpus_max = 8, gpus = 0, gpus_max = 0 }"""
         val fixture = ClusterFixture(teams = team, recorded = listOf("host-000001", "host-000002"), open = listOf(open))
         val worker = FakeWorker(fixture, "host-000001")
--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -54,7 +54,7 @@
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(3)
         val copy = worker.nextHeartbeat()
-        fixture.cluster.returned(listOf(worker.name))
+        fixture.cluster.markTerminated(listOf(worker.name))
         assertEquals(emptyList<Command>(), fixture.heartbeat(copy))
         assertFalse(worker.name in fixture.cluster.machines)
     }
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -18,7 +18,7 @@
     private val machine = Machine("host-000001", type, "z", false).also { it.images += "held" }
 
     private fun job(id: String, image: String, priority: String = "normal", tasks: Int = 4) = Job(
-        JobRecord(testSpec(id, "bundle" to image, "urgency" to priority, "pieces" to tasks), 0L, opened = true, cancelled = false),
+        JobRecord(testSpec(id, "bundle" to image, "urgency" to priority, "pieces" to tasks), 0L, activated = true, cancelled = false),
         1L,
         inherited = false,
     )
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -105,7 +105,7 @@
         cluster.load(
             open.map {
                 val activated = it.activation == Job.Activation.ACTIVE
-                StoredJobRecord(JobRecord(it.spec, it.acceptedWallMicros, opened = activated, cancelled = false), revision = 1)
+                StoredJobRecord(JobRecord(it.spec, it.acceptedWallMicros, activated = activated, cancelled = false), revision = 1)
             },
             before.cluster.machines.values.filter { it.isRegistered }.map { Machine(it.name, it.type, it.zone, it.spot) },
             now,
@@ -144,7 +144,7 @@
 
     fun submit(spec: JobSpec, runMicros: Long) {
         jobs[spec.id] = ScenarioJob(spec, runMicros)
-        cluster.putJob(JobRecord(spec, now, opened = false, cancelled = false), 1)
+        cluster.putJob(JobRecord(spec, now, activated = false, cancelled = false), 1)
     }
 
     private fun <T> measured(what: String, action: () -> T): T {
@@ -186,7 +186,7 @@
             at(120_000) {
                 names.forEach(::removeWorker)
                 fleet.scaleInConfirmed(names)
-                cluster.returned(names)
+                cluster.markTerminated(names)
             }
         }
         at(250_000, ::tick)
@@ -196,7 +196,7 @@
         val list = workers.values.map { ListedMachine(it.name, "", it.type.name, it.zone, it.spot, "running", now - it.bornMicros) }
         measured("list") {
             fleet.updateFromList(list, cluster.types, now)
-            cluster.forgetAbsent(fleet.machines.keys, now)
+            cluster.removeUnlisted(fleet.machines.keys, now)
         }
         at(3_000_000, ::list)
     }
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
@@ -39,7 +39,7 @@
     fun `the records hold every job outcome, job state and duty`() {
         val outcomes = ofKind("j/").map { OutcomeRecordCodec.decode(it.fields).outcome }.toSet()
         assertEquals(JobOutcome.entries.toSet(), outcomes)
-        val states = ofKind("o/").map { JobRecordCodec.decode(it.fields) }.map { it.opened to it.cancelled }.toSet()
+        val states = ofKind("o/").map { JobRecordCodec.decode(it.fields) }.map { it.activated to it.cancelled }.toSet()
         assertEquals(setOf(false to false, true to false, false to true, true to true), states)
         assertEquals(Duty.entries.toSet(), ofKind("duty/").map { IntentCodec.decode(it.fields).action.duty }.toSet())
         assertTrue(ofKind("w/").all { JobRecordCodec.decode(it.fields).spec.dependencies.isNotEmpty() })
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -45,7 +45,10 @@
     fun `records of jobs are read and rewritten without a loss`() {
         val record = JobRecordCodec.decode(stored(oldOpen))
         assertEquals(oldOpen, stored(JobRecordCodec.encode(record)).map)
-        assertEquals(oldOpen + ("withdrawn" to true), stored(JobRecordCodec.encode(record.with(cancelled = true).within(types))).map)
+        assertEquals(
+            oldOpen + ("withdrawn" to true),
+            stored(JobRecordCodec.encode(record.with(cancelled = true).withKnownMachineTypes(types))).map,
+        )
         assertEquals(emptyList<String>(), record.spec.dependencies)
         assertNull(record.releasedWallMicros)
         for (outcome in listOf("open", "done", "withdrawn")) {
@@ -57,7 +60,7 @@
     /** It asks for these fields, ignores others, and drops them when it rewrites. */
     @Test
     fun `what is written now passes the readers of the revision before`() {
-        val waiting = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, opened = false, cancelled = false)
+        val waiting = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, activated = false, cancelled = false)
         val released = stored(JobRecordCodec.encode(waiting.released(9)))
         assertTrue(released.child("job").map.keys.containsAll(oldJob.keys - setOf("builds", "due_s")))
         assertFalse(released.child("job").has("awaits"), "a job that may start awaits nothing: nothing is lost when it is rewritten")
