--- a/src/main/kotlin/linemast/domain/Command.kt
+++ b/src/main/kotlin/linemast/domain/Command.kt
@@ -2,7 +2,10 @@
 
 /** A command of the leader to a worker. Commands travel only in responses to heartbeats. */
 sealed interface Command {
+    /** The task that the command is about. */
     val task: TaskId
+
+    /** Number of the attempt that is started, stopped or forgotten; see [TaskAttempt]. */
     val attempt: Long
 
     /** Start an attempt of the task. */
--- a/src/main/kotlin/linemast/domain/Heartbeat.kt
+++ b/src/main/kotlin/linemast/domain/Heartbeat.kt
@@ -2,12 +2,15 @@
 
 /** One heartbeat of a worker: who it is, what it runs, and how far it knows the leader. */
 class Heartbeat(
+    /** Name that the cloud gave the machine. */
     val machineName: String,
     /** Address under which users reach the machine's tasks. */
     val addr: String,
     /** Name of the machine type. */
     val machineType: String,
+    /** Zone of the cloud that the machine stands in. */
     val zone: String,
+    /** Whether it is a spot machine, which the cloud may preempt. */
     val spot: Boolean,
     /** Grows each time the worker's lease expires; all tasks of an earlier incarnation have ended. */
     val incarnation: Long,
@@ -17,5 +20,6 @@
     val fencingToken: Long,
     /** Time until the cloud preempts the machine; null if no preemption was announced. */
     val preemptionNoticeMicros: Long?,
+    /** All tasks that the worker holds, ended ones until their end is acknowledged. */
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
+++ b/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
@@ -20,8 +20,11 @@
  * All times are readings of the leader's clock.
  */
 class HeartbeatSequence {
+    /** Incarnation of the newest heartbeat; 0 before the first one. */
     var incarnation = 0L
         private set
+
+    /** Sequence number of the newest heartbeat within its incarnation; 0 before the first one. */
     var sequenceNumber = 0L
         private set
 
--- a/src/main/kotlin/linemast/domain/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -26,8 +26,13 @@
         ACTIVE,
     }
 
+    /** What the user submitted. */
     val spec = record.spec
+
+    /** Id that the user chose for it. */
     val id: String get() = spec.id
+
+    /** Time of day of the submission. */
     val acceptedWallMicros = record.acceptedWallMicros
 
     /** From when on it could start if there was free capacity: the time until its dependencies were done does not count. */
@@ -36,7 +41,10 @@
     /** Whether tasks that a previous leader started may be on machines that have sent this one no heartbeat. */
     var unconfirmed = inherited
 
+    /** How far the store knows that tasks may have been started; set as the write begins and ends. */
     var activation = if (record.activated) Activation.ACTIVE else Activation.INACTIVE
+
+    /** Whether it is cancelled; it never goes back to false. */
     var cancelled = record.cancelled
 
     /** The earliest time at which its cancellation can have been confirmed, as far as this leader can tell. */
@@ -61,16 +69,26 @@
     var isStarving = false
 
     private val tasks = TaskSet(spec.taskCount)
+
+    /** How much of the set of completed tasks is stored. */
     val storedProgress = StoredProgress()
 
     /** The attempt that its tasks share; without meaning for jobs that are no gangs. */
     val gangAttempt = GangAttempt()
+
+    /** Failures of its tasks, and until when they delay its starts. */
     val failureBackOff = FailureBackOff()
+
+    /** Run times of its completed tasks. */
     val runTimes = MeasuredRunTimes()
 
     /** Tasks that have run to completion. */
     val done: BitSet get() = tasks.done
+
+    /** Number of tasks that have run to completion. */
     val doneCount: Int get() = tasks.doneCount
+
+    /** Whether all tasks have run to completion. */
     val isDone: Boolean get() = tasks.isDone
 
     /** Number of tasks that are done or have a placement. */
@@ -81,6 +99,8 @@
 
     /** All task attempts that may be on a machine, or are assigned to one. */
     val placements: Set<Placement> get() = tasks.placements
+
+    /** Number of task attempts that were running by the last heartbeats. */
     val runningCount: Int get() = placements.count { it.isRunning }
 
     /** Names of the machines where a task of it has failed. */
--- a/src/main/kotlin/linemast/domain/JobProgress.kt
+++ b/src/main/kotlin/linemast/domain/JobProgress.kt
@@ -1,4 +1,4 @@
 package linemast.domain
 
-/** Counts of a job's tasks, for display only. */
+/** Of a job's tasks [done] have run to completion and [running] run now; for display only. */
 class JobProgress(val done: Int, val running: Int)
--- a/src/main/kotlin/linemast/domain/JobRecord.kt
+++ b/src/main/kotlin/linemast/domain/JobRecord.kt
@@ -2,8 +2,13 @@
 
 /** The outcome of a job as the store holds it: every response to a user is derived from it. */
 enum class JobOutcome {
+    /** Accepted; the job waits, or its tasks run. */
     OPEN,
+
+    /** All its tasks have run to completion. */
     DONE,
+
+    /** Its user cancelled it, or a job that it depends on was cancelled. */
     CANCELLED,
     ;
 
@@ -13,7 +18,9 @@
 
 /** The stored outcome of a job, which is kept forever. */
 class OutcomeRecord(
+    /** How the job has ended, or that it has not. */
     val outcome: JobOutcome,
+    /** Number of tasks, kept for answers to users after the other record is gone. */
     val taskCount: Int,
     /** The jobs that this one depends on; meaningless once the outcome is terminal. */
     val dependencies: List<String> = emptyList(),
@@ -21,12 +28,14 @@
 
 /** The stored record of a job that is neither done nor cancelled: released to the scheduler, or blocked by its dependencies. */
 class JobRecord(
+    /** What the user submitted; dependencies that are done are dropped at the release. */
     val spec: JobSpec,
     /** Time of day of the submission; precise enough to order jobs and to count deadlines from. */
     val acceptedWallMicros: Long,
     /** Whether a start may ever have been sent: see [Job.Activation]. */
     val activated: Boolean,
     /** Whether its user has cancelled it. */
+    /** Whether it is cancelled; the record is deleted once no task of it is on a machine. */
     val cancelled: Boolean,
     /** Time of day when its last dependency was done; null if it has none. */
     val releasedWallMicros: Long? = null,
--- a/src/main/kotlin/linemast/domain/JobSpec.kt
+++ b/src/main/kotlin/linemast/domain/JobSpec.kt
@@ -13,7 +13,19 @@
 }
 
 /** Declared from the most to the least urgent, so that a smaller ordinal goes first. */
-enum class JobPriority { CRITICAL, HIGH, NORMAL, IDLE }
+enum class JobPriority {
+    /** Tasks of jobs of all other priorities may be preempted for it. */
+    CRITICAL,
+
+    /** Tasks of [NORMAL] and [IDLE] jobs may be preempted for it. */
+    HIGH,
+
+    /** Tasks of [IDLE] jobs may be preempted for it. */
+    NORMAL,
+
+    /** No task is preempted for it on account of its priority. */
+    IDLE,
+}
 
 /** A job as its user submitted it. Resource amounts are those of one task; durations are in microseconds. */
 data class JobSpec(
@@ -21,15 +33,23 @@
     val id: String,
     /** Jobs of one class share service-level objectives and behave alike. */
     val jobClass: String,
+    /** Name of the team whose quota its tasks count against. */
     val team: String,
+    /** How its tasks belong together. */
     val kind: JobKind,
+    /** Priority that the user gave it; see [Job.priority] for the one it is scheduled by. */
     val priority: JobPriority,
+    /** Number of tasks; they are numbered from 0. */
     val taskCount: Int,
+    /** Vcpus that each task takes. */
     val vcpus: Double,
+    /** GPUs that each task takes. */
     val gpus: Double,
+    /** Memory that each task takes, in gigabytes. */
     val memoryGb: Double,
     /** The image that a machine fetches before it runs a task. */
     val image: String,
+    /** Size of the image in gigabytes. */
     val imageGb: Double,
     /** Names of the machine types that its tasks may run on; null allows all. */
     val machineTypes: List<String>?,
@@ -52,6 +72,7 @@
     /** Jobs that have to be done before any task of this one starts. */
     val dependencies: List<String> = emptyList(),
 ) {
+    /** Whether all tasks run at the same time or none does. */
     val isGang: Boolean get() = kind == JobKind.GANG
 
     /** Whether its tasks write no checkpoints, so that stopping one loses all its work. */
--- a/src/main/kotlin/linemast/domain/Machine.kt
+++ b/src/main/kotlin/linemast/domain/Machine.kt
@@ -1,6 +1,13 @@
 package linemast.domain
 
-/** A machine whose worker has sent heartbeats, or that is registered in the store as one that may run tasks. */
+/**
+ * A machine whose worker has sent heartbeats, or that is registered in the store as one that may run tasks.
+ *
+ * @property name name that the cloud gave it; never reused.
+ * @property type its machine type.
+ * @property zone zone of the cloud that it stands in.
+ * @property spot whether it is a spot machine, which the cloud may preempt.
+ */
 class Machine(val name: String, val type: MachineType, val zone: String, val spot: Boolean) {
     /** What it has in common with other machines as far as placing a job goes. */
     val shape = MachineShape(type, zone, spot)
@@ -50,11 +57,22 @@
     /** Price of one vcpu for an hour. */
     val pricePerVcpu: Double = (if (spot) type.spotPrice else type.price) / type.vcpus
 
+    /** See [HeartbeatSequence.fencingToken]. */
     val fencingToken: Long get() = heartbeats.fencingToken
+
+    /** See [HeartbeatSequence.lastMicros]. */
     val lastHeartbeatMicros: Long get() = heartbeats.lastMicros
+
+    /** See [HeartbeatSequence.acknowledgesResponses]. */
     val acknowledgesResponses: Boolean get() = heartbeats.acknowledgesResponses
+
+    /** See [HeartbeatSequence.unacknowledgedSinceMicros]. */
     val unacknowledgedSinceMicros: Long get() = heartbeats.unacknowledgedSinceMicros
+
+    /** See [MachineCapacity.freeVcpus]. */
     val freeVcpus: Double get() = capacity.freeVcpus
+
+    /** The job that its free resources are kept for; null if there is none. */
     val reservedFor: Job? get() = reservation?.job
 
     /** Whether a heartbeat has come to this leader. */
--- a/src/main/kotlin/linemast/domain/MachineCapacity.kt
+++ b/src/main/kotlin/linemast/domain/MachineCapacity.kt
@@ -10,6 +10,7 @@
     private var usedGpus = 0.0
     private var usedMemoryGb = 0.0
 
+    /** Vcpus that no placed task has requested. */
     val freeVcpus: Double get() = type.vcpus - usedVcpus
 
     /** Whether one more task of [spec] fits the free resources. */
--- a/src/main/kotlin/linemast/domain/MeasuredRunTimes.kt
+++ b/src/main/kotlin/linemast/domain/MeasuredRunTimes.kt
@@ -4,6 +4,7 @@
 class MeasuredRunTimes {
     private var totalMicros = 0L
 
+    /** Number of tasks whose run time was added. */
     var taskCount = 0
         private set
 
--- a/src/main/kotlin/linemast/domain/Placement.kt
+++ b/src/main/kotlin/linemast/domain/Placement.kt
@@ -6,8 +6,11 @@
  * It counts against the machine's capacity and its team's quota from its assignment until its task has surely ended.
  */
 class Placement(
+    /** Machine that the task was assigned to, or was reported by. */
     val machine: Machine,
+    /** The task, of which there may be placements of several attempts. */
     val task: TaskId,
+    /** Number of the attempt; see [TaskAttempt]. */
     val attempt: Long,
     /** Null for a task of a job that the leader does not know. */
     val job: Job?,
@@ -19,12 +22,21 @@
 
         /** A start has left in a response, and no heartbeat has confirmed it. */
         SENT,
+
+        /** Its worker fetches the image. */
         FETCHING,
+
+        /** The task is ready and waits for the other tasks of its gang. */
         WAITING_FOR_GANG,
+
+        /** The task runs. */
         RUNNING,
+
+        /** The task was stopped and writes its last checkpoint, or it has ended and is about to be removed. */
         CHECKPOINTING,
     }
 
+    /** What is known of the task on its machine; set as commands leave and heartbeats come. */
     var phase = Phase.ASSIGNED
 
     /** When its start left, or when a heartbeat first showed it; 0 while it is only assigned. */
@@ -51,7 +63,10 @@
     /** Identifies the attempt on its machine. */
     val key = TaskAttempt(task, attempt)
 
+    /** Whether no command has left for it yet. */
     val isAssigned: Boolean get() = phase == Phase.ASSIGNED
+
+    /** Whether the last heartbeat showed the task running. */
     val isRunning: Boolean get() = phase == Phase.RUNNING
 
     /** Whether a heartbeat has shown the task on its machine. */
--- a/src/main/kotlin/linemast/domain/TaskId.kt
+++ b/src/main/kotlin/linemast/domain/TaskId.kt
@@ -20,5 +20,10 @@
     }
 }
 
-/** Identifies one attempt to run a task. Attempt numbers begin with the fencing token of the leader that chose them. */
+/**
+ * Identifies one attempt to run a task.
+ *
+ * @property task the task.
+ * @property attempt number of the attempt, which begins with the fencing token of the leader that chose it; the tasks of a gang share it.
+ */
 data class TaskAttempt(val task: TaskId, val attempt: Long)
--- a/src/main/kotlin/linemast/domain/TaskSet.kt
+++ b/src/main/kotlin/linemast/domain/TaskSet.kt
@@ -7,6 +7,8 @@
 class TaskSet(private val taskCount: Int) {
     /** Tasks that have run to completion. */
     val done = BitSet()
+
+    /** Number of tasks that have run to completion. */
     var doneCount = 0
         private set
 
@@ -16,10 +18,15 @@
 
     /** Tasks that are done or have a placement. */
     private val doneOrPlaced = BitSet()
+
+    /** Number of tasks that are done or have a placement. */
     var doneOrPlacedCount = 0
         private set
 
+    /** Number of tasks that are neither done nor placed. */
     val pendingCount: Int get() = taskCount - doneOrPlacedCount
+
+    /** Whether all tasks have run to completion. */
     val isDone: Boolean get() = doneCount == taskCount
 
     /** The first task from [from] on that is neither done nor placed; -1 if there is none. */
--- a/src/main/kotlin/linemast/domain/TaskStatus.kt
+++ b/src/main/kotlin/linemast/domain/TaskStatus.kt
@@ -50,8 +50,11 @@
 
 /** Status of one task in a worker's heartbeat. */
 class TaskStatus(
+    /** The task that the worker holds. */
     val task: TaskId,
+    /** Number of the attempt that it holds; see [TaskAttempt]. */
     val attempt: Long,
+    /** State of the attempt when the heartbeat was sent. */
     val state: TaskState,
     /** Why the task has ended; null while it has not. */
     val cause: EndCause?,
