--- /dev/null
+++ b/src/main/kotlin/linemast/app/CommandLineOptions.kt
@@ -0,0 +1,55 @@
+package linemast.app
+
+import picocli.CommandLine
+import picocli.CommandLine.Model.CommandSpec
+import picocli.CommandLine.Model.OptionSpec
+import java.nio.file.Path
+
+internal const val CONFIG_OPTION = "--config"
+internal const val CHECK_OPTION = "--check"
+internal const val POLICY_OPTION = "--policy"
+internal const val DUTIES_OPTION = "--duties"
+internal const val ADMISSION_OPTION = "--admission"
+internal const val RECOVERY_OPTION = "--recovery"
+internal const val ACTIONS_OPTION = "--actions"
+internal const val ACTIONS_HTML_OPTION = "--actions-html"
+internal const val TRAINING_OPTION = "--rehearse"
+
+private const val VERSION = "linemast 0.1.0"
+
+/** The command line with all its options; it executes [executeCommand]. */
+internal fun commandLine(): CommandLine {
+    val line = CommandLine(commandSpec())
+    line.executionStrategy = CommandLine.IExecutionStrategy { parsed ->
+        CommandLine.executeHelpRequest(parsed) ?: executeCommand(parsed)
+    }
+    line.parameterExceptionHandler = CommandLine.IParameterExceptionHandler { e, _ ->
+        System.err.println("linemast: ${e.message}")
+        ExitCode.USAGE
+    }
+    return line
+}
+
+/** Built without annotations, whose reading would cost reflection at every cold start. */
+private fun commandSpec(): CommandSpec {
+    val spec = CommandSpec.create().name("linemast").version(VERSION)
+    spec.usageMessage().description("A controller of the linemast cluster scheduler.")
+    spec.addOption(fileOption(CONFIG_OPTION, "The settings file (TOML)."))
+    spec.addOption(flag(CHECK_OPTION, "Check the settings and exit."))
+    spec.addOption(fileOption(POLICY_OPTION, "The operators' own settings (Lua); see docs/operations.md."))
+    spec.addOption(fileOption(DUTIES_OPTION, "Enables single-holder duties (TOML); see docs/operations-duties.md."))
+    spec.addOption(fileOption(ADMISSION_OPTION, "Enables fair admission (TOML); see docs/operations-admission.md."))
+    spec.addOption(fileOption(RECOVERY_OPTION, "Enables the reconciliation after a total outage (TOML); see docs/operations-recovery.md."))
+    spec.addOption(flag(ACTIONS_OPTION, "Print the latest actions at the cloud from the store, audited, and exit."))
+    spec.addOption(fileOption(ACTIONS_HTML_OPTION, "With --actions: also write them as an HTML page."))
+    spec.addOption(flag(TRAINING_OPTION, "Run the usual paths once on loopback and exit; the build makes its class-data archive so."))
+    spec.addOption(OptionSpec.builder("--help", "-h").usageHelp(true).description("Show this help.").build())
+    spec.addOption(OptionSpec.builder("--version").versionHelp(true).description("Show the version.").build())
+    return spec
+}
+
+private fun fileOption(name: String, description: String): OptionSpec =
+    OptionSpec.builder(name).paramLabel("FILE").type(Path::class.java).description(description).build()
+
+private fun flag(name: String, description: String): OptionSpec =
+    OptionSpec.builder(name).type(java.lang.Boolean.TYPE).arity("0").description(description).build()
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -3,11 +3,10 @@
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.launch
 import linemast.cloud.CloudClient
+import linemast.control.ControllerConfiguration
 import linemast.peers.PeerLinks
-import linemast.settings.Features
-import linemast.settings.Policy
-import linemast.settings.Settings
 import linemast.store.KeyValueStoreClient
+import linemast.time.MICROS_PER_MILLI
 import linemast.time.SteadyClock
 import linemast.transport.EventLoop
 import linemast.transport.HttpRequest
@@ -15,30 +14,29 @@
 import linemast.transport.HttpServer
 import org.slf4j.LoggerFactory
 
-/** One controller: a [Node] with its sockets, running until it is cancelled. */
-class Controller(private val settings: Settings, private val policy: Policy, private val features: Features, private val loop: EventLoop) {
+/** One controller: a [Node] with its sockets on [loop]. */
+class Controller(private val configuration: ControllerConfiguration, private val loop: EventLoop) {
+    private val settings = configuration.settings
     private val log = LoggerFactory.getLogger(Controller::class.java)
 
-    /** Serves until it is cancelled. */
+    /** Serves until it is cancelled; the store client, the servers and the node are its children. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
         val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllers, clock)
         val node = Node(
-            settings = settings,
-            policy = policy,
+            configuration = configuration,
             store = store,
             cloud = CloudClient(loop, settings.cloudAddress, settings.cloudLimits, clock),
             clock = clock,
-            wallMicros = { System.currentTimeMillis() * 1_000 },
+            wallMicros = { System.currentTimeMillis() * MICROS_PER_MILLI },
             scope = this,
             onLeadershipChange = store::setLeader,
-            features = features,
         )
         var handler: suspend (HttpRequest) -> HttpResponse = node::route
         if (log.isDebugEnabled) {
             val metrics = Metrics(clock)
-            handler = metrics.around(handler)
-            loop.onIteration = metrics::turn
+            handler = metrics.measured(handler)
+            loop.onIteration = metrics::recordIteration
             launch { metrics.run() }
         }
         val server = HttpServer(loop, settings.listenAddress, settings.processLimits.fdLimit - RESERVED_SOCKETS, handler)
@@ -50,7 +48,7 @@
     }
 
     private companion object {
-        /** Kept for the store, the cloud and the peers, and for what the JVM itself holds open. */
+        /** File descriptors left for the store, the cloud and the peers, and for what the JVM itself holds open. */
         const val RESERVED_SOCKETS = 40
     }
 }
--- /dev/null
+++ b/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
@@ -0,0 +1,34 @@
+package linemast.app
+
+import linemast.leadership.LeaderView
+import linemast.serialization.Cbor
+import linemast.time.Clock
+import linemast.transport.HttpRequest
+import linemast.transport.HttpResponse
+import linemast.transport.HttpStatus
+import linemast.workers.HeartbeatCodec
+
+/** Receives the heartbeats of workers: the leader responds with commands, other controllers redirect to the leader. */
+internal class HeartbeatEndpoint(
+    private val nodeName: String,
+    private val clock: Clock,
+    private val leaderView: LeaderView,
+    private val leaderLifecycle: LeaderLifecycle,
+    private val peerStatusExchange: PeerStatusExchange,
+) {
+    /** The response to a heartbeat. Throws [linemast.serialization.MalformedException] if its body cannot be decoded. */
+    suspend fun respond(request: HttpRequest): HttpResponse {
+        val heartbeat = HeartbeatCodec.decode(Cbor.decodeMap(request.body))
+        peerStatusExchange.heartbeatReceived()
+        leaderView.observeFencingToken(heartbeat.fencingToken)
+        val answer = leaderLifecycle.leader?.answer(heartbeat) ?: return redirect()
+        val body = HeartbeatCodec.encodeResponse(answer.fencingToken, answer.commands)
+        return HttpResponse(HttpStatus.OK, Cbor.encode(body), stillValid = { answer.isValid(clock.nowMicros()) })
+    }
+
+    private fun redirect(): HttpResponse {
+        val leaderName = leaderView.leaderName
+        if (leaderName == null || leaderName == nodeName) return HttpResponse(HttpStatus.MISDIRECTED_REQUEST)
+        return HttpResponse(HttpStatus.MISDIRECTED_REQUEST, Cbor.encode(HeartbeatCodec.encodeRedirect(leaderName)))
+    }
+}
--- a/src/main/kotlin/linemast/app/Metrics.kt
+++ b/src/main/kotlin/linemast/app/Metrics.kt
@@ -10,65 +10,81 @@
 import org.slf4j.LoggerFactory
 import java.lang.management.ManagementFactory
 
-/** Latency of requests, turns of the event loop and use of the processor, summed up in the log at `debug`; not built at other levels. */
+/**
+ * Latency of requests, duration of event loop iterations and processor usage, logged once a minute at level `debug`.
+ *
+ * At other levels no instance is created, so that requests cost nothing for it.
+ */
 class Metrics(private val clock: Clock) {
     private val log = LoggerFactory.getLogger(Metrics::class.java)
     private val latencies = sortedMapOf<String, Histogram>()
-    private var cpuMicros = cpuNow()
-    private var sinceMicros = clock.nowMicros()
+    private var lastProcessorMicros = processorMicrosNow()
+    private var lastLoggedMicros = clock.nowMicros()
 
-    /** [handler], measured. */
-    fun around(handler: suspend (HttpRequest) -> HttpResponse): suspend (HttpRequest) -> HttpResponse = { request ->
+    /** A handler that passes requests on to [handler] and records their latency. */
+    fun measured(handler: suspend (HttpRequest) -> HttpResponse): suspend (HttpRequest) -> HttpResponse = { request ->
         val start = clock.nowMicros()
         handler(request).also { record(kind(request), clock.nowMicros() - start) }
     }
 
-    /** A turn of the event loop took [micros]. */
-    fun turn(micros: Long) = record("turn", micros)
+    /** Records that an iteration of the event loop took [micros]. */
+    fun recordIteration(micros: Long) = record("turn", micros)
 
     private fun record(kind: String, micros: Long) {
-        latencies.getOrPut(kind) { Histogram(MAX_MICROS, 2) }.recordValue(micros.coerceIn(0, MAX_MICROS))
+        latencies.getOrPut(kind) { Histogram(MAX_MICROS, SIGNIFICANT_DIGITS) }.recordValue(micros.coerceIn(0, MAX_MICROS))
     }
 
     private fun kind(request: HttpRequest): String = when {
         request.path == "/v1/jobs" -> "submit"
         request.path.endsWith("/cancel") -> "cancel"
-        request.path.startsWith("/v1/jobs/") -> "poll"
-        request.path == "/agent/beat" -> "report"
+        request.path.startsWith("/v1/jobs/") -> "status"
+        request.path == "/agent/beat" -> "heartbeat"
         else -> "other"
     }
 
-    /** Logs and resets the figures once a minute. */
+    /** Logs and resets the figures once a minute, until it is cancelled. */
     suspend fun run() {
         while (true) {
             delay(PERIOD_MILLIS)
-            for ((kind, histogram) in latencies) {
-                log.debug(
-                    "{}: {} times, p50/p90/p99/max {}/{}/{}/{} us",
-                    kind,
-                    histogram.totalCount,
-                    histogram.getValueAtPercentile(MEDIAN),
-                    histogram.getValueAtPercentile(P90),
-                    histogram.getValueAtPercentile(P99),
-                    histogram.maxValue,
-                )
-            }
-            latencies.clear()
-            val cpu = cpuNow()
-            val now = clock.nowMicros()
-            log.debug("processor: {} of a core", "%.4f".format((cpu - cpuMicros).toDouble() / (now - sinceMicros)))
-            cpuMicros = cpu
-            sinceMicros = now
+            logLatencies()
+            logProcessorUsage()
         }
     }
 
-    private fun cpuNow(): Long =
-        (ManagementFactory.getOperatingSystemMXBean() as? OperatingSystemMXBean)?.let { it.processCpuTime / 1_000 } ?: 0L
+    private fun logLatencies() {
+        for ((kind, histogram) in latencies) {
+            log.debug(
+                "{}: {} times, p50/p90/p99/max {}/{}/{}/{} us",
+                kind,
+                histogram.totalCount,
+                histogram.getValueAtPercentile(MEDIAN),
+                histogram.getValueAtPercentile(P90),
+                histogram.getValueAtPercentile(P99),
+                histogram.maxValue,
+            )
+        }
+        latencies.clear()
+    }
+
+    private fun logProcessorUsage() {
+        val processorMicros = processorMicrosNow()
+        val nowMicros = clock.nowMicros()
+        val usage = (processorMicros - lastProcessorMicros).toDouble() / (nowMicros - lastLoggedMicros)
+        log.debug("processor: {} of a core", "%.4f".format(usage))
+        lastProcessorMicros = processorMicros
+        lastLoggedMicros = nowMicros
+    }
+
+    /** Processor time that this process has used so far; 0 if the platform does not tell. */
+    private fun processorMicrosNow(): Long =
+        (ManagementFactory.getOperatingSystemMXBean() as? OperatingSystemMXBean)?.let { it.processCpuTime / NANOS_PER_MICRO } ?: 0L
 
     private companion object {
+        const val SIGNIFICANT_DIGITS = 2
         const val MEDIAN = 50.0
         const val P90 = 90.0
         const val P99 = 99.0
+        const val NANOS_PER_MICRO = 1_000L
         const val PERIOD_MILLIS = 60_000L
         const val MAX_MICROS = 60 * SECOND_MICROS
     }
--- a/src/main/kotlin/linemast/control/LeaderEnvironment.kt
+++ b/src/main/kotlin/linemast/control/LeaderEnvironment.kt
@@ -16,12 +16,12 @@
  * @property policy intervals and limits of planning, scaling and leadership.
  * @property features the optional parts of the service that are enabled.
  */
-class LeaderConfiguration(val settings: Settings, val policy: Policy, val features: Features)
+class ControllerConfiguration(val settings: Settings, val policy: Policy, val features: Features)
 
 /** What a [Leader] gets from its controller; it outlives the leader's term. */
 class LeaderEnvironment(
     /** What the operators configured. */
-    val configuration: LeaderConfiguration,
+    val configuration: ControllerConfiguration,
     /** The consensus-backed key-value store, with this controller's limits on requests. */
     val store: KeyValueStore,
     /** The cloud's API. */
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -8,6 +8,7 @@
 import kotlinx.coroutines.launch
 import linemast.admission.AdmissionPlan
 import linemast.app.Node
+import linemast.control.ControllerConfiguration
 import linemast.domain.MachineType
 import linemast.serialization.MalformedException
 import linemast.settings.Features
@@ -98,14 +99,12 @@
         val name = "mast-$at"
         val client = store.clientOf(name).let { if (at in oldNodes) PreviousVersionStore(it) else it }
         val node = Node(
-            settings(name),
-            policy,
+            ControllerConfiguration(settings(name), policy, features),
             client,
             cloud.clientOf(at),
             clockOf(at),
             clock::nowMicros,
             nodeScope,
-            features = features,
         )
         nodeScopes[at] = nodeScope
         nodes[at] = node
