--- a/src/main/kotlin/linemast/app/Commands.kt
+++ b/src/main/kotlin/linemast/app/Commands.kt
@@ -13,23 +13,6 @@
 import picocli.CommandLine.ParseResult
 import java.nio.file.Path
 
-/** Exit codes of the process; see README.md and docs/operations-duties.md. */
-internal object ExitCode {
-    const val OK = 0
-
-    /** The store could not be read, or a file could not be written. */
-    const val FAILED = 1
-
-    /** The command line is wrong. */
-    const val USAGE = 2
-
-    /** The settings are wrong. */
-    const val SETTINGS = 3
-
-    /** The inspected actions violate a rule. */
-    const val VIOLATIONS = 4
-}
-
 /** Executes what the options ask for; the exit code of the process. */
 internal fun executeCommand(options: ParseResult): Int {
     if (options.hasMatchedOption(TRAINING_OPTION)) return ArchiveTraining.run()
--- a/src/main/kotlin/linemast/planning/ScaleOutDemand.kt
+++ b/src/main/kotlin/linemast/planning/ScaleOutDemand.kt
@@ -3,7 +3,7 @@
 import linemast.domain.Job
 import linemast.domain.Machine
 
-/** Scaled-out machines should be able to run [slots] tasks of [job] concurrently now; partial slots add up across jobs. */
+/** Scaled-out machines should be able to run [slots] tasks of [job] concurrently now; [slots] need not be whole. */
 class ScaleOutDemand(val job: Job, val slots: Double) {
     internal companion object {
         /** What [plan] asks for at [nowMicros]: its scale-out slots, and backups as far as baseline capacity was not granted yet. */
