--- a/src/main/kotlin/linemast/app/ArchiveTraining.kt
+++ b/src/main/kotlin/linemast/app/ArchiveTraining.kt
@@ -62,7 +62,7 @@
     }
 
     private fun job(): Map<String, Any?> = mapOf(
-        "name_id" to JOB, "lane" to "lane", "crew" to "crew", "shape" to "sweep", "urgency" to "normal",
+        "name_id" to JOB, "lane" to "lane", "crew" to "team", "shape" to "sweep", "urgency" to "normal",
         "pieces" to 3, "vcpus" to 1.0, "gpus" to 0.0, "memory_gb" to 1.0, "bundle" to "img", "pull_gb" to 1.0,
         "builds" to null, "yard" to null, "same_place" to false, "apart" to false, "loaners" to true,
         "guess_s" to 10.0, "mark_every_s" to 0.0, "mark_s" to 0.0, "due_s" to 60.0,
--- a/src/main/kotlin/linemast/app/ArchiveTrainingConfiguration.kt
+++ b/src/main/kotlin/linemast/app/ArchiveTrainingConfiguration.kt
@@ -46,7 +46,7 @@
     zones = ["zone"]
     clock_off_ms = 1.0
     [[settings.teams]]
-    name = "crew"
+    name = "team"
     cpus = 4.0
     cpus_max = 8.0
     gpus = 0.0
--- /dev/null
+++ b/src/test/kotlin/linemast/architecture/DocumentedNamesTest.kt
@@ -0,0 +1,56 @@
+package linemast.architecture
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+import java.nio.file.Files
+import java.nio.file.Path
+import kotlin.io.path.extension
+import kotlin.io.path.name
+import kotlin.io.path.readText
+
+/** Pages that describe the code name types and members that exist: a page with a stale name sends its reader astray. */
+class DocumentedNamesTest {
+    private class Source(val packageName: String, val text: String) {
+        val types = TYPE_DECLARATION.findAll(text).map { it.groupValues[1] }.toSet()
+    }
+
+    private val sources = listOf("src/main/kotlin", "src/test/kotlin").flatMap(::kotlinFiles).map { file ->
+        val text = file.readText()
+        Source(text.lineSequence().first { it.startsWith("package ") }.removePrefix("package linemast").removePrefix("."), text)
+    }
+
+    @Test
+    fun `types and members in backticks exist in the code`() {
+        val unknown = pages().flatMap { page ->
+            NAME.findAll(page.readText()).filter { !exists(it) }.map { "${page.name}: ${it.value}" }
+        }
+        assertEquals(emptyList<String>(), unknown)
+    }
+
+    private fun exists(name: MatchResult): Boolean {
+        val (packageName, type, member) = name.destructured
+        if (type in WORDS) return true
+        return sources.any { source ->
+            type in source.types &&
+                (packageName.isEmpty() || source.packageName == packageName.removeSuffix("/")) &&
+                (member.isEmpty() || Regex("\\b${Regex.escape(member.removePrefix("."))}\\b").containsMatchIn(source.text))
+        }
+    }
+
+    private fun kotlinFiles(root: String): List<Path> =
+        Files.walk(Path.of(root)).use { paths -> paths.filter { it.extension == "kt" }.toList() }
+
+    /** Measurements and incidents keep the names of their time. */
+    private fun pages(): List<Path> = listOf(Path.of("README.md"), Path.of("CONTRIBUTING.md")) +
+        Files.list(Path.of("docs")).use { paths -> paths.filter { it.extension == "md" && it.name != "measurements.md" }.toList() }.sorted()
+
+    private companion object {
+        val TYPE_DECLARATION = Regex("\\b(?:class|interface|object|typealias) ([A-Z]\\w*)")
+
+        /** A type with at least two capitals, its package before it or a member behind it: `scheduling/Cluster`, `Leader.run`, `JobCodec`. */
+        val NAME = Regex("`((?:[a-z]+/)?)([A-Z][a-z]+(?:[A-Z][a-z]+)+|(?<=/)[A-Z][a-z]+|[A-Z][a-z]+(?=\\.))((?:\\.[a-z]\\w*)?)`")
+
+        /** Names of libraries and of the virtual machine. */
+        val WORDS = setOf("ExitOnOutOfMemoryError", "SelectorManager")
+    }
+}
