--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -3,9 +3,6 @@
 import linemast.autoscaling.Autoscaler
 import linemast.cloud.Fleet
 import linemast.cloud.ListedMachine
-import linemast.domain.Command
-import linemast.domain.EndCause
-import linemast.domain.Heartbeat
 import linemast.domain.Job
 import linemast.domain.JobRecord
 import linemast.domain.JobSpec
@@ -13,8 +10,6 @@
 import linemast.domain.MachineType
 import linemast.domain.StoredJobRecord
 import linemast.domain.TaskId
-import linemast.domain.TaskState
-import linemast.domain.TaskStatus
 import linemast.planning.Planner
 import linemast.planning.RunTimeEstimates
 import linemast.scheduling.Cluster
@@ -24,7 +19,6 @@
 import linemast.settings.Policy
 import linemast.settings.Settings
 import linemast.testSpec
-import java.util.PriorityQueue
 import kotlin.random.Random
 
 /** A job's part in a [FleetScenario]. */
@@ -42,11 +36,9 @@
     private val maxMachines: Int = 1_450,
 ) {
     private val random = Random(seed)
-    private var number = 0L
-    private val queue = PriorityQueue<Event>()
+    private val events = VirtualTimeEvents(startMicros = 1_000_000L)
     private val workers = LinkedHashMap<String, ScenarioWorker>()
-    var now = 1_000_000L
-        private set
+    val now: Long get() = events.nowMicros
     val starts = ArrayList<String>()
     var lost = 0
         private set
@@ -54,8 +46,11 @@
     val spent = sortedMapOf<String, Long>()
     val longest = sortedMapOf<String, Long>()
     val doneJobs = HashMap<String, Long>()
-    private val running = HashMap<TaskId, ScenarioWorker>()
-    private val jobs = HashMap<String, ScenarioJob>()
+
+    /** Where each task is that has been started and has not ended. */
+    val running = HashMap<TaskId, ScenarioWorker>()
+    val jobs = HashMap<String, ScenarioJob>()
+    val heartbeatIntervalMicros = settings.workers.heartbeatIntervalMicros
 
     private val effects = object : ClusterEffects {
         override fun storeActivation(job: Job) {
@@ -93,6 +88,7 @@
 
     private var leader = LeaderState(FIRST_FENCING_TOKEN)
     val cluster: Cluster get() = leader.cluster
+    val fencingToken: Long get() = leader.fencingToken
     private val fleet: Fleet get() = leader.fleet
     private val autoscaler: Autoscaler get() = leader.autoscaler
 
@@ -115,10 +111,6 @@
         fleet.baselineMachines?.let(cluster::markBaseline)
     }
 
-    private class Event(val atMicros: Long, val number: Long, val action: () -> Unit) : Comparable<Event> {
-        override fun compareTo(other: Event) = compareValuesBy(this, other, { it.atMicros }, { it.number })
-    }
-
     init {
         cluster.types = types.associateBy { it.name }
         cluster.load(emptyList(), emptyList(), now)
@@ -129,25 +121,26 @@
         tick()
     }
 
-    fun at(afterMicros: Long, action: () -> Unit) {
-        queue.add(Event(now + afterMicros, number++, action))
-    }
+    /** Runs [action] after [afterMicros] of virtual time. */
+    fun at(afterMicros: Long, action: () -> Unit) = events.schedule(afterMicros, action)
 
-    fun runUntil(micros: Long) {
-        while (queue.isNotEmpty() && queue.peek().atMicros <= micros) {
-            val event = queue.poll()
-            now = event.atMicros
-            event.action()
-        }
-        now = micros
-    }
+    /** Runs all that is due up to [micros]. */
+    fun runUntil(micros: Long) = events.runUntil(micros)
 
     fun submit(spec: JobSpec, runMicros: Long) {
         jobs[spec.id] = ScenarioJob(spec, runMicros)
         cluster.putJob(JobRecord(spec, now, activated = false, cancelled = false), 1)
     }
 
-    private fun <T> measured(what: String, action: () -> T): T {
+    /** A running task has ended without being done. */
+    fun countLostTask() {
+        lost++
+    }
+
+    /** The time until the next regular heartbeat: a quarter more or less than the interval. */
+    fun heartbeatDelayMicros(): Long = heartbeatIntervalMicros * 3 / 4 + random.nextLong(heartbeatIntervalMicros / 2)
+
+    fun <T> measured(what: String, action: () -> T): T {
         val start = System.nanoTime()
         return action().also {
             val took = System.nanoTime() - start
@@ -158,7 +151,7 @@
 
     private fun tick() {
         measured("tick") { cluster.tick(now) }
-        val actions = measured("steward") { autoscaler.step(now, now) }
+        val actions = measured("autoscaler") { autoscaler.step(now, now) }
         for (request in actions.scaleOuts) {
             at(120_000) {
                 val type = types.first { it.name == request.machineType }
@@ -202,7 +195,7 @@
     }
 
     private fun addWorker(type: MachineType, zone: String, spot: Boolean, bootMicros: Long = random.nextLong(1_000_000)): String {
-        val worker = ScenarioWorker("host-%06d".format(workers.size + removed + 1), type, zone, spot)
+        val worker = ScenarioWorker(this, "host-%06d".format(workers.size + removed + 1), type, zone, spot)
         workers[worker.name] = worker
         at(bootMicros, worker::heartbeat)
         return worker.name
@@ -219,95 +212,6 @@
 
     fun killRandom(count: Int) = workers.keys.shuffled(random).take(count).forEach(::removeWorker)
 
-    private inner class ScenarioTask(val worker: ScenarioWorker, val task: TaskId, val attempt: Long) {
-        var status = TaskState.FETCHING
-        var cause: EndCause? = null
-
-        fun end(why: EndCause = EndCause.STOPPED) {
-            if (status == TaskState.ENDED) return
-            if (why != EndCause.DONE && status == TaskState.RUNNING) lost++
-            status = TaskState.ENDED
-            cause = why
-            running.remove(task, worker)
-            worker.changed()
-        }
-
-        fun fetched() {
-            if (status != TaskState.FETCHING) return
-            worker.changed()
-            val job = jobs.getValue(task.job)
-            if (job.spec.isGang && job.spec.taskCount > 1) {
-                status = TaskState.WAITING_FOR_GANG
-                val mates = (0 until job.spec.taskCount).mapNotNull { index ->
-                    running[TaskId(task.job, index)]?.tasks?.get(TaskId(task.job, index) to attempt)
-                }
-                if (mates.size == job.spec.taskCount && mates.all { it.status == TaskState.WAITING_FOR_GANG }) mates.forEach { it.run(job) }
-            } else {
-                run(job)
-            }
-        }
-
-        private fun run(job: ScenarioJob) {
-            status = TaskState.RUNNING
-            worker.changed()
-            at(job.runMicros) { if (status == TaskState.RUNNING) end(EndCause.DONE) }
-        }
-    }
-
-    private inner class ScenarioWorker(val name: String, val type: MachineType, val zone: String, val spot: Boolean) {
-        val bornMicros = now
-        var gone = false
-        var sequenceNumber = 0L
-        var fencingToken = 0L
-        var sentMicros = 0L
-        var due = 0L
-        val tasks = LinkedHashMap<Pair<TaskId, Long>, ScenarioTask>()
-        val images = HashSet<String>()
-
-        fun changed() = reportAt(maxOf(now, sentMicros + 500_000))
-
-        private fun reportAt(micros: Long) {
-            if (due in (now + 1)..micros) return
-            due = micros
-            at(micros - now) { if (due == micros) heartbeat() }
-        }
-
-        fun heartbeat() {
-            if (gone) return
-            sentMicros = now
-            due = 0
-            val heartbeat = Heartbeat(
-                name, "", type.name, zone, spot, 1, ++sequenceNumber, fencingToken, null,
-                tasks.values.map { TaskStatus(it.task, it.attempt, it.status, it.cause, false) },
-            )
-            val commands = measured("report") { cluster.heartbeat(heartbeat, now) }.orEmpty()
-            if (fencingToken != leader.fencingToken) changed()
-            fencingToken = leader.fencingToken
-            commands.forEach(::execute)
-            val period = settings.workers.heartbeatIntervalMicros
-            reportAt(now + period * 3 / 4 + random.nextLong(period / 2))
-        }
-
-        private fun execute(order: Command) {
-            val key = order.task to order.attempt
-            when (order) {
-                is Command.Start -> {
-                    val other = running[order.task]
-                    if (other != null) broken += "ran_twice: ${order.task}"
-                    starts += "$now ${order.task} $name"
-                    val task = ScenarioTask(this, order.task, order.attempt)
-                    tasks[key] = task
-                    running[order.task] = this
-                    val image = jobs.getValue(order.task.job).spec.image
-                    at(if (images.add(image)) 2_000_000 else 50_000, task::fetched)
-                    changed()
-                }
-                is Command.Stop -> tasks[key]?.end()
-                is Command.Acknowledge -> tasks.remove(key)
-            }
-        }
-    }
-
     companion object {
         private const val FIRST_FENCING_TOKEN = 5L
         private const val GRACE_MICROS = 10_000_000L
