--- a/src/test/kotlin/linemast/architecture/DocumentedNamesTest.kt
+++ b/src/test/kotlin/linemast/architecture/DocumentedNamesTest.kt
@@ -47,7 +47,7 @@
     private companion object {
         val TYPE_DECLARATION = Regex("\\b(?:class|interface|object|typealias) ([A-Z]\\w*)")
 
-        /** A type with at least two capitals, its package before it or a member behind it: `scheduling/Cluster`, `Leader.run`, `JobCodec`. */
+        /** A type with at least two capitals, a package before it or a member behind it: `scheduling/Cluster`, `Leader.run`. */
         val NAME = Regex("`((?:[a-z]+/)?)([A-Z][a-z]+(?:[A-Z][a-z]+)+|(?<=/)[A-Z][a-z]+|[A-Z][a-z]+(?=\\.))((?:\\.[a-z]\\w*)?)`")
 
         /** Names of libraries and of the virtual machine. */
