--- a/src/test/kotlin/linemast/architecture/ProtocolWordsTest.kt
+++ b/src/test/kotlin/linemast/architecture/ProtocolWordsTest.kt
@@ -30,7 +30,8 @@
     private val codecs = setOf(
         "admission/AdmissionCodec.kt", "cloud/CloudCodec.kt", "cloud/MachineTypeCodec.kt", "duties/IntentCodec.kt",
         "jobs/JobRecordCodec.kt", "jobs/JobResponseCodec.kt", "jobs/JobSpecCodec.kt", "jobs/OutcomeRecordCodec.kt",
-        "leadership/LeaderKeys.kt", "leadership/LeaderRecord.kt", "store/StoreCodec.kt", "workers/HeartbeatCodec.kt", "workers/MachineRegistryCodec.kt",
+        "leadership/LeaderKeys.kt", "leadership/LeaderRecord.kt",
+        "store/StoreCodec.kt", "workers/HeartbeatCodec.kt", "workers/MachineRegistryCodec.kt",
     )
 
     /** Other files that still hold such words, with the reason. This list may only shrink. */
