--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -149,7 +149,7 @@
 
     private suspend fun heartbeat() {
         val sent = world.clock.nowMicros()
-        val incarnation = incarnation
+        val sentIncarnation = incarnation
         val boot = boots
         val body = Cbor.encode(reportBody())
         if (mute) {
@@ -184,7 +184,7 @@
         }
         if (hung || gone) return
         when (reply.status) {
-            200 -> if (incarnation == incarnation && boots == boot) take(Cbor.decodeMap(reply.body), sent)
+            200 -> if (incarnation == sentIncarnation && boots == boot) take(Cbor.decodeMap(reply.body), sent)
             421 -> redirect(if (reply.body.isEmpty()) null else Cbor.decodeMap(reply.body).textOrNull("bridge"))
             else -> {
                 delay(1_000)
