--- a/src/main/kotlin/linemast/app/PeerStatusExchange.kt
+++ b/src/main/kotlin/linemast/app/PeerStatusExchange.kt
@@ -40,7 +40,7 @@
     fun receive(status: PeerStatus) {
         leaderView.observeFencingToken(status.fencingToken)
         val isFromLeader = status.isLeader && status.fencingToken >= leaderView.highestFencingToken
-        if (isFromLeader && leaderView.own == null) leaderView.leaderName = status.node
+        if (isFromLeader && leaderView.ownLease == null) leaderView.leaderName = status.node
         peerView.received(status)
         leaderLifecycle.leader?.peerObservedToken(status.node, status.fencingToken)
     }
--- a/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
@@ -18,7 +18,7 @@
         if (!mayRenewWorkerLeases(nowMicros) || isCutOff(nowMicros)) null else permittedCommands(nowMicros)
 
     private fun mayRenewWorkerLeases(nowMicros: Long) =
-        lease.mayAnswerHeartbeats(nowMicros) && nowMicros < cancellationFreshness.renewalsAllowedUntilMicros
+        lease.mayRespondToHeartbeats(nowMicros) && nowMicros < cancellationFreshness.renewalsAllowedUntilMicros
 
     private fun permittedCommands(nowMicros: Long): CommandPermission = when {
         !lease.mayIssueCommands(nowMicros) -> CommandPermission.NO_COMMANDS
--- a/src/main/kotlin/linemast/control/HeartbeatResponse.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatResponse.kt
@@ -23,7 +23,7 @@
     private val startsTasks = commands.any { it is Command.Start }
 
     /** Whether the response may still be sent at [nowMicros]. */
-    fun isValid(nowMicros: Long): Boolean = leaderLease.mayAnswerHeartbeats(nowMicros) &&
+    fun isValid(nowMicros: Long): Boolean = leaderLease.mayRespondToHeartbeats(nowMicros) &&
         nowMicros < renewalsAllowedUntilMicros &&
         (!startsTasks || mayStartTasks(nowMicros))
 
--- a/src/main/kotlin/linemast/control/JobWatcher.kt
+++ b/src/main/kotlin/linemast/control/JobWatcher.kt
@@ -42,7 +42,7 @@
 
         override fun listed(page: EntryPage) = openJobUpdates.applyAll(page)
 
-        override fun refreshedAt(sentMicros: Long) = cancellationFreshness.refreshedAt(sentMicros)
+        override fun refreshedAt(sentMicros: Long) = cancellationFreshness.recordRefresh(sentMicros)
     }
 
     private val blockedJobs = object : Subscription {
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -44,7 +44,7 @@
         cluster.load(records, machines, term.clock.nowMicros())
         applyCompletedTasks(completed.entries)
         dependencyCoordinator.load(blocked.entries)
-        cancellationFreshness.refreshedAt(sentMicros)
+        cancellationFreshness.recordRefresh(sentMicros)
         log.info("read {} open jobs and {} machines from the store", records.size, machines.size)
         return JobRevisions(open.revision, blocked.revision)
     }
--- a/src/main/kotlin/linemast/duties/AuditFinding.kt
+++ b/src/main/kotlin/linemast/duties/AuditFinding.kt
@@ -1,7 +1,7 @@
 package linemast.duties
 
-/** The stored [intent] breaks [rule], or an operator should look at it; [message] says so in the report. */
-data class AuditFinding(val rule: AuditRule, val intent: IntentId, val message: String) {
+/** The stored [intentId] breaks [rule], or an operator should look at it; [message] says so in the report. */
+data class AuditFinding(val rule: AuditRule, val intentId: IntentId, val message: String) {
     /** How serious the finding is. */
     val severity: Severity get() = rule.severity
 
--- a/src/main/kotlin/linemast/duties/IntentAudit.kt
+++ b/src/main/kotlin/linemast/duties/IntentAudit.kt
@@ -3,16 +3,16 @@
 /** Checks stored intents against each [AuditRule]. [scaleOutRetryMicros] is how long scale-out requests are repeated. */
 class IntentAudit(private val scaleOutRetryMicros: Long) {
     /** The findings on [intents] at the wall-clock time [wallMicros], violations first. */
-    fun check(intents: List<Intent>, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
+    fun check(intents: List<Intent>, leadership: LeadershipSnapshot, wallMicros: Long): List<AuditFinding> {
         val findings = intents.flatMap { checkTokens(it, leadership) + checkRequestId(it) + checkAge(it, leadership, wallMicros) } +
             checkUniqueIntents(intents) + checkUniqueRequests(intents) + checkSingleScaleIns(intents)
         return findings.sortedBy { it.severity }
     }
 
-    private fun checkTokens(intent: Intent, leadership: LeadershipRecord): List<AuditFinding> {
+    private fun checkTokens(intent: Intent, leadership: LeadershipSnapshot): List<AuditFinding> {
         val decided = intent.id.fencingToken
         val closed = intent.closedByToken
-        fun finding(rule: AuditRule, message: String, isBroken: Boolean) = AuditFinding(rule, intent.id, message).takeIf { isBroken }
+        fun finding(rule: AuditRule, message: String, isViolated: Boolean) = AuditFinding(rule, intent.id, message).takeIf { isViolated }
         return listOfNotNull(
             finding(AuditRule.TOKEN_ISSUED, "its fencing token was never given out", decided > leadership.highestToken),
             finding(
@@ -32,7 +32,7 @@
         return listOf(AuditFinding(AuditRule.OWN_REQUEST_ID, intent.id, "asks under another term's request id"))
     }
 
-    private fun checkAge(intent: Intent, leadership: LeadershipRecord, wallMicros: Long): List<AuditFinding> {
+    private fun checkAge(intent: Intent, leadership: LeadershipSnapshot, wallMicros: Long): List<AuditFinding> {
         val isLeftOpen = !intent.state.isTerminal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
         val isOverdue = wallMicros - intent.decidedWallMicros > scaleOutRetryMicros * OVERDUE_FACTOR
         if (!isLeftOpen || !isOverdue) return emptyList()
--- a/src/main/kotlin/linemast/duties/IntentInspection.kt
+++ b/src/main/kotlin/linemast/duties/IntentInspection.kt
@@ -13,7 +13,7 @@
         val log = IntentLog.empty(settings.slots).reload(store.listAll(IntentCodec.PREFIX).entries)
         val leader = store.get(LeaderKeys.LEADER)
         val tokenCounter = store.get(LeaderKeys.FENCING_TOKEN)
-        val leadership = LeadershipRecordCodec.decode(leader?.value, tokenCounter?.value)
+        val leadership = LeadershipSnapshotCodec.decode(leader?.value, tokenCounter?.value)
         val intents = log.intents.map { it.intent }
         val findings = IntentAudit(settings.scaleOutRetryMicros).check(intents, leadership, wallMicros())
         return IntentReport(intents, leadership, findings)
--- a/src/main/kotlin/linemast/duties/IntentLog.kt
+++ b/src/main/kotlin/linemast/duties/IntentLog.kt
@@ -28,7 +28,7 @@
     val intents: List<StoredIntent> get() = stored.values.sortedBy { it.intent.id }
 
     /** Open intents in the order of their ids. */
-    val open: List<StoredIntent> get() = intents.filter { !it.intent.state.isTerminal }
+    val openIntents: List<StoredIntent> get() = intents.filter { !it.intent.state.isTerminal }
 
     /** The intent in [slot]; null if it is empty. */
     operator fun get(slot: Int): StoredIntent? = stored[slot]
@@ -37,7 +37,7 @@
     fun revisionOf(slot: Int): Long = stored[slot]?.revision ?: ABSENT_REVISION
 
     /** A slot for a new intent; null if none is free. */
-    fun freeSlot(): Int? {
+    fun findFreeSlot(): Int? {
         val usable = (0 until slotCount).filter { it !in reserved && it !in unreadable }
         val empty = usable.firstOrNull { it !in stored }
         return empty ?: usable.filter { stored.getValue(it).intent.state.isTerminal }.minByOrNull { stored.getValue(it).intent.id }
--- a/src/main/kotlin/linemast/duties/IntentReport.kt
+++ b/src/main/kotlin/linemast/duties/IntentReport.kt
@@ -6,7 +6,7 @@
 /** The latest cloud actions with the findings of the audit, for operators. [toText] and [toHtml] render it. */
 class IntentReport(
     internal val intents: List<Intent>,
-    private val leadership: LeadershipRecord,
+    private val leadership: LeadershipSnapshot,
     internal val findings: List<AuditFinding>,
 ) {
     /** Whether a rule is broken. */
@@ -25,7 +25,7 @@
 
     /** One line for each finding. */
     internal val findingLines: List<String>
-        get() = findings.map { "${it.severity.name.lowercase()}: ${it.intent} ${it.message}" }
+        get() = findings.map { "${it.severity.name.lowercase()}: ${it.intentId} ${it.message}" }
 
     private fun cells(intent: Intent): List<String> = listOf(
         intent.id.toString(),
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -38,7 +38,7 @@
                     writer.close(open, IntentState.REFUSED, 0)
                     return result
                 }
-                ScaleOutResult.Unknown -> delay(RETRY_MILLIS)
+                ScaleOutResult.Unknown -> delay(RETRY_INTERVAL_MILLIS)
             }
         }
         logger.info("scale-out {} is abandoned: no answer", action.request.requestId)
@@ -58,7 +58,7 @@
 
     /** Repeats the scale-in of [names] until the cloud has confirmed it. */
     suspend fun scaleIn(names: List<String>) {
-        var pauseMillis = RETRY_MILLIS
+        var backoffMillis = RETRY_INTERVAL_MILLIS
         while (true) {
             awaitValidLease()
             try {
@@ -66,8 +66,8 @@
             } catch (e: CloudException) {
                 logger.info("scale-in of {}: {}", names, e.message)
             }
-            delay(pauseMillis)
-            pauseMillis = minOf(pauseMillis * 2, MAX_PAUSE_MILLIS)
+            delay(backoffMillis)
+            backoffMillis = minOf(backoffMillis * 2, MAX_BACKOFF_MILLIS)
         }
     }
 
@@ -76,16 +76,16 @@
 
     private suspend fun awaitValidLease() {
         while (!leaderLease.mayIssueCommands(clock.nowMicros())) {
-            if (leaderLease.ended) throw LeadershipLostException(leaderLease.fencingToken)
-            delay(LEASE_POLL_MILLIS)
+            if (leaderLease.hasEnded) throw LeadershipLostException(leaderLease.fencingToken)
+            delay(LEASE_POLL_INTERVAL_MILLIS)
         }
     }
 
     private companion object {
-        const val RETRY_MILLIS = SECOND_MICROS / 1_000
+        const val RETRY_INTERVAL_MILLIS = SECOND_MICROS / 1_000
 
         /** Scale-ins that pile up in an outage of the cloud must not use up the calls that it takes afterwards. */
-        const val MAX_PAUSE_MILLIS = 16 * RETRY_MILLIS
-        const val LEASE_POLL_MILLIS = 100L
+        const val MAX_BACKOFF_MILLIS = 16 * RETRY_INTERVAL_MILLIS
+        const val LEASE_POLL_INTERVAL_MILLIS = 100L
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentSlots.kt
+++ b/src/main/kotlin/linemast/duties/IntentSlots.kt
@@ -21,7 +21,7 @@
 
     /** Reserves a slot for a new intent; null if none is free. */
     fun reserve(): Int? {
-        val slot = log.freeSlot() ?: return null
+        val slot = log.findFreeSlot() ?: return null
         log = log.reserve(slot)
         return slot
     }
@@ -32,10 +32,10 @@
     }
 
     /** The precondition that [slot] still holds what it held when it was last read or written. */
-    fun unchanged(slot: Int) = Precondition(IntentCodec.key(slot), log.revisionOf(slot))
+    fun unchangedPrecondition(slot: Int) = Precondition(IntentCodec.key(slot), log.revisionOf(slot))
 
     /** Notes that the store holds [write] since [revision], and tells whoever waits for it. */
-    fun committed(write: IntentWrite, revision: Long) {
+    fun recordCommit(write: IntentWrite, revision: Long) {
         val stored = StoredIntent(write.slot, write.intent, revision)
         log = log.put(stored)
         if (write is IntentWrite.Open) write.committed.complete(stored)
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -28,7 +28,7 @@
     private val logger = LoggerFactory.getLogger(IntentWriter::class.java)
     private val batcher = TransactionBatcher(maxTransactionWrites)
     private val slots = IntentSlots(store, slotCount)
-    private val conflicts = IntentConflictResolver(slots, RETRY_MILLIS)
+    private val conflictResolver = IntentConflictResolver(slots, RETRY_INTERVAL_MILLIS)
 
     /** Each slot has at most one write waiting, and each write a slot: the number of slots bounds the queue. */
     private val queue = Channel<IntentWrite>(slotCount)
@@ -63,7 +63,7 @@
             val waiting = arrayListOf(first)
             while (true) waiting += queue.tryReceive().getOrNull() ?: break
             for (batch in batcher.pack(waiting, IntentWrite::toStoreWrite)) {
-                if (!write(batch)) return abandon(waiting)
+                if (!write(batch)) return failPendingWrites(waiting)
             }
         }
     }
@@ -72,10 +72,10 @@
     private suspend fun write(batch: List<IntentWrite>): Boolean {
         var remaining = batch
         while (remaining.isNotEmpty()) {
-            if (leaderLease.ended) return false
+            if (leaderLease.hasEnded) return false
             when (val result = commit(remaining)) {
                 is CommitResult.Applied -> {
-                    remaining.forEach { slots.committed(it, result.revision) }
+                    remaining.forEach { slots.recordCommit(it, result.revision) }
                     return true
                 }
                 is CommitResult.Conflict -> {
@@ -83,9 +83,9 @@
                         leaderLease.end()
                         return false
                     }
-                    remaining = conflicts.remaining(remaining)
+                    remaining = conflictResolver.resolve(remaining)
                 }
-                is CommitResult.NoSuchLease, null -> delay(RETRY_MILLIS)
+                is CommitResult.NoSuchLease, null -> delay(RETRY_INTERVAL_MILLIS)
             }
         }
         return true
@@ -93,12 +93,12 @@
 
     /** Null without an answer of the store. */
     private suspend fun commit(writes: List<IntentWrite>): CommitResult? {
-        val preconditions = listOf(leaderLease.fence) + writes.map { slots.unchanged(it.slot) }
+        val preconditions = listOf(leaderLease.fence) + writes.map { slots.unchangedPrecondition(it.slot) }
         return storeResultOrNull(logger) { store.commit(preconditions, writes.map(IntentWrite::toStoreWrite), RequestPriority.HIGH) }
     }
 
     /** The term has ended: fails all that still wait, and whatever is queued later. */
-    private fun abandon(waiting: List<IntentWrite>) {
+    private fun failPendingWrites(waiting: List<IntentWrite>) {
         val lost = LeadershipLostException(leaderLease.fencingToken)
         queue.close(lost)
         val unwritten = waiting + generateSequence { queue.tryReceive().getOrNull() }
@@ -106,6 +106,6 @@
     }
 
     private companion object {
-        const val RETRY_MILLIS = 250L
+        const val RETRY_INTERVAL_MILLIS = 250L
     }
 }
--- a/src/main/kotlin/linemast/duties/LeadershipRecord.kt
+++ b/src/main/kotlin/linemast/duties/LeadershipSnapshot.kt
@@ -3,7 +3,7 @@
 import linemast.serialization.Fields
 
 /** The current leadership as the store holds it. */
-class LeadershipRecord(
+class LeadershipSnapshot(
     /** Name of the leader; null if there is none now. */
     val leaderName: String?,
     /** Fencing token of the leader; null if there is none now. */
@@ -13,9 +13,9 @@
 )
 
 /** Reads the stored leadership; the election writes it. */
-internal object LeadershipRecordCodec {
+internal object LeadershipSnapshotCodec {
     /** [leader] is the leader's record and [tokenCounter] the counter of fencing tokens, each null if it is not there. */
-    fun decode(leader: Fields?, tokenCounter: Fields?) = LeadershipRecord(
+    fun decode(leader: Fields?, tokenCounter: Fields?) = LeadershipSnapshot(
         leaderName = leader?.text("node"),
         leaderToken = leader?.long("helm"),
         highestToken = tokenCounter?.long("n") ?: 0L,
--- a/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
+++ b/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
@@ -15,24 +15,24 @@
     fun isFree(machineName: String): Boolean
 
     /** The cloud has confirmed that the machines are gone. */
-    fun scaleInConfirmed(names: List<String>)
+    fun recordScaleInConfirmed(names: List<String>)
 
     /** The outcome of a previous leader's request is known, or will never be. */
-    fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult)
+    fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult)
 }
 
 /** Carries out the intents that previous leaders committed and did not close. */
 internal class PendingIntentResolver(
     private val executor: WriteAheadCloudActionExecutor,
     private val effects: IntentResolutionEffects,
-    private val onLeaderLoop: suspend (() -> Unit) -> Unit,
+    private val enqueueOnLeader: suspend (() -> Unit) -> Unit,
 ) {
     private val logger = LoggerFactory.getLogger(PendingIntentResolver::class.java)
     private val pending = executor.openIntentsOfPreviousLeaders
     private val scaleIns = PendingScaleIns(pending)
 
     /** Machines whose scale-in may take effect at any moment. */
-    val machinesScalingIn: Set<String> get() = scaleIns.names
+    val machinesScalingIn: Set<String> get() = scaleIns.unconfirmedNames
 
     /** Scale-out requests that may take effect at any moment. */
     val scaleOuts: List<ScaleOutRequest> get() = pending.mapNotNull { (it.intent.action as? CloudAction.ScaleOut)?.request }
@@ -49,40 +49,40 @@
         )
         for (stored in pending) {
             val action = stored.intent.action as? CloudAction.ScaleOut ?: continue
-            scope.launch { resolve(stored, action) }
+            scope.launch { resolveScaleOut(stored, action) }
         }
         scope.launch { resolveScaleIns() }
     }
 
     /** Repeats the request under its own id: the answer names the granted machines, whoever asked first. */
-    private suspend fun resolve(stored: StoredIntent, action: CloudAction.ScaleOut) = untilLeadershipLost {
+    private suspend fun resolveScaleOut(stored: StoredIntent, action: CloudAction.ScaleOut) = runUntilLeadershipLost {
         val result = executor.runner.scaleOut(stored, action)
-        onLeaderLoop { effects.scaleOutFinished(action.request, result) }
+        enqueueOnLeader { effects.recordScaleOutResult(action.request, result) }
     }
 
-    private suspend fun resolveScaleIns() = untilLeadershipLost {
+    private suspend fun resolveScaleIns() = runUntilLeadershipLost {
         while (!scaleIns.isEmpty) {
-            val names = nextFreeMachines()
-            if (names.isEmpty()) delay(POLL_MILLIS) else scaleIn(names)
+            val names = startNextScaleIns()
+            if (names.isEmpty()) delay(POLL_INTERVAL_MILLIS) else scaleIn(names)
         }
     }
 
-    private suspend fun nextFreeMachines(): List<String> {
+    private suspend fun startNextScaleIns(): List<String> {
         val free = CompletableDeferred<List<String>>()
-        onLeaderLoop { free.complete(scaleIns.startNext(MAX_MACHINES_PER_SCALE_IN_CALL, effects::isFree)) }
+        enqueueOnLeader { free.complete(scaleIns.startNext(MAX_MACHINES_PER_SCALE_IN_CALL, effects::isFree)) }
         return free.await()
     }
 
     private suspend fun scaleIn(names: List<String>) {
         executor.runner.scaleIn(names)
-        onLeaderLoop { effects.scaleInConfirmed(names) }
+        enqueueOnLeader { effects.recordScaleInConfirmed(names) }
         for (completed in scaleIns.confirm(names)) {
             executor.runner.closeScaleIn(completed.stored, completed.action.names.size)
         }
     }
 
     /** The next leader resolves whatever is left. */
-    private suspend fun untilLeadershipLost(action: suspend () -> Unit) {
+    private suspend fun runUntilLeadershipLost(action: suspend () -> Unit) {
         try {
             action()
         } catch (e: LeadershipLostException) {
@@ -91,6 +91,6 @@
     }
 
     private companion object {
-        const val POLL_MILLIS = 500L
+        const val POLL_INTERVAL_MILLIS = 500L
     }
 }
--- a/src/main/kotlin/linemast/duties/PendingScaleIns.kt
+++ b/src/main/kotlin/linemast/duties/PendingScaleIns.kt
@@ -20,14 +20,14 @@
     private val inProgress = HashSet<String>()
 
     /** Machines whose removal is not confirmed. */
-    val names: Set<String> get() = pending.flatMapTo(LinkedHashSet()) { it.unconfirmed }
+    val unconfirmedNames: Set<String> get() = pending.flatMapTo(LinkedHashSet()) { it.unconfirmed }
 
     /** Whether all removals are confirmed. */
     val isEmpty: Boolean get() = pending.isEmpty()
 
     /** Starts the removal of at most [maxCount] machines of which [isFree] says that no task is on them; their names. */
     fun startNext(maxCount: Int, isFree: (String) -> Boolean): List<String> {
-        val free = names.filter { it !in inProgress && isFree(it) }.take(maxCount)
+        val free = unconfirmedNames.filter { it !in inProgress && isFree(it) }.take(maxCount)
         inProgress += free
         return free
     }
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -38,7 +38,7 @@
 
     /** Open intents of previous terms, as [load] has read them. */
     val openIntentsOfPreviousLeaders: List<StoredIntent>
-        get() = writer.log.open.filter { it.intent.id.fencingToken < leaderLease.fencingToken }
+        get() = writer.log.openIntents.filter { it.intent.id.fencingToken < leaderLease.fencingToken }
 
     /** Reads the intents in the store; has to complete before the first decision of the term. */
     suspend fun load() = writer.load()
--- a/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
+++ b/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
@@ -20,7 +20,7 @@
         private set
 
     /** Takes in that everything which the store held when a read was sent at [sentMicros] has been applied. */
-    fun refreshedAt(sentMicros: Long) {
+    fun recordRefresh(sentMicros: Long) {
         freshAsOfMicros = maxOf(freshAsOfMicros ?: sentMicros, sentMicros)
     }
 
@@ -51,9 +51,9 @@
          * room. The margin is for clocks and for the time that a worker takes to end its tasks.
          */
         fun maxRenewalStalenessMicros(leaseMicros: Long, cancelMicros: Long): Long {
-            val leftMicros = cancelMicros - leaseMicros
-            val marginMicros = minOf(MARGIN_MICROS, leftMicros / MARGIN_DIVISOR)
-            return leftMicros - marginMicros - LeaderLease.driftMicros(cancelMicros)
+            val remainingMicros = cancelMicros - leaseMicros
+            val marginMicros = minOf(MARGIN_MICROS, remainingMicros / MARGIN_DIVISOR)
+            return remainingMicros - marginMicros - LeaderLease.driftMicros(cancelMicros)
         }
     }
 }
--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -33,7 +33,7 @@
 
     /** Campaigns and leads until the coroutine is cancelled. */
     suspend fun run(): Nothing = retry.repeatForever(log, "election") {
-        campaign.run()?.let { term ->
+        campaign.runOnce()?.let { term ->
             lead(term)
             if (term.leaderLease.hasSteppedDown) yieldLeadership(term)
         }
@@ -42,15 +42,15 @@
     private suspend fun lead(term: ElectedTerm) {
         val leaderLease = term.leaderLease
         log.info("leading with fencing token {}", leaderLease.fencingToken)
-        view.own = leaderLease
+        view.ownLease = leaderLease
         view.leaderName = nodeName
         view.observeFencingToken(leaderLease.fencingToken)
         onElected(leaderLease)
         try {
-            keepRenewing(term)
+            renewUntilTermEnds(term)
         } finally {
             leaderLease.end()
-            view.own = null
+            view.ownLease = null
             if (view.leaderName == nodeName) view.leaderName = null
             log.info("no longer leading with fencing token {}", leaderLease.fencingToken)
             onLost()
@@ -58,17 +58,17 @@
     }
 
     /** Returns once the lease has expired and the time of degraded mode is over, or the term has ended otherwise. */
-    private suspend fun keepRenewing(term: ElectedTerm) {
+    private suspend fun renewUntilTermEnds(term: ElectedTerm) {
         val leaderLease = term.leaderLease
-        while (leaderLease.mayAnswerHeartbeats(clock.nowMicros())) {
+        while (leaderLease.mayRespondToHeartbeats(clock.nowMicros())) {
             delay(leaderLeaseMicros / RENEWALS_PER_LEASE / MICROS_PER_MILLI)
             val sentMicros = clock.nowMicros()
             try {
-                if (!store.renewLease(term.storeLease)) {
+                if (!store.renewLease(term.storeLeaseId)) {
                     log.info("the leadership with fencing token {} ended: its lease has expired", leaderLease.fencingToken)
                     return
                 }
-                leaderLease.renewed(sentMicros)
+                leaderLease.recordRenewal(sentMicros)
             } catch (e: StoreException) {
                 log.debug("renewal: {}", e.message)
             }
@@ -78,7 +78,7 @@
     /** Revokes the lease, and lets the other controllers campaign first. */
     private suspend fun yieldLeadership(term: ElectedTerm) {
         try {
-            store.revokeLease(term.storeLease)
+            store.revokeLease(term.storeLeaseId)
         } catch (e: StoreException) {
             log.debug("revoking the lease: {}", e.message)
         }
--- a/src/main/kotlin/linemast/leadership/LeaderCampaign.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderCampaign.kt
@@ -10,8 +10,8 @@
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
 
-/** A term that this controller has won; [storeLease] is the id of the lease that has to be renewed in the store. */
-internal class ElectedTerm(val storeLease: Long, val leaderLease: LeaderLease)
+/** A term that this controller has won; [storeLeaseId] is the id of the lease that has to be renewed in the store. */
+internal class ElectedTerm(val storeLeaseId: Long, val leaderLease: LeaderLease)
 
 /** Follows the leadership of other controllers, and takes it when it is free. Calls fail with the exceptions of the store. */
 internal class LeaderCampaign(
@@ -28,7 +28,7 @@
      *
      * Null if the leadership was not won; the campaign is then to be run again.
      */
-    suspend fun run(): ElectedTerm? {
+    suspend fun runOnce(): ElectedTerm? {
         val current = store.get(LeaderKeys.LEADER)
         // A record of this very controller is left by an earlier process, which has ended, or by an election
         // whose answer never came; this process does not lead now, so it need not wait for the lease to expire.
@@ -46,7 +46,7 @@
     }
 
     private suspend fun awaitLeaderChange(revision: Long) {
-        when (val result = store.watch(LeaderKeys.LEADER, revision, WATCH_MICROS)) {
+        when (val result = store.watch(LeaderKeys.LEADER, revision, WATCH_TIMEOUT_MICROS)) {
             is WatchResult.TooOld -> retry.pause()
             is WatchResult.Changes -> {
                 val latest = result.changes.lastOrNull { it.key == LeaderKeys.LEADER }
@@ -79,6 +79,6 @@
     }
 
     private companion object {
-        const val WATCH_MICROS = 8 * SECOND_MICROS
+        const val WATCH_TIMEOUT_MICROS = 8 * SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/leadership/LeaderLease.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderLease.kt
@@ -28,7 +28,7 @@
     private var degradedUntilMicros = commandsUntilMicros + degradedModeMicros
 
     /** Whether the term is over, whatever time its lease has left. */
-    var ended = false
+    var hasEnded = false
         private set
 
     /** Whether the leader stepped down while it could have kept the leadership. */
@@ -36,7 +36,7 @@
         private set
 
     /** Takes in that a renewal sent at [sentMicros] was confirmed. */
-    fun renewed(sentMicros: Long) {
+    fun recordRenewal(sentMicros: Long) {
         commandsUntilMicros = maxOf(commandsUntilMicros, sentMicros + usableMicros(leaderLeaseMicros))
         degradedUntilMicros = commandsUntilMicros + degradedModeMicros
     }
@@ -44,19 +44,19 @@
     /** Ends the term, for another controller to take the leadership at once. */
     fun stepDown() {
         hasSteppedDown = true
-        ended = true
+        hasEnded = true
     }
 
     /** Ends the term: a higher fencing token exists, or the lease is gone. Not even degraded mode is left. */
     fun end() {
-        ended = true
+        hasEnded = true
     }
 
     /** Whether commands may be sent to workers now. */
-    fun mayIssueCommands(nowMicros: Long): Boolean = !ended && nowMicros < commandsUntilMicros
+    fun mayIssueCommands(nowMicros: Long): Boolean = !hasEnded && nowMicros < commandsUntilMicros
 
     /** Whether heartbeats may be answered now, with or without commands, so that workers keep their tasks. */
-    fun mayAnswerHeartbeats(nowMicros: Long): Boolean = !ended && nowMicros < degradedUntilMicros
+    fun mayRespondToHeartbeats(nowMicros: Long): Boolean = !hasEnded && nowMicros < degradedUntilMicros
 
     companion object {
         private const val DRIFT_PER_MILLION = 1_000L
--- a/src/main/kotlin/linemast/leadership/LeaderView.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderView.kt
@@ -9,11 +9,11 @@
     var highestFencingToken = 0L
 
     /** The lease of this controller while it leads or is in degraded mode; null otherwise. */
-    var own: LeaderLease? = null
+    var ownLease: LeaderLease? = null
 
     /** Takes in a fencing token seen elsewhere; a lease of this controller with a lower one ends at once. */
     fun observeFencingToken(fencingToken: Long) {
         if (fencingToken > highestFencingToken) highestFencingToken = fencingToken
-        own?.let { if (fencingToken > it.fencingToken) it.end() }
+        ownLease?.let { if (fencingToken > it.fencingToken) it.end() }
     }
 }
--- a/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
@@ -24,26 +24,26 @@
     /** Whether the tasks of earlier leaders are accounted for. */
     private val isReconciled: () -> Boolean,
     /** Runs an action on the coroutine that owns the cluster state. */
-    private val onLeaderLoop: suspend (() -> Unit) -> Unit,
+    private val enqueueOnLeader: suspend (() -> Unit) -> Unit,
 ) {
     private val logger = LoggerFactory.getLogger(ReconciliationMonitor::class.java)
 
     /** Runs until it is cancelled; reads and writes are coroutines of [scope]. */
     suspend fun run(scope: CoroutineScope) {
         while (true) {
-            onLeaderLoop {
+            enqueueOnLeader {
                 val dueJobs = reconciliation.unknownJobs.takeDueLookups(clock.nowMicros())
-                dueJobs.chunked(LOOKUPS_IN_SEQUENCE).forEach { jobs -> scope.launch { lookUpAll(jobs) } }
-                if (reconciliation.update(isReconciled(), clock.nowMicros())) scope.launch { storeReport() }
+                dueJobs.chunked(LOOKUPS_PER_COROUTINE).forEach { jobs -> scope.launch { lookUpAll(jobs) } }
+                if (reconciliation.tryComplete(isReconciled(), clock.nowMicros())) scope.launch { storeReport() }
             }
-            delay(POLL_MILLIS)
+            delay(POLL_INTERVAL_MILLIS)
         }
     }
 
     private suspend fun lookUpAll(jobs: List<String>) {
         for (job in jobs) {
             val lookup = lookUp(job)
-            onLeaderLoop { reconciliation.unknownJobs.lookupCompleted(job, lookup, clock.nowMicros()) }
+            enqueueOnLeader { reconciliation.unknownJobs.recordLookup(job, lookup, clock.nowMicros()) }
         }
     }
 
@@ -70,9 +70,9 @@
     }
 
     private companion object {
-        const val POLL_MILLIS = 100L
+        const val POLL_INTERVAL_MILLIS = 100L
 
         /** Number of outcomes that one coroutine reads one after the other. */
-        const val LOOKUPS_IN_SEQUENCE = 20
+        const val LOOKUPS_PER_COROUTINE = 20
     }
 }
--- a/src/main/kotlin/linemast/recovery/ReconciliationReport.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationReport.kt
@@ -28,7 +28,7 @@
     )
     private val differenceNames = mapOf(
         ReconciliationStatistics.Difference.ADOPTED to "adopted",
-        ReconciliationStatistics.Difference.RESULT to "result",
+        ReconciliationStatistics.Difference.UNSTORED_RESULT to "result",
         ReconciliationStatistics.Difference.UNKNOWN to "unknown",
         ReconciliationStatistics.Difference.LOST to "lost",
     )
--- a/src/main/kotlin/linemast/recovery/ReconciliationStatistics.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationStatistics.kt
@@ -11,7 +11,7 @@
         ADOPTED,
 
         /** A result that the store did not have. */
-        RESULT,
+        UNSTORED_RESULT,
 
         /** A task or result of a job that the leader does not know. */
         UNKNOWN,
@@ -41,7 +41,7 @@
     val reportingWorkerCount: Int get() = reportingMachines.size
 
     /** Takes note of a heartbeat of the worker on [machineName]. */
-    fun heartbeatReceived(machineName: String) {
+    fun recordHeartbeat(machineName: String) {
         reportingMachines += machineName
     }
 
--- a/src/main/kotlin/linemast/recovery/StateReconciliation.kt
+++ b/src/main/kotlin/linemast/recovery/StateReconciliation.kt
@@ -23,7 +23,7 @@
     val statistics = ReconciliationStatistics()
 
     /** When a command was last held back by the rate limit; null if none was. */
-    private var throttledMicros: Long? = null
+    private var lastThrottledMicros: Long? = null
     private var reconciledSinceMicros: Long? = null
 
     /**
@@ -42,13 +42,13 @@
     /** Whether one more start command, or a stop command that is not urgent, may be sent now; takes a token if so. */
     fun maySendCommand(nowMicros: Long): Boolean {
         if (isComplete || commandTokens.tryTake(1, RequestPriority.CRITICAL, nowMicros)) return true
-        throttledMicros = nowMicros
+        lastThrottledMicros = nowMicros
         return false
     }
 
     /** Takes note of a heartbeat of the worker on [machineName]. */
-    fun heartbeatReceived(machineName: String) {
-        if (!isComplete) statistics.heartbeatReceived(machineName)
+    fun recordHeartbeat(machineName: String) {
+        if (!isComplete) statistics.recordHeartbeat(machineName)
     }
 
     /** Counts [task], which a worker reports and whose job the leader does not know. */
@@ -70,14 +70,14 @@
      * Completes the reconciliation once the tasks of earlier leaders are accounted for ([isReconciled]), no unknown job is
      * undecided and no command was held back for a while. True if it became complete by this call.
      */
-    fun update(isReconciled: Boolean, nowMicros: Long): Boolean {
+    fun tryComplete(isReconciled: Boolean, nowMicros: Long): Boolean {
         if (isComplete) return false
         if (!isReconciled || unknownJobs.hasUndecided) {
             reconciledSinceMicros = null
             return false
         }
         val reconciledMicros = reconciledSinceMicros ?: nowMicros.also { reconciledSinceMicros = it }
-        val quietSinceMicros = maxOf(reconciledMicros, throttledMicros ?: reconciledMicros)
+        val quietSinceMicros = maxOf(reconciledMicros, lastThrottledMicros ?: reconciledMicros)
         if (nowMicros < quietSinceMicros + QUIET_PERIOD_MICROS) return false
         isComplete = true
         logger.info("reconciled: {}", ReconciliationReportCodec.summary(statistics))
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -73,7 +73,7 @@
         return entry.state
     }
 
-    /** Jobs whose outcome has to be read now; each is returned once until [lookupCompleted] was called for it. */
+    /** Jobs whose outcome has to be read now; each is returned once until [recordLookup] was called for it. */
     fun takeDueLookups(nowMicros: Long): List<String> {
         val due = entries.filterValues { it.isLookupDue(nowMicros) }
         due.values.forEach { it.isLookupPending = true }
@@ -81,14 +81,14 @@
     }
 
     /** Takes the result of reading the outcome of [job]; a state that is decided does not change any more. */
-    fun lookupCompleted(job: String, lookup: OutcomeLookup, nowMicros: Long) {
+    fun recordLookup(job: String, lookup: OutcomeLookup, nowMicros: Long) {
         val entry = entries[job] ?: return
         entry.isLookupPending = false
         if (entry.state != UnknownJobState.UNDECIDED) return
         when (lookup) {
             is OutcomeLookup.Found -> entry.state = stateOf(lookup.outcome)
             OutcomeLookup.Absent -> recordAbsence(entry, nowMicros)
-            OutcomeLookup.Failed -> entry.nextLookupMicros = nowMicros + RETRY_MICROS
+            OutcomeLookup.Failed -> entry.nextLookupMicros = nowMicros + LOOKUP_RETRY_INTERVAL_MICROS
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     private companion object {
-        const val RETRY_MICROS = 500_000L
+        const val LOOKUP_RETRY_INTERVAL_MICROS = 500_000L
         const val MAX_JOBS = 5_000
     }
 }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -37,7 +37,7 @@
         if (machine.placements.values.any { outlivesCancellation(it, nowMicros) }) return null
         if (permission == CommandPermission.NO_COMMANDS) return taskCommands.stopsOfCancelled(machine)
         cluster.failover.heartbeatAccepted(machine, nowMicros)
-        cluster.recovery?.heartbeatReceived(machine.name)
+        cluster.recovery?.recordHeartbeat(machine.name)
         cluster.runCycleIfDue(nowMicros)
         // A worker that does not show this fencing token has got no response of this leader yet, and may never get one.
         val mayStart = permission == CommandPermission.ALL &&
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -36,7 +36,7 @@
         for (index in indices) {
             if (!job.markDone(index)) continue
             job.storedProgress.dirtyParts.set(CompletedTaskParts.partOf(index))
-            cluster.recovery?.count(ReconciliationStatistics.Difference.RESULT)
+            cluster.recovery?.count(ReconciliationStatistics.Difference.UNSTORED_RESULT)
         }
         cluster.dirty = true
     }
--- a/src/test/kotlin/linemast/architecture/ProtocolWordsTest.kt
+++ b/src/test/kotlin/linemast/architecture/ProtocolWordsTest.kt
@@ -41,7 +41,7 @@
         "app/StandInServices.kt" to "stands in for the store and the cloud over the real protocols",
         "app/ArchiveTraining.kt" to "stands in for a worker and a user over the real protocols",
         "control/BaselineFleetStore.kt" to "reads and writes the record of the baseline fleet itself",
-        "duties/LeadershipRecord.kt" to "reads the keys of leadership for the inspection command",
+        "duties/LeadershipSnapshot.kt" to "reads the keys of leadership for the inspection command",
         "recovery/ReconciliationReport.kt" to "writes the record of the last failover itself",
     )
 
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -23,13 +23,13 @@
 /** Three controllers whose leader is repeatedly suspended, partitioned or restarted, in virtual time. */
 class DutySimulationTest {
     /** Machines come and go within seconds, so that some cloud action is in progress at every failover. */
-    private val busyPolicy = Policy(
+    private val fastScalingPolicy = Policy(
         shortIntervalMicros = 1_000_000,
         idleScaleInMicros = 1_500_000,
         leaderLeaseMicros = 1_500_000,
     )
 
-    private fun play(
+    private fun runSimulation(
         seed: Int,
         enabled: Boolean = true,
         before: (SimWorld) -> Unit = {},
@@ -38,7 +38,7 @@
         seed,
         baselineMachines = 1,
         features = Features(DutySettings().takeIf { enabled }),
-        policy = busyPolicy,
+        policy = fastScalingPolicy,
         before = before,
         script = script,
     )
@@ -66,9 +66,9 @@
     @MethodSource("seeds")
     fun `a leader that is suspended hundreds of times never acts outside its term, even when its calls arrive late`(seed: Int) {
         val terms = HashSet<Long>()
-        val world = play(seed) { world ->
+        val world = runSimulation(seed) { world ->
             launchLoad(world)
-            suspendBeforeCalls(world)
+            pauseLeaderBeforeCalls(world)
             world.cloud.lateOrders = 0.1
             world.store.lostAnswers = 0.02
             repeat(120) {
@@ -86,7 +86,7 @@
     }
 
     /** Suspends the leader between the commit of its intent and the call, half of the time. */
-    private fun suspendBeforeCalls(world: SimWorld) {
+    private fun pauseLeaderBeforeCalls(world: SimWorld) {
         world.cloud.onOrder =
             { node, _ -> if (world.random.nextBoolean()) world.network.freeze(node, world.random.nextLong(500_000, 6_000_000)) }
     }
@@ -97,12 +97,12 @@
     @Test
     fun `leaders whose clocks run at half or double speed never act outside their terms`() {
         val speeds = listOf(0.5, 1.0, 2.0)
-        val world = play(
+        val world = runSimulation(
             seed = 3,
             before = { world -> world.clockOf = { at -> Clock { (world.clock.nowMicros() * speeds[at]).toLong() } } },
         ) { world ->
             launchLoad(world)
-            suspendBeforeCalls(world)
+            pauseLeaderBeforeCalls(world)
             world.cloud.lateOrders = 0.1
             repeat(30) {
                 delay(world.random.nextLong(5_000, 20_000))
@@ -116,7 +116,7 @@
     @Test
     fun `a leader whose clock repeatedly jumps ahead by a minute never acts outside its term`() {
         val jumps = LongArray(3)
-        val world = play(
+        val world = runSimulation(
             seed = 6,
             before = { world -> world.clockOf = { at -> Clock { world.clock.nowMicros() + jumps[at] } } },
         ) { world ->
@@ -134,7 +134,7 @@
     /** While it is partitioned, the previous leader reaches the cloud, and two controllers believe that they lead. */
     @Test
     fun `after a partition in which two controllers believe that they lead every action is closed`() {
-        val world = play(seed = 4) { world ->
+        val world = runSimulation(seed = 4) { world ->
             launchLoad(world)
             world.cloud.lateOrders = 0.2
             repeat(25) {
@@ -149,9 +149,9 @@
             }
             world.cloud.lateOrders = 0.0
             delay(60_000)
-            val old = world.clock.nowMicros() - 30_000_000
+            val overdueBeforeMicros = world.clock.nowMicros() - 30_000_000
             val stillOpen = world.store.keysUnder(IntentCodec.PREFIX).map { IntentCodec.decode(world.store.valueOf(it)!!) }
-                .filter { !it.state.isTerminal && it.decidedWallMicros < old }
+                .filter { !it.state.isTerminal && it.decidedWallMicros < overdueBeforeMicros }
             assertEquals(emptyList<Intent>(), stillOpen, "every action is closed")
         }
         assertOnlyLeadersActed(world, minActions = 8)
@@ -162,7 +162,7 @@
      * The scale-in of a machine is decided while it is idle, and the call arrives late. Meanwhile the leader restarts, and the
      * next one has tasks that need the machine.
      */
-    private fun playLateScaleIn(enabled: Boolean): SimWorld = play(seed = 5, enabled = enabled) { world ->
+    private fun runLateScaleIn(enabled: Boolean): SimWorld = runSimulation(seed = 5, enabled = enabled) { world ->
         var number = 0
         fun submit(runMicros: Long) = listOf("north", "south").forEach { team ->
             val id = "req-61%04d".format(++number)
@@ -188,7 +188,7 @@
 
     @Test
     fun `a machine whose scale-in is in flight gets no tasks from the next leader`() {
-        val world = playLateScaleIn(enabled = true)
+        val world = runLateScaleIn(enabled = true)
         assertOnlyLeadersActed(world, minActions = 2)
         assertTrue(CloudActionHistoryAudit(world).lateActions() > 0)
     }
@@ -196,7 +196,7 @@
     /** The same scenario without the intent log: the fault that it prevents does occur, so that the test above can fail. */
     @Test
     fun `without the intent log a late scale-in interrupts running tasks`() {
-        val world = playLateScaleIn(enabled = false)
+        val world = runLateScaleIn(enabled = false)
         println("${interruptingScaleIns(world)} scale-ins interrupted running tasks")
         assertTrue(interruptingScaleIns(world) > 0)
         assertTrue(CloudActionHistoryAudit(world).faults().all { it.fault == CloudActionFault.NO_INTENT })
--- a/src/test/kotlin/linemast/duties/IntentAuditTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentAuditTest.kt
@@ -9,7 +9,7 @@
 
 /** The findings of the audit of stored intents, and the reports on them. */
 class IntentAuditTest {
-    private val leadership = LeadershipRecord("mast-1", leaderToken = 7, highestToken = 7)
+    private val leadership = LeadershipSnapshot("mast-1", leaderToken = 7, highestToken = 7)
 
     private fun scaleIn(token: Long, number: Long, vararg names: String) =
         Intent(IntentId(token, number), CloudAction.ScaleIn(names.toList(), Duty.SCALE_IN), 0)
--- a/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
@@ -63,8 +63,8 @@
     fun `a slot with unreadable content is never used`() {
         val log = IntentLog.empty(slotCount = 2).reload(listOf(Entry("duty/0", Fields(mapOf("state" to "odd")), 7)))
         assertEquals(setOf(0), log.unreadable)
-        assertEquals(1, log.freeSlot())
-        assertNull(log.reserve(1).freeSlot())
+        assertEquals(1, log.findFreeSlot())
+        assertNull(log.reserve(1).findFreeSlot())
     }
 
     @Test
--- a/src/test/kotlin/linemast/duties/IntentLogTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentLogTest.kt
@@ -16,19 +16,19 @@
             var log = IntentLog.empty(slotCount = 8)
             var revision = 0L
             for (number in 1L..200L) {
-                val slot = log.freeSlot()
+                val slot = log.findFreeSlot()
                 if (slot == null) {
-                    assertEquals(8, log.open.size)
+                    assertEquals(8, log.openIntents.size)
                 } else {
                     val earlier = log[slot]
                     assertTrue(earlier == null || earlier.intent.state.isTerminal)
                     if (earlier != null) assertEquals(log.intents.first { it.intent.state.isTerminal }.intent.id, earlier.intent.id)
                     val intent = generatedIntent(random, token = 1, number = number).copy(state = IntentState.OPEN)
                     log = log.reserve(slot)
-                    assertTrue(log.freeSlot() != slot)
+                    assertTrue(log.findFreeSlot() != slot)
                     log = log.put(StoredIntent(slot, intent, ++revision))
                 }
-                val closing = log.open.randomOrNull(random)?.takeIf { random.nextInt(10) < 8 } ?: continue
+                val closing = log.openIntents.randomOrNull(random)?.takeIf { random.nextInt(10) < 8 } ?: continue
                 log = log.put(StoredIntent(closing.slot, closing.intent.closed(IntentState.CARRIED_OUT, 1, 1), ++revision))
                 assertEquals(revision, log.revisionOf(closing.slot))
             }
--- a/src/test/kotlin/linemast/duties/IntentWriterTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentWriterTest.kt
@@ -29,7 +29,7 @@
 class IntentWriterTest {
     private fun TestScope.clock() = Clock { testScheduler.currentTime * 1_000 + 1 }
 
-    private suspend fun lead(store: KeyValueStore, token: Long): LeaderLease {
+    private suspend fun becomeLeader(store: KeyValueStore, token: Long): LeaderLease {
         val current = store.get(LeaderKeys.LEADER)
         val put = Write.Put(LeaderKeys.LEADER, mapOf("node" to "mast-$token", "helm" to token))
         val result = store.commit(listOf(Precondition(LeaderKeys.LEADER, current?.revision ?: 0L)), listOf(put))
@@ -42,7 +42,7 @@
 
     /** The running writer of a leader with fencing token 1. */
     private suspend fun TestScope.runningWriter(store: SimStore, slots: Int = 32): RunningWriter {
-        val leaderLease = lead(store.clientOf("mast-1"), 1)
+        val leaderLease = becomeLeader(store.clientOf("mast-1"), 1)
         val writer = writer(store.clientOf("mast-1"), leaderLease, slots)
         writer.load()
         backgroundScope.launch { writer.run() }
@@ -76,23 +76,23 @@
         val store = SimStore(backgroundScope, clock(), Random(seed))
         val (writer, leaderLease) = runningWriter(store)
         store.lostAnswers = 0.7
-        val waiting =
+        val pendingOpens =
             List(6) { number -> CoroutineScope(backgroundScope.coroutineContext).async { runCatching { writer.open(scaleInOf(number)) } } }
         delay(3_000)
         store.lostAnswers = 0.0
-        val next = lead(store.clientOf("mast-2"), 2)
-        val successor = writer(store.clientOf("mast-2"), next)
+        val nextLease = becomeLeader(store.clientOf("mast-2"), 2)
+        val successor = writer(store.clientOf("mast-2"), nextLease)
         successor.load()
         val atFailover = stored(store).toSet()
-        val outcomes = waiting.awaitAll()
-        val refused = runCatching { writer.open(scaleInOf(99)) }
+        val outcomes = pendingOpens.awaitAll()
+        val lateOpen = runCatching { writer.open(scaleInOf(99)) }
         delay(120_000)
         assertEquals(atFailover, stored(store).toSet(), "nothing was written after the failover")
-        assertEquals(atFailover, successor.log.open.map { it.intent }.toSet(), "the successor has read everything that was written")
+        assertEquals(atFailover, successor.log.openIntents.map { it.intent }.toSet(), "the successor has read everything that was written")
         assertTrue(outcomes.all { it.isSuccess || it.exceptionOrNull() is LeadershipLostException })
         assertTrue(outcomes.filter { it.isSuccess }.all { it.getOrThrow().intent in atFailover })
-        assertTrue(refused.exceptionOrNull() is LeadershipLostException, "$refused")
-        assertTrue(leaderLease.ended)
+        assertTrue(lateOpen.exceptionOrNull() is LeadershipLostException, "$lateOpen")
+        assertTrue(leaderLease.hasEnded)
     }
 
     @Test
--- a/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
+++ b/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
@@ -29,7 +29,7 @@
                     val sent = now
                     now += random.nextLong(3_000_000)
                     // A read sent before the cancellation was confirmed may miss it; a later one never does.
-                    if (sent < cancelled && random.nextInt(3) != 0) cancellationFreshness.refreshedAt(sent)
+                    if (sent < cancelled && random.nextInt(3) != 0) cancellationFreshness.recordRefresh(sent)
                 }
                 val slowestLease = lease + LeaderLease.driftMicros(lease)
                 assertTrue(cancellationFreshness.renewalsAllowedUntilMicros + slowestLease + 400_000 < cancelled + cancel)
@@ -42,11 +42,11 @@
     fun `an answer is judged by the freshness that it was made with`() {
         val cancellationFreshness = CancellationFreshness(20_000_000)
         val leaderLease = LeaderLease(3, 1, 4_000_000, 16_000_000, 0)
-        cancellationFreshness.refreshedAt(0)
+        cancellationFreshness.recordRefresh(0)
         val empty = HeartbeatResponse(3, emptyList(), cancellationFreshness, leaderLease)
         val start = HeartbeatResponse(3, listOf(Command.Start(TaskId("req-1", 0), 1)), cancellationFreshness, leaderLease)
-        cancellationFreshness.refreshedAt(30_000_000)
-        repeat(10) { leaderLease.renewed(it * 3_000_000L) }
+        cancellationFreshness.recordRefresh(30_000_000)
+        repeat(10) { leaderLease.recordRenewal(it * 3_000_000L) }
         assertTrue(empty.isValid(19_000_000))
         assertFalse(empty.isValid(20_000_000), "it lacks what was learned while it waited")
         assertTrue(start.isValid(3_500_000))
--- a/src/test/kotlin/linemast/leadership/LeaderLeaseTest.kt
+++ b/src/test/kotlin/linemast/leadership/LeaderLeaseTest.kt
@@ -21,23 +21,23 @@
         val random = Random(seed)
         repeat(300) {
             val slow = 1.0 - 0.0005 * random.nextDouble()
-            val own = { storeMicros: Long -> (storeMicros * slow).toLong() }
+            val toOwnClock = { storeMicros: Long -> (storeMicros * slow).toLong() }
             var now = 0L
-            val leaderLease = LeaderLease(1, 1, leaderLeaseMicros, degradedModeMicros, own(now))
+            val leaderLease = LeaderLease(1, 1, leaderLeaseMicros, degradedModeMicros, toOwnClock(now))
             now += random.nextLong(200_000)
             var leaseEnds = now + leaderLeaseMicros
             while (now < leaseEnds) {
                 if (random.nextInt(4) == 0) {
-                    val sent = own(now)
+                    val sent = toOwnClock(now)
                     now += random.nextLong(400_000)
                     if (now >= leaseEnds) break
                     leaseEnds = now + leaderLeaseMicros
                     now += random.nextLong(400_000)
-                    leaderLease.renewed(sent)
+                    leaderLease.recordRenewal(sent)
                 }
                 now += random.nextLong(900_000)
             }
-            assertFalse(leaderLease.mayIssueCommands(own(maxOf(now, leaseEnds))))
+            assertFalse(leaderLease.mayIssueCommands(toOwnClock(maxOf(now, leaseEnds))))
         }
     }
 
@@ -54,11 +54,11 @@
     fun `a higher fencing token ends commands and degraded mode at once`() {
         val leaderLease = LeaderLease(3, 1, leaderLeaseMicros, degradedModeMicros, 0)
         val view = LeaderView()
-        view.own = leaderLease
+        view.ownLease = leaderLease
         view.observeFencingToken(3)
         assertTrue(leaderLease.mayIssueCommands(1_000_000))
-        assertTrue(leaderLease.mayAnswerHeartbeats(leaderLeaseMicros + degradedModeMicros - 500_000))
+        assertTrue(leaderLease.mayRespondToHeartbeats(leaderLeaseMicros + degradedModeMicros - 500_000))
         view.observeFencingToken(4)
-        assertEquals(listOf(false, false), listOf(leaderLease.mayIssueCommands(1), leaderLease.mayAnswerHeartbeats(1)))
+        assertEquals(listOf(false, false), listOf(leaderLease.mayIssueCommands(1), leaderLease.mayRespondToHeartbeats(1)))
     }
 }
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -21,8 +21,8 @@
         val commands: List<Command>,
         /** Tasks and results that were lost with their machines or with the lease of a worker. */
         val lost: Set<String>,
-        val unregistered: Set<String>,
-        val damaged: SimJob?,
+        val unrecordedTasks: Set<String>,
+        val jobWithoutOpenRecord: SimJob?,
         val completedBefore: Int,
     ) {
         fun tasks(verb: String) = commands.filter { it.verb == verb }.map { it.task.substringBefore('#') }
@@ -38,11 +38,11 @@
     private fun liveTasks(machines: Collection<SimWorker>) =
         machines.flatMap { it.tasks.values }.filter { it.status != "ended" }.map { "${it.job}/${it.index}" }.toSet()
 
-    private fun runOutage(seed: Int, enabled: Boolean, outageMillis: Long, damages: Boolean, ordersPerSecond: Double = 200.0): Outcome {
+    private fun runOutage(seed: Int, enabled: Boolean, outageMillis: Long, losesRecord: Boolean, ordersPerSecond: Double = 200.0): Outcome {
         val commands = ArrayList<Command>()
         var lost = emptySet<String>()
-        var unregistered = emptySet<String>()
-        var damaged: SimJob? = null
+        var unrecordedTasks = emptySet<String>()
+        var jobWithoutOpenRecord: SimJob? = null
         var completedBefore = 0
         val features = Features(recovery = RecoverySettings(ordersPerSecond).takeIf { enabled })
         val world = simulate(seed, size = 50, baselineMachines = 300, features = features) { world ->
@@ -52,19 +52,19 @@
             val expected = 4 * TASKS + 10 * 2
             assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all tasks run or have ended")
             repeat(3) { world.killNode(it) }
-            val plain = world.workers.values.filter { machine -> machine.tasks.values.none { world.jobs.getValue(it.job).gang } }
-            val failing = plain.filter { it.tasks.isNotEmpty() }.take(12)
+            val withoutGangs = world.workers.values.filter { machine -> machine.tasks.values.none { world.jobs.getValue(it.job).gang } }
+            val failing = withoutGangs.filter { it.tasks.isNotEmpty() }.take(12)
             lost = liveTasks(failing)
             failing.take(6).forEach { it.mute = true }
             failing.drop(6).forEach { world.removeMachine(it.name) }
-            val idle = plain.filter { it.tasks.isEmpty() && it.name in world.workers }.take(8)
-            unregistered = idle.mapIndexedTo(HashSet()) { at, machine ->
+            val idle = withoutGangs.filter { it.tasks.isEmpty() && it.name in world.workers }.take(8)
+            unrecordedTasks = idle.mapIndexedTo(HashSet()) { at, machine ->
                 val job = SimJob("req-99000$at", "north", 1, 1.0, false, false, false, true, 300_000_000)
                 world.jobs[job.id] = job
                 machine.inject(job)
                 "${job.id}/0"
             }
-            if (damages) damaged = world.jobs.getValue("req-000002").also { world.store.lose("o/${it.id}") }
+            if (losesRecord) jobWithoutOpenRecord = world.jobs.getValue("req-000002").also { world.store.lose("o/${it.id}") }
             val outageBeganMicros = world.clock.nowMicros()
             world.onLeaseEnd = { tasks -> lost = lost + tasks }
             world.onCommand =
@@ -74,18 +74,18 @@
             repeat(3) { world.startNode(it) }
             delay(100_000)
         }
-        return Outcome(world, commands, lost, unregistered, damaged, completedBefore)
+        return Outcome(world, commands, lost, unrecordedTasks, jobWithoutOpenRecord, completedBefore)
     }
 
-    private fun println(outcome: Outcome) = println(
+    private fun printOutcome(outcome: Outcome) = println(
         "commands: ${outcome.tasks("start").size} start, ${outcome.tasks("halt").size} halt, ${outcome.tasks("clear").size} clear; " +
-            "differences: ${outcome.lost.size} lost, ${outcome.unregistered.size} unrecorded",
+            "differences: ${outcome.lost.size} lost, ${outcome.unrecordedTasks.size} unrecorded",
     )
 
     private fun checkAllEnded(outcome: Outcome) {
         assertEquals(emptyList<Violation>(), outcome.world.violations)
         val open = outcome.world.jobs.values.filter {
-            it.accepted && it.acknowledgedStatus != "done" && it !== outcome.damaged
+            it.accepted && it.acknowledgedStatus != "done" && it !== outcome.jobWithoutOpenRecord
         }.map { it.id }
         assertEquals(emptyList<String>(), open)
         val results = outcome.tasks("clear").groupingBy { it }.eachCount().filterValues { it > 1 }.keys - outcome.lost
@@ -94,23 +94,23 @@
 
     @Test
     fun `after an outage shorter than a lease only the differences lead to commands`() {
-        val outcome = runOutage(seed = 71, enabled = true, outageMillis = 3_000, damages = false)
-        println(outcome)
+        val outcome = runOutage(seed = 71, enabled = true, outageMillis = 3_000, losesRecord = false)
+        printOutcome(outcome)
         checkAllEnded(outcome)
-        assertEquals(outcome.unregistered - outcome.lost, outcome.tasks("halt").toSet(), "nothing else is stopped")
-        assertEquals(outcome.lost - outcome.unregistered, outcome.tasks("start").toSet(), "nothing else is started again")
-        assertTrue(outcome.unregistered.any { it !in outcome.lost })
+        assertEquals(outcome.unrecordedTasks - outcome.lost, outcome.tasks("halt").toSet(), "nothing else is stopped")
+        assertEquals(outcome.lost - outcome.unrecordedTasks, outcome.tasks("start").toSet(), "nothing else is started again")
+        assertTrue(outcome.unrecordedTasks.any { it !in outcome.lost })
         assertTrue(outcome.tasks("start").size <= outcome.lost.size * 11 / 10, "${outcome.tasks("start").size} starts")
-        assertTrue(outcome.tasks("halt").size <= outcome.unregistered.size * 3, "${outcome.tasks("halt").size} stops")
+        assertTrue(outcome.tasks("halt").size <= outcome.unrecordedTasks.size * 3, "${outcome.tasks("halt").size} stops")
         val record = outcome.world.store.valueOf("recovery")
         val listed = record?.children("jobs")?.associate { it.text("job") to it.text("standing") }
-        assertEquals((outcome.unregistered - outcome.lost).associate { it.substringBefore('/') to "unrecorded" }, listed)
+        assertEquals((outcome.unrecordedTasks - outcome.lost).associate { it.substringBefore('/') to "unrecorded" }, listed)
     }
 
     @Test
     fun `after an outage longer than a lease all tasks are started again within the rate limit`() {
-        val outcome = runOutage(seed = 72, enabled = true, outageMillis = 12_000, damages = false, ordersPerSecond = 25.0)
-        println(outcome)
+        val outcome = runOutage(seed = 72, enabled = true, outageMillis = 12_000, losesRecord = false, ordersPerSecond = 25.0)
+        printOutcome(outcome)
         checkAllEnded(outcome)
         val unfinished = 4 * TASKS + 10 * 2 - outcome.completedBefore
         assertEquals(unfinished, outcome.tasks("start").toSet().size)
@@ -127,23 +127,23 @@
 
     @Test
     fun `tasks of a job whose record is incomplete go on and their results are kept`() {
-        val outcome = runOutage(seed = 73, enabled = true, outageMillis = 3_000, damages = true)
-        println(outcome)
+        val outcome = runOutage(seed = 73, enabled = true, outageMillis = 3_000, losesRecord = true)
+        printOutcome(outcome)
         checkAllEnded(outcome)
-        val damaged = outcome.damaged!!.id
-        assertTrue(outcome.tasks("halt").none { it.startsWith("$damaged/") })
-        assertTrue(outcome.tasks("clear").none { it.startsWith("$damaged/") })
+        val incompleteJob = outcome.jobWithoutOpenRecord!!.id
+        assertTrue(outcome.tasks("halt").none { it.startsWith("$incompleteJob/") })
+        assertTrue(outcome.tasks("clear").none { it.startsWith("$incompleteJob/") })
         val listed = outcome.world.store.valueOf("recovery")!!.children("jobs").associate { it.text("job") to it.text("standing") }
-        assertEquals("inconsistent", listed[damaged])
+        assertEquals("inconsistent", listed[incompleteJob])
     }
 
     /** The same scenario without recovery: the fault occurs, so that the test above can fail. */
     @Test
     fun `without recovery tasks of a job whose record is incomplete are stopped and their results discarded`() {
-        val outcome = runOutage(seed = 73, enabled = false, outageMillis = 3_000, damages = true)
-        println(outcome)
-        val damaged = outcome.damaged!!.id
-        assertTrue(outcome.tasks("halt").any { it.startsWith("$damaged/") })
+        val outcome = runOutage(seed = 73, enabled = false, outageMillis = 3_000, losesRecord = true)
+        printOutcome(outcome)
+        val incompleteJob = outcome.jobWithoutOpenRecord!!.id
+        assertTrue(outcome.tasks("halt").any { it.startsWith("$incompleteJob/") })
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
+++ b/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
@@ -44,7 +44,7 @@
                     val lookup = if (random.nextInt(3) == 0) OutcomeLookup.Failed else truth
                     if (lookup == OutcomeLookup.Absent) absences += now
                     if (lookup is OutcomeLookup.Found) isFound = true
-                    jobs.lookupCompleted(job, lookup, now)
+                    jobs.recordLookup(job, lookup, now)
                 }
                 now += random.nextLong(1, 300_000)
             }
@@ -56,9 +56,9 @@
     fun `a decided state does not change with later lookups`() {
         val jobs = UnknownJobs(1, 10)
         jobs.observe("req-1", 0)
-        jobs.lookupCompleted("req-1", OutcomeLookup.Found(JobOutcome.OPEN), 1)
-        jobs.lookupCompleted("req-1", OutcomeLookup.Absent, 2)
-        jobs.lookupCompleted("req-1", OutcomeLookup.Absent, 5)
+        jobs.recordLookup("req-1", OutcomeLookup.Found(JobOutcome.OPEN), 1)
+        jobs.recordLookup("req-1", OutcomeLookup.Absent, 2)
+        jobs.recordLookup("req-1", OutcomeLookup.Absent, 5)
         assertEquals(UnknownJobState.INCONSISTENT, jobs.observe("req-1", 1_000))
     }
 
@@ -70,15 +70,15 @@
         repeat(3) { reconciliation.countUnknown(TaskAttempt(TaskId("req-1", 0), 1)) }
         assertEquals(1, reconciliation.statistics.countOf(ReconciliationStatistics.Difference.UNKNOWN))
         assertFalse(reconciliation.mayDiscard("req-1", 0))
-        assertFalse(reconciliation.update(isReconciled = true, 5_000_000), "a job is undecided")
+        assertFalse(reconciliation.tryComplete(isReconciled = true, 5_000_000), "a job is undecided")
         reconciliation.unknownJobs.takeDueLookups(0)
-        reconciliation.unknownJobs.lookupCompleted("req-1", OutcomeLookup.Found(JobOutcome.CANCELLED), 1)
+        reconciliation.unknownJobs.recordLookup("req-1", OutcomeLookup.Found(JobOutcome.CANCELLED), 1)
         assertTrue(reconciliation.mayDiscard("req-1", 1))
-        assertFalse(reconciliation.update(isReconciled = false, 6_000_000))
-        assertFalse(reconciliation.update(isReconciled = true, 6_000_000), "the tasks that have to be started again are still to come")
+        assertFalse(reconciliation.tryComplete(isReconciled = false, 6_000_000))
+        assertFalse(reconciliation.tryComplete(isReconciled = true, 6_000_000), "the tasks that have to be started again are still to come")
         assertFalse((1..100).all { reconciliation.maySendCommand(8_000_000) })
-        assertFalse(reconciliation.update(isReconciled = true, 10_000_000), "commands were held back 2 s ago")
-        assertTrue(reconciliation.update(isReconciled = true, 11_000_000))
+        assertFalse(reconciliation.tryComplete(isReconciled = true, 10_000_000), "commands were held back 2 s ago")
+        assertTrue(reconciliation.tryComplete(isReconciled = true, 11_000_000))
         assertEquals(100, (1..100).count { reconciliation.maySendCommand(11_000_000) })
     }
 
