--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -3,28 +3,28 @@
 import linemast.cloud.ScaleOutRequest
 import linemast.settings.Duty
 
-/** Identifies an intent: the [fencingToken] of the term that decided it, and its [number] within that term, from 1 up. */
+/** Identifies an intent: the [fencingToken] of the term that decided it, and its [number] within that term, starting at 1. */
 data class IntentId(val fencingToken: Long, val number: Long) : Comparable<IntentId> {
     override fun compareTo(other: IntentId): Int = compareValuesBy(this, other, IntentId::fencingToken, IntentId::number)
 
     override fun toString() = "$fencingToken-$number"
 }
 
-/** An action at the cloud. Both kinds are idempotent. */
+/** An action that the cloud is asked to carry out. Both kinds are idempotent. */
 sealed interface CloudAction {
-    /** The duty that the action belongs to, by which operators may suspend it. */
+    /** The duty that the action belongs to; operators can suspend the actions of a duty. */
     val duty: Duty
 
-    /** Sends [request] for machines; a repetition under the same request id grants no further ones. */
+    /** Sends [request] for machines; repeating it with the same request id grants no further machines. */
     data class ScaleOut(val request: ScaleOutRequest) : CloudAction {
         override val duty get() = Duty.SCALE_OUT
     }
 
-    /** Removes the machines called [names]. The cloud ignores names that are gone, and never uses a name again. */
+    /** Removes the machines called [names]. The cloud ignores names of removed machines, and never reuses a name. */
     data class ScaleIn(val names: List<String>, override val duty: Duty) : CloudAction
 }
 
-/** State of an intent; all but [OPEN] are final. [stored] is the text in the store. */
+/** State of an intent; all states but [OPEN] are final. [stored] is the text in the store. */
 enum class IntentState(val stored: String) {
     /** Committed; the cloud may or may not have carried out the action. */
     OPEN("open"),
@@ -32,46 +32,46 @@
     /** The cloud has confirmed the action. */
     CARRIED_OUT("carried-out"),
 
-    /** The cloud has refused the action for lack of capacity. */
+    /** The cloud has refused the action, for lack of capacity or as malformed. */
     REFUSED("refused"),
 
-    /** No answer came in time, and the action is not repeated any more; machines that it did bring show in the cloud's list. */
+    /** No response came in time, and the action is no longer repeated; machines that it did add appear in the cloud's list. */
     ABANDONED("abandoned"),
     ;
 
     /** Whether the state is final. */
     val isTerminal: Boolean get() = this != OPEN
 
-    /** Lookup by the stored text. */
+    /** Looks up states by their stored text. */
     companion object {
         private val byStored = entries.associateBy { it.stored }
 
-        /** The state stored as [stored]; null if there is none. */
+        /** Returns the state stored as [stored]; null if there is none. */
         fun of(stored: String): IntentState? = byStored[stored]
     }
 }
 
 /**
- * A decision to act at the cloud, committed to the store before the cloud is called.
+ * A decision to carry out a cloud action, committed to the store before the cloud is called.
  *
- * The commit depends on the leader's fence, so that only the current leader can decide. Once committed, the decision stands:
- * later leaders carry it out and do nothing that contradicts it.
+ * The leader's fence is a precondition of the commit, so that only the current leader can decide. A committed decision is
+ * final: later leaders carry it out and do nothing that contradicts it.
  */
 data class Intent(
-    /** Identifies it among all intents; see [IntentId]. */
+    /** Identifies the intent among all intents; see [IntentId]. */
     val id: IntentId,
     /** What the cloud is asked to do. */
     val action: CloudAction,
-    /** Wall-clock time of the decision; only good enough to tell how old it is. */
+    /** Wall-clock time of the decision; precise enough only to estimate the age of the intent. */
     val decidedWallMicros: Long,
-    /** How far it has come, as the store holds it. */
+    /** State of the intent as the store holds it. */
     val state: IntentState = IntentState.OPEN,
     /** Number of machines that the cloud granted or removed. */
     val machineCount: Int = 0,
-    /** Fencing token of the term that closed it; null while it is open. */
+    /** Fencing token of the term that closed the intent; null while the intent is open. */
     val closedByToken: Long? = null,
 ) {
-    /** This intent in the final [state]. */
+    /** Returns this intent in the final [state]. */
     fun closed(state: IntentState, machineCount: Int, closedByToken: Long) =
         copy(state = state, machineCount = machineCount, closedByToken = closedByToken)
 }
--- a/src/main/kotlin/linemast/duties/IntentAudit.kt
+++ b/src/main/kotlin/linemast/duties/IntentAudit.kt
@@ -1,8 +1,8 @@
 package linemast.duties
 
-/** Checks stored intents against each [AuditRule]. [scaleOutRetryMicros] is how long scale-out requests are repeated. */
+/** Checks stored intents against each [AuditRule]. [scaleOutRetryMicros] is how long a scale-out request is repeated. */
 class IntentAudit(private val scaleOutRetryMicros: Long) {
-    /** The findings on [intents] at the wall-clock time [wallMicros], violations first. */
+    /** Returns the findings on [intents] at the wall-clock time [wallMicros], violations first. */
     fun check(intents: List<Intent>, leadership: LeadershipSnapshot, wallMicros: Long): List<AuditFinding> {
         val findings = intents.flatMap { checkTokens(it, leadership) + checkRequestId(it) + checkAge(it, leadership, wallMicros) } +
             checkUniqueIntents(intents) + checkUniqueRequests(intents) + checkSingleScaleIns(intents)
@@ -14,14 +14,22 @@
         val closed = intent.closedByToken
         fun finding(rule: AuditRule, message: String, isViolated: Boolean) = AuditFinding(rule, intent.id, message).takeIf { isViolated }
         return listOfNotNull(
-            finding(AuditRule.TOKEN_ISSUED, "its fencing token was never given out", decided > leadership.highestToken),
+            finding(AuditRule.TOKEN_ISSUED, "has a fencing token that was never issued", decided > leadership.highestToken),
             finding(
                 AuditRule.CLOSING_TOKEN_ISSUED,
-                "was closed under a token that was never given out",
+                "was closed with a fencing token that was never issued",
                 (closed ?: 0L) > leadership.highestToken,
             ),
-            finding(AuditRule.CLOSED_IN_ORDER, "was closed by a leader before the one that decided it", closed != null && closed < decided),
-            finding(AuditRule.CLOSED_BY_LEADER, "has ended, and nobody closed it", closed == null && intent.state.isTerminal),
+            finding(
+                AuditRule.CLOSED_IN_ORDER,
+                "was closed by an earlier leader than the one that decided it",
+                closed != null && closed < decided,
+            ),
+            finding(
+                AuditRule.CLOSED_BY_LEADER,
+                "has a final state but no fencing token of a leader that closed it",
+                closed == null && intent.state.isTerminal,
+            ),
         )
     }
 
@@ -29,27 +37,27 @@
         val requestId = intent.requestId ?: return emptyList()
         val token = requestId.split('-').getOrNull(1)?.toLongOrNull()
         if (token == intent.id.fencingToken) return emptyList()
-        return listOf(AuditFinding(AuditRule.OWN_REQUEST_ID, intent.id, "asks under another term's request id"))
+        return listOf(AuditFinding(AuditRule.OWN_REQUEST_ID, intent.id, "has a request id of another term"))
     }
 
     private fun checkAge(intent: Intent, leadership: LeadershipSnapshot, wallMicros: Long): List<AuditFinding> {
         val isLeftOpen = !intent.state.isTerminal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
         val isOverdue = wallMicros - intent.decidedWallMicros > scaleOutRetryMicros * OVERDUE_FACTOR
         if (!isLeftOpen || !isOverdue) return emptyList()
-        val message = "was left open by an earlier leader, and the present one has not ended it"
+        val message = "was left open by a previous leader, and the current leader has not closed it in time"
         return listOf(AuditFinding(AuditRule.CLOSED_IN_TIME, intent.id, message))
     }
 
     private fun checkUniqueIntents(intents: List<Intent>): List<AuditFinding> = intents
         .groupBy { it.id }.values
         .filter { it.size > 1 }
-        .map { AuditFinding(AuditRule.UNIQUE_INTENT, it.first().id, "is held by ${it.size} slots") }
+        .map { AuditFinding(AuditRule.UNIQUE_INTENT, it.first().id, "is stored in ${it.size} slots") }
 
     private fun checkUniqueRequests(intents: List<Intent>): List<AuditFinding> = intents
         .filter { it.requestId != null }
         .groupBy { it.requestId }.values
         .filter { it.size > 1 }
-        .map { AuditFinding(AuditRule.UNIQUE_REQUEST, it.last().id, "repeats the rental request of ${it.first().id}") }
+        .map { AuditFinding(AuditRule.UNIQUE_REQUEST, it.last().id, "has the same scale-out request id as ${it.first().id}") }
 
     private fun checkSingleScaleIns(intents: List<Intent>): List<AuditFinding> {
         val byMachine = LinkedHashMap<String, ArrayList<Intent>>()
@@ -63,12 +71,12 @@
     }
 
     private fun duplicateScaleIn(name: String, scaleIns: List<Intent>) =
-        AuditFinding(AuditRule.SINGLE_SCALE_IN, scaleIns.last().id, "$name is being returned by ${scaleIns.map { it.id }}")
+        AuditFinding(AuditRule.SINGLE_SCALE_IN, scaleIns.last().id, "removes $name like another open scale-in: ${scaleIns.map { it.id }}")
 
     private val Intent.requestId: String? get() = (action as? CloudAction.ScaleOut)?.request?.requestId
 
     private companion object {
-        /** The next leader takes up an open intent at once; after this many retry periods something is wrong. */
+        /** The next leader resumes an open intent at once, so one that is open for this many retry periods is a finding. */
         const val OVERDUE_FACTOR = 4
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -4,18 +4,18 @@
 import linemast.serialization.Fields
 import linemast.settings.Duty
 
-/** The stored form of intents; the names in the store are mapped here only. */
+/** Encodes and decodes the stored form of intents; only this object maps the field names in the store. */
 object IntentCodec {
     /** Prefix of the numbered slots that hold intents. */
     const val PREFIX = "duty/"
 
-    /** The key of a slot. */
+    /** Returns the key of [slot]. */
     fun key(slot: Int): String = "$PREFIX$slot"
 
-    /** The slot that [key] belongs to; null if it is not the key of a slot. */
+    /** Returns the slot that [key] belongs to; null if [key] is not the key of a slot. */
     fun slot(key: String): Int? = key.removePrefix(PREFIX).toIntOrNull()?.takeIf { it >= 0 && key(it) == key }
 
-    /** The stored form of [intent]. */
+    /** Returns the stored form of [intent]. */
     fun encode(intent: Intent): Map<String, Any?> = buildMap {
         put("helm", intent.id.fencingToken)
         put("n", intent.id.number)
@@ -38,7 +38,7 @@
         "number" to request.number,
     )
 
-    /** Reads the stored form; throws a `MalformedException` for any other. */
+    /** Decodes the stored form of an intent; throws a `MalformedException` for any other value. */
     fun decode(fields: Fields): Intent {
         val duty = Duty.of(fields.text("duty")) ?: fields.fail("duty", "is unknown")
         return Intent(
--- a/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
+++ b/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
@@ -5,14 +5,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Decides what is left of a transaction that found a slot changed.
+ * Determines which writes of a transaction are still to be done after it failed because a slot had changed.
  *
- * Most likely an earlier copy of the same transaction was carried out and its answer got lost.
+ * The most likely cause is that an earlier copy of the same transaction was applied and its response was lost.
  */
 internal class IntentConflictResolver(private val slots: IntentSlots, private val retryIntervalMillis: Long) {
     private val logger = LoggerFactory.getLogger(IntentConflictResolver::class.java)
 
-    /** The part of [writes] that still has to be written, in its order and with free slots; all of it if the store does not answer. */
+    /** Returns those of [writes] that are still to be done, in order and with free slots; all if the store does not respond. */
     suspend fun resolve(writes: List<IntentWrite>): List<IntentWrite> {
         if (storeResultOrNull(logger) { slots.load() } == null) {
             delay(retryIntervalMillis)
@@ -29,12 +29,12 @@
         }
         return when (write) {
             is IntentWrite.Open -> moveToFreeSlot(write)
-            // If the slot holds another intent, this one was closed long ago.
+            // If the slot holds another intent, the intent of this write was closed earlier and then overwritten.
             is IntentWrite.Close -> write.takeIf { found?.intent?.id == write.intent.id }
         }
     }
 
-    /** The same write with a slot that is free; null if there is none, which fails the write. */
+    /** Returns the same write for a free slot; if there is none, fails the write and returns null. */
     private fun moveToFreeSlot(write: IntentWrite.Open): IntentWrite? {
         slots.release(write.slot)
         val slot = slots.reserve()
--- a/src/main/kotlin/linemast/duties/IntentInspection.kt
+++ b/src/main/kotlin/linemast/duties/IntentInspection.kt
@@ -5,11 +5,14 @@
 import linemast.store.KeyValueStore
 import linemast.store.listAll
 
-/** Reads the intent log from the store and audits it, without changing anything. */
+/** Reads the intent log from the store and audits it, without any write. */
 class IntentInspection(private val store: KeyValueStore, private val settings: DutySettings, private val wallMicros: () -> Long) {
-    /** The report as of now; throws a `StoreException` without an answer and a `MalformedException` for a malformed leader record. */
+    /**
+     * Returns a report on the current content of the store. Throws a `StoreException` if the store does not respond, and a
+     * `MalformedException` for a malformed leader record.
+     */
     suspend fun report(): IntentReport {
-        // The token counter is read last: an intent that was read before it cannot have a token that is issued later.
+        // The token counter is read last: an intent that was read before cannot have a token that is issued after this read.
         val log = IntentLog.empty(settings.slots).reload(store.listAll(IntentCodec.PREFIX).entries)
         val leader = store.get(LeaderKeys.LEADER)
         val tokenCounter = store.get(LeaderKeys.FENCING_TOKEN)
--- a/src/main/kotlin/linemast/duties/IntentLog.kt
+++ b/src/main/kotlin/linemast/duties/IntentLog.kt
@@ -11,48 +11,48 @@
 data class StoredIntent(val slot: Int, val intent: Intent, val revision: Long)
 
 /**
- * The intents in the store's slots, as this controller knows them. Immutable: each change returns a new log.
+ * The intents in the store's slots, as this controller last read or wrote them. Immutable: each change returns a new log.
  *
  * A slot is free while it is empty, and again once its intent is closed. The oldest closed intent is overwritten first, so that
- * the slots hold the latest actions, for operators to read. A slot whose content cannot be read is never used.
+ * the slots hold the latest actions for operators to read. A slot with unreadable content is never used.
  */
 class IntentLog private constructor(
     private val slotCount: Int,
     private val stored: PersistentMap<Int, StoredIntent>,
     /** Slots that a write in progress is about to overwrite. */
     private val reserved: PersistentSet<Int>,
-    /** Slots whose content is no intent. */
+    /** Slots whose content cannot be decoded as an intent. */
     val unreadable: PersistentSet<Int>,
 ) {
-    /** All intents in the order of their ids. */
+    /** All intents, ordered by id. */
     val intents: List<StoredIntent> get() = stored.values.sortedBy { it.intent.id }
 
-    /** Open intents in the order of their ids. */
+    /** Open intents, ordered by id. */
     val openIntents: List<StoredIntent> get() = intents.filter { !it.intent.state.isTerminal }
 
-    /** The intent in [slot]; null if it is empty. */
+    /** Returns the intent in [slot]; null if the slot is empty. */
     operator fun get(slot: Int): StoredIntent? = stored[slot]
 
-    /** The revision that a write of [slot] depends on. */
+    /** Returns the revision that a write of [slot] has as its precondition. */
     fun revisionOf(slot: Int): Long = stored[slot]?.revision ?: ABSENT_REVISION
 
-    /** A slot for a new intent; null if none is free. */
+    /** Returns a free slot for a new intent; null if there is none. */
     fun findFreeSlot(): Int? {
         val usable = (0 until slotCount).filter { it !in reserved && it !in unreadable }
         val empty = usable.firstOrNull { it !in stored }
         return empty ?: usable.filter { stored.getValue(it).intent.state.isTerminal }.minByOrNull { stored.getValue(it).intent.id }
     }
 
-    /** Reserves [slot] for a write. */
+    /** Returns this log with [slot] reserved for a write. */
     fun reserve(slot: Int): IntentLog = copy(reserved = reserved.add(slot))
 
-    /** Drops the reservation of [slot]. */
+    /** Returns this log without the reservation of [slot]. */
     fun release(slot: Int): IntentLog = copy(reserved = reserved.remove(slot))
 
-    /** Takes [entry] as what the store holds in its slot, which ends the reservation. */
+    /** Returns this log with [entry] as the content of its slot in the store, and without the reservation of the slot. */
     fun put(entry: StoredIntent): IntentLog = copy(stored = stored.put(entry.slot, entry), reserved = reserved.remove(entry.slot))
 
-    /** Replaces all intents by the store's [entries]; reservations stay. */
+    /** Returns a log with the intents of the store's [entries] in place of all others; reservations stay. */
     fun reload(entries: List<Entry>): IntentLog {
         var read = persistentMapOf<Int, StoredIntent>()
         var unreadable = persistentHashSetOf<Int>()
@@ -70,12 +70,12 @@
     private fun copy(stored: PersistentMap<Int, StoredIntent> = this.stored, reserved: PersistentSet<Int> = this.reserved) =
         IntentLog(slotCount, stored, reserved, unreadable)
 
-    /** Creation of logs. */
+    /** Creates logs. */
     companion object {
-        /** The revision that stands for an empty slot in preconditions. */
+        /** The revision that denotes an absent key, here an empty slot, in preconditions. */
         private const val ABSENT_REVISION = 0L
 
-        /** A log of [slotCount] empty slots. */
+        /** Returns a log of [slotCount] empty slots. */
         fun empty(slotCount: Int) = IntentLog(slotCount, persistentMapOf(), persistentHashSetOf(), persistentHashSetOf())
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentReport.kt
+++ b/src/main/kotlin/linemast/duties/IntentReport.kt
@@ -3,24 +3,24 @@
 import java.time.Instant
 import java.time.temporal.ChronoUnit
 
-/** The latest cloud actions with the findings of the audit, for operators. [toText] and [toHtml] render it. */
+/** The latest cloud actions with the findings of the audit, for operators. [toText] and [toHtml] render the report. */
 class IntentReport(
     internal val intents: List<Intent>,
     private val leadership: LeadershipSnapshot,
     internal val findings: List<AuditFinding>,
 ) {
-    /** Whether a rule is broken. */
+    /** Whether any finding is a violation of a rule. */
     val hasViolations: Boolean get() = findings.any { it.severity == AuditFinding.Severity.VIOLATION }
 
-    /** Who leads, in one sentence. */
+    /** The current leader, in one sentence. */
     internal val headline: String
         get() = if (leadership.leaderName == null) {
-            "No controller holds the duties; highest fencing token ${leadership.highestToken}"
+            "No controller leads; the highest fencing token is ${leadership.highestToken}"
         } else {
-            "${leadership.leaderName} holds the duties with fencing token ${leadership.leaderToken}"
+            "${leadership.leaderName} leads with fencing token ${leadership.leaderToken}"
         }
 
-    /** One row of cells for each intent, in the order of [COLUMNS]. */
+    /** One row for each intent, with its cells in the order of [COLUMNS]. */
     internal val rows: List<List<String>> get() = intents.map(::cells)
 
     /** One line for each finding. */
@@ -48,7 +48,7 @@
         Instant.EPOCH.plus(wallMicros, ChronoUnit.MICROS).truncatedTo(ChronoUnit.MILLIS).toString()
 
     internal companion object {
-        /** Headings of the table of intents. */
+        /** Column headings of the table of intents. */
         val COLUMNS = listOf("intent", "duty", "state", "decided", "closed by", "machines", "action")
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentReportHtml.kt
+++ b/src/main/kotlin/linemast/duties/IntentReportHtml.kt
@@ -18,16 +18,16 @@
 
 private const val STYLE = "body{font-family:sans-serif} td,th{padding:2px 10px;text-align:left;border-bottom:1px solid #ccc}"
 
-/** The report as an HTML page of its own. */
+/** Renders the report as a complete HTML page. */
 fun IntentReport.toHtml(): String = buildString {
     appendLine("<!DOCTYPE html>")
     appendHTML().html {
         head {
-            title("linemast: actions at the cloud")
+            title("linemast: cloud actions")
             style { unsafe { +STYLE } }
         }
         body {
-            h1 { +"Actions at the cloud" }
+            h1 { +"Cloud actions" }
             p { +headline }
             if (findings.isEmpty()) {
                 p { +"No findings." }
--- a/src/main/kotlin/linemast/duties/IntentReportText.kt
+++ b/src/main/kotlin/linemast/duties/IntentReportText.kt
@@ -1,6 +1,6 @@
 package linemast.duties
 
-/** The report as plain text with one action per line and tabs between columns. */
+/** Renders the report as plain text, with one action per line and tabs between columns. */
 fun IntentReport.toText(): String = buildString {
     appendLine(headline)
     appendLine(IntentReport.COLUMNS.joinToString("\t"))
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -10,10 +10,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Carries out open intents at the cloud, of this term and of previous leaders alike, and has their final states stored.
+ * Carries out open intents of this term and of previous leaders at the cloud, and queues their final states for the store.
  *
- * A call is made only while the leader's lease is valid. A process that is suspended between that check and the call may
- * still make it late: by then the intent has been committed, and the next leader accounts for it.
+ * The cloud is called only while the leader's lease is valid. A process that is paused between the check of the lease and the
+ * call may still make the call late; this is safe because the intent is already committed and the next leader resolves it.
  */
 internal class IntentRunner(
     private val cloud: Cloud,
@@ -25,7 +25,9 @@
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
-    /** Repeats the request until the cloud has answered or the intent is too old; [ScaleOutResult.Unknown] in the latter case. */
+    /**
+     * Repeats the request until the cloud responds or the intent is too old; returns [ScaleOutResult.Unknown] if it is too old.
+     */
     suspend fun scaleOut(open: StoredIntent, action: CloudAction.ScaleOut): ScaleOutResult {
         while (mayRetry(open.intent)) {
             awaitValidLease()
@@ -48,15 +50,15 @@
 
     private fun mayRetry(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryMicros
 
-    /** A request that the cloud takes to be malformed will never be carried out. */
+    /** Treats a request that the cloud rejects as malformed like one without capacity, since no retry can succeed. */
     private suspend fun tryScaleOut(action: CloudAction.ScaleOut): ScaleOutResult = try {
         cloud.scaleOut(action.request)
     } catch (e: CloudException) {
-        logger.error("scale-out {}: {}", action.request.requestId, e.message)
+        logger.error("scale-out {} failed and is not retried: {}", action.request.requestId, e.message)
         ScaleOutResult.NoCapacity
     }
 
-    /** Repeats the scale-in of [names] until the cloud has confirmed it. */
+    /** Repeats the scale-in of [names], with exponential back-off, until the cloud confirms it. */
     suspend fun scaleIn(names: List<String>) {
         var backoffMillis = RETRY_INTERVAL_MILLIS
         while (true) {
@@ -71,7 +73,7 @@
         }
     }
 
-    /** Has it stored that the scale-in of [machineCount] machines is confirmed. */
+    /** Closes [open] after the cloud has confirmed the scale-in of [machineCount] machines. */
     suspend fun closeScaleIn(open: StoredIntent, machineCount: Int) = writer.close(open, IntentState.CARRIED_OUT, machineCount)
 
     private suspend fun awaitValidLease() {
@@ -84,7 +86,7 @@
     private companion object {
         const val RETRY_INTERVAL_MILLIS = SECOND_MICROS / 1_000
 
-        /** Scale-ins that pile up in an outage of the cloud must not use up the calls that it takes afterwards. */
+        /** Back-off keeps scale-ins that accumulate in an outage of the cloud from exhausting its rate limit afterwards. */
         const val MAX_BACKOFF_MILLIS = 16 * RETRY_INTERVAL_MILLIS
         const val LEASE_POLL_INTERVAL_MILLIS = 100L
     }
--- a/src/main/kotlin/linemast/duties/IntentSlots.kt
+++ b/src/main/kotlin/linemast/duties/IntentSlots.kt
@@ -5,7 +5,7 @@
 import linemast.store.listAll
 import org.slf4j.LoggerFactory
 
-/** The slots of the intent log as this leader has read and written them, with a reservation for each write in progress. */
+/** The slots of the intent log as this leader last read or wrote them, with a reservation for each write in progress. */
 internal class IntentSlots(private val store: KeyValueStore, slotCount: Int) {
     private val logger = LoggerFactory.getLogger(IntentSlots::class.java)
 
@@ -13,28 +13,28 @@
     var log = IntentLog.empty(slotCount)
         private set
 
-    /** Reads all slots; throws a `StoreException` without an answer. */
+    /** Reads all slots; throws a `StoreException` if the store does not respond. */
     suspend fun load() {
         log = log.reload(store.listAll(IntentCodec.PREFIX).entries)
         if (log.unreadable.isNotEmpty()) logger.error("slots {} hold no intent and are left alone", log.unreadable)
     }
 
-    /** Reserves a slot for a new intent; null if none is free. */
+    /** Reserves and returns a slot for a new intent; returns null if none is free. */
     fun reserve(): Int? {
         val slot = log.findFreeSlot() ?: return null
         log = log.reserve(slot)
         return slot
     }
 
-    /** Gives up the reservation of [slot]. */
+    /** Releases the reservation of [slot]. */
     fun release(slot: Int) {
         log = log.release(slot)
     }
 
-    /** The precondition that [slot] still holds what it held when it was last read or written. */
+    /** Returns the precondition that the content of [slot] has not changed since it was last read or written. */
     fun unchangedPrecondition(slot: Int) = Precondition(IntentCodec.key(slot), log.revisionOf(slot))
 
-    /** Notes that the store holds [write] since [revision], and tells whoever waits for it. */
+    /** Records that the store has applied [write] at [revision], and resumes the coroutine that waits for the write. */
     fun recordCommit(write: IntentWrite, revision: Long) {
         val stored = StoredIntent(write.slot, write.intent, revision)
         log = log.put(stored)
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -12,11 +12,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Writes intents to the store by group commit: one transaction at a time, with all writes that are waiting.
+ * Writes intents to the store by group commit: one transaction at a time, with all writes that are queued.
  *
- * Every transaction depends on the leader's fence and on the revisions of the slots that it overwrites. One without an
- * answer is repeated under the same preconditions, so that at most one copy of it is carried out; and none is, however
- * late it arrives, once another controller leads.
+ * The preconditions of every transaction are the leader's fence and the revisions of the slots that it overwrites. A
+ * transaction that gets no response is repeated with the same preconditions, so at most one copy of it is applied. Once
+ * another controller leads, no copy is applied, however late it arrives.
  */
 internal class IntentWriter(
     private val store: KeyValueStore,
@@ -30,17 +30,17 @@
     private val slots = IntentSlots(store, slotCount)
     private val conflictResolver = IntentConflictResolver(slots, RETRY_INTERVAL_MILLIS)
 
-    /** Each slot has at most one write waiting, and each write a slot: the number of slots bounds the queue. */
+    /** Each queued write has a slot, and each slot has at most one queued write, so the number of slots bounds the queue. */
     private val queue = Channel<IntentWrite>(slotCount)
     private var lastNumber = 0L
 
-    /** The intents in the store, as far as this controller has read or written them. */
+    /** The intents in the store, as this controller last read or wrote them. */
     val log: IntentLog get() = slots.log
 
-    /** Reads all slots. Late writes of previous leaders cannot change them any more, since this term has begun. */
+    /** Reads all slots. Delayed writes of previous leaders no longer change them, because this term has begun. */
     suspend fun load() = slots.load()
 
-    /** Commits the intent to carry out [action]; returns once the store holds it. */
+    /** Commits an intent to carry out [action] and returns it once the store holds it. */
     suspend fun open(action: CloudAction): StoredIntent {
         val slot = slots.reserve() ?: throw IntentLogFullException()
         val intent = Intent(IntentId(leaderLease.fencingToken, ++lastNumber), action, wallMicros())
@@ -50,14 +50,14 @@
     }
 
     /**
-     * Has the final state of an intent written soon, without waiting for it. If this term ends before that, the next leader
-     * repeats the action, which has no further effect.
+     * Queues the write of the final state of an intent, and does not wait for the write. If this term ends before the write,
+     * the next leader repeats the action, which has no further effect.
      */
     suspend fun close(open: StoredIntent, state: IntentState, machineCount: Int) {
         queue.send(IntentWrite.Close(open.intent.closed(state, machineCount, leaderLease.fencingToken), open.slot))
     }
 
-    /** Writes what is queued until the term ends or it is cancelled. */
+    /** Writes queued intents until the term ends or the coroutine is cancelled. */
     suspend fun run() {
         for (first in queue) {
             val waiting = arrayListOf(first)
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Writes [batch] completely; false if the term has ended before that. */
+    /** Writes all of [batch]; returns false if the term ends before all is written. */
     private suspend fun write(batch: List<IntentWrite>): Boolean {
         var remaining = batch
         while (remaining.isNotEmpty()) {
@@ -91,13 +91,13 @@
         return true
     }
 
-    /** Null without an answer of the store. */
+    /** Commits [writes] in one transaction; returns null if the store does not respond. */
     private suspend fun commit(writes: List<IntentWrite>): CommitResult? {
         val preconditions = listOf(leaderLease.fence) + writes.map { slots.unchangedPrecondition(it.slot) }
         return storeResultOrNull(logger) { store.commit(preconditions, writes.map(IntentWrite::toStoreWrite), RequestPriority.HIGH) }
     }
 
-    /** The term has ended: fails all that still wait, and whatever is queued later. */
+    /** Fails [waiting], all queued writes and all later ones, because the term has ended. */
     private fun failPendingWrites(waiting: List<IntentWrite>) {
         val lost = LeadershipLostException(leaderLease.fencingToken)
         queue.close(lost)
--- a/src/main/kotlin/linemast/duties/LeadershipSnapshot.kt
+++ b/src/main/kotlin/linemast/duties/LeadershipSnapshot.kt
@@ -2,19 +2,19 @@
 
 import linemast.serialization.Fields
 
-/** The current leadership as the store holds it. */
+/** The current leader and the highest fencing token, as read from the store. */
 class LeadershipSnapshot(
-    /** Name of the leader; null if there is none now. */
+    /** Name of the leader; null if no controller leads. */
     val leaderName: String?,
-    /** Fencing token of the leader; null if there is none now. */
+    /** Fencing token of the leader; null if no controller leads. */
     val leaderToken: Long?,
-    /** The highest fencing token that was ever issued. */
+    /** Highest fencing token issued so far. */
     val highestToken: Long,
 )
 
-/** Reads the stored leadership; the election writes it. */
+/** Decodes the records that the election writes. */
 internal object LeadershipSnapshotCodec {
-    /** [leader] is the leader's record and [tokenCounter] the counter of fencing tokens, each null if it is not there. */
+    /** Decodes the leader's record [leader] and the counter of fencing tokens [tokenCounter], each null if it is absent. */
     fun decode(leader: Fields?, tokenCounter: Fields?) = LeadershipSnapshot(
         leaderName = leader?.text("node"),
         leaderToken = leader?.long("helm"),
--- a/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
+++ b/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
@@ -9,15 +9,15 @@
 import linemast.cloud.ScaleOutResult
 import org.slf4j.LoggerFactory
 
-/** What the leader's state learns while pending intents are resolved. Called on the coroutine that owns that state. */
+/** Queries and updates of the leader's state while pending intents are resolved. Called on the coroutine that owns that state. */
 internal interface IntentResolutionEffects {
-    /** Whether no task can be on the machine. */
+    /** Whether it is certain that no task is on the machine. */
     fun isFree(machineName: String): Boolean
 
-    /** The cloud has confirmed that the machines are gone. */
+    /** Records that the cloud has confirmed the removal of the machines [names]. */
     fun recordScaleInConfirmed(names: List<String>)
 
-    /** The outcome of a previous leader's request is known, or will never be. */
+    /** Records the [result] of a previous leader's [request]; it is unknown if the request is no longer repeated. */
     fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult)
 }
 
@@ -31,13 +31,13 @@
     private val pending = executor.openIntentsOfPreviousLeaders
     private val scaleIns = PendingScaleIns(pending)
 
-    /** Machines whose scale-in may take effect at any moment. */
+    /** Machines whose scale-in may take effect at any time. */
     val machinesScalingIn: Set<String> get() = scaleIns.unconfirmedNames
 
-    /** Scale-out requests that may take effect at any moment. */
+    /** Scale-out requests that may take effect at any time. */
     val scaleOuts: List<ScaleOutRequest> get() = pending.mapNotNull { (it.intent.action as? CloudAction.ScaleOut)?.request }
 
-    /** Starts the work in [scope]; it ends when all intents are closed or the leadership is lost. */
+    /** Starts resolving the intents in [scope]; this ends when all intents are closed or the leadership is lost. */
     fun start(scope: CoroutineScope) {
         if (pending.isEmpty()) return
         logger.info(
@@ -54,7 +54,7 @@
         scope.launch { resolveScaleIns() }
     }
 
-    /** Repeats the request under its own id: the answer names the granted machines, whoever asked first. */
+    /** Repeats the request with its own id: the response lists the granted machines, whichever controller sent it first. */
     private suspend fun resolveScaleOut(stored: StoredIntent, action: CloudAction.ScaleOut) = runUntilLeadershipLost {
         val result = executor.runner.scaleOut(stored, action)
         enqueueOnLeader { effects.recordScaleOutResult(action.request, result) }
@@ -81,7 +81,7 @@
         }
     }
 
-    /** The next leader resolves whatever is left. */
+    /** Runs [action] until it completes or the leadership is lost; the next leader resolves the remaining intents. */
     private suspend fun runUntilLeadershipLost(action: suspend () -> Unit) {
         try {
             action()
--- a/src/main/kotlin/linemast/duties/ScaleInDuty.kt
+++ b/src/main/kotlin/linemast/duties/ScaleInDuty.kt
@@ -3,7 +3,7 @@
 import linemast.cloud.ScaleInReason
 import linemast.settings.Duty
 
-/** The duty under which a machine is removed for this reason. */
+/** The duty that the removal of a machine for this reason belongs to. */
 internal val ScaleInReason.duty: Duty
     get() = when (this) {
         ScaleInReason.IDLE, ScaleInReason.BASELINE_IDLE -> Duty.SCALE_IN
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -16,11 +16,11 @@
 import linemast.time.Clock
 
 /**
- * Carries out cloud actions of one term, each of them logged ahead as an intent.
+ * Carries out the cloud actions of one term, with a write-ahead log of intents.
  *
- * Nothing is asked of the cloud before the store holds the intent, committed under this term's fence. So a controller that
- * has been replaced can begin nothing, whatever its clock says; and a call of it that arrives late has no other effect than
- * what its successor has read in the store and accounts for.
+ * The cloud is not called before the store holds the intent, committed with this term's fence as a precondition. Therefore a
+ * controller that is no longer the leader cannot begin an action, even if its clock is wrong. A call of such a controller that
+ * arrives late only has the effect of an intent that the next leader has read in the store and takes into account.
  */
 internal class WriteAheadCloudActionExecutor(
     private val settings: DutySettings,
@@ -33,17 +33,17 @@
 ) : CloudActionExecutor {
     private val writer = IntentWriter(store, leaderLease, settings.slots, limits.maxTxnOps, wallMicros)
 
-    /** Carries out what this term, or a previous one, has committed. */
+    /** Carries out the intents that this term or previous terms have committed. */
     val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.scaleOutRetryMicros)
 
-    /** Open intents of previous terms, as [load] has read them. */
+    /** Open intents of previous terms, as read by [load]. */
     val openIntentsOfPreviousLeaders: List<StoredIntent>
         get() = writer.log.openIntents.filter { it.intent.id.fencingToken < leaderLease.fencingToken }
 
-    /** Reads the intents in the store; has to complete before the first decision of the term. */
+    /** Reads the intents in the store; must complete before the first decision of the term. */
     suspend fun load() = writer.load()
 
-    /** Writes intents until the term ends or it is cancelled. */
+    /** Writes queued intents until the term ends or the coroutine is cancelled. */
     suspend fun run() = writer.run()
 
     override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
@@ -52,10 +52,10 @@
         val result = try {
             runner.scaleOut(writer.open(action), action)
         } catch (e: LeadershipLostException) {
-            // The next leader carries on with it.
+            // The next leader resolves the intent if it was committed.
             return ScaleOutResult.Unknown
         }
-        if (result == ScaleOutResult.Unknown) throw CloudException.NoAnswer("no answer to scale-out ${request.requestId}")
+        if (result == ScaleOutResult.Unknown) throw CloudException.NoAnswer("no response to scale-out ${request.requestId}")
         return result
     }
 
@@ -66,7 +66,7 @@
         .flatMap { machines -> machines.chunked(maxMachinesPerIntent(machines.map { it.key })) }
         .map { machines -> ScaleInBatch(machines.associate { it.key to it.value }) }
 
-    /** All machines of [batch] belong to the same duty, as [split] sees to. */
+    /** Removes the machines of [batch], which all belong to the same duty because [split] groups them by duty. */
     override suspend fun scaleIn(batch: ScaleInBatch) {
         val names = batch.names
         val open = writer.open(CloudAction.ScaleIn(names, batch.reasons.values.first().duty))
@@ -74,14 +74,14 @@
         runner.closeScaleIn(open, names.size)
     }
 
-    /** As many names as fit the stored value of an intent and one call to the cloud. */
+    /** Returns how many of [names] fit both the stored value of an intent and one call to the cloud. */
     private fun maxMachinesPerIntent(names: List<String>): Int {
         val longest = names.maxOf { JsonSize.of(it) + 1 }
         return ((limits.maxValueBytes - INTENT_OVERHEAD_BYTES) / longest).coerceIn(1, MAX_MACHINES_PER_SCALE_IN_CALL)
     }
 
     private companion object {
-        /** The other fields of a stored intent. */
+        /** Size of the other fields of a stored intent. */
         const val INTENT_OVERHEAD_BYTES = 300
     }
 }
--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -9,13 +9,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Campaigns for the leadership and keeps it once won, term after term, for as long as the controller runs.
+ * Campaigns for the leadership and, once elected, renews the leader's lease until the term ends; then campaigns again, for as
+ * long as the controller runs.
  *
  * @param leaderLeaseMicros time to live of the leader's lease in the store.
- * @param degradedModeMicros how long a leader that cannot renew its lease may go on answering heartbeats.
- * @property view is kept up to date with every leader and fencing token seen, and with this controller's own lease.
+ * @param degradedModeMicros how long a leader that cannot renew its lease may continue to respond to heartbeats.
+ * @property view receives every leader and fencing token that the election reads, and this controller's own lease.
  * @property onElected is called when a term of this controller begins.
- * @property onLost is called when it ends, for whatever reason.
+ * @property onLost is called when a term of this controller ends, for whatever reason.
  */
 class Election(
     private val store: KeyValueStore,
@@ -57,7 +58,7 @@
         }
     }
 
-    /** Returns once the lease has expired and the time of degraded mode is over, or the term has ended otherwise. */
+    /** Renews the lease; returns once both the lease and degraded mode have expired, or the term has ended otherwise. */
     private suspend fun renewUntilTermEnds(term: ElectedTerm) {
         val leaderLease = term.leaderLease
         while (leaderLease.mayRespondToHeartbeats(clock.nowMicros())) {
@@ -70,17 +71,17 @@
                 }
                 leaderLease.recordRenewal(sentMicros)
             } catch (e: StoreException) {
-                log.debug("renewal: {}", e.message)
+                log.debug("leader lease renewal: {}", e.message)
             }
         }
     }
 
-    /** Revokes the lease, and lets the other controllers campaign first. */
+    /** Revokes the lease, then pauses so that the other controllers campaign before this one. */
     private suspend fun yieldLeadership(term: ElectedTerm) {
         try {
             store.revokeLease(term.storeLeaseId)
         } catch (e: StoreException) {
-            log.debug("revoking the lease: {}", e.message)
+            log.debug("revoking the leader lease failed: {}", e.message)
         }
         delay(STEP_DOWN_PAUSE_MILLIS)
     }
--- a/src/main/kotlin/linemast/leadership/LeaderCampaign.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderCampaign.kt
@@ -10,10 +10,13 @@
 import linemast.time.Clock
 import linemast.time.SECOND_MICROS
 
-/** A term that this controller has won; [storeLeaseId] is the id of the lease that has to be renewed in the store. */
+/** A term for which this controller is elected; [storeLeaseId] identifies the lease that it has to renew in the store. */
 internal class ElectedTerm(val storeLeaseId: Long, val leaderLease: LeaderLease)
 
-/** Follows the leadership of other controllers, and takes it when it is free. Calls fail with the exceptions of the store. */
+/**
+ * Watches the leader record while another controller leads, and tries to become the leader when none does. Failed calls throw
+ * the exceptions of the store.
+ */
 internal class LeaderCampaign(
     private val store: KeyValueStore,
     private val clock: Clock,
@@ -24,14 +27,14 @@
     private val retry: RetryPolicy,
 ) {
     /**
-     * One attempt: waits for a change if another controller leads, and tries to take the leadership otherwise.
+     * Makes one attempt: waits for a change if another controller leads, and tries to start a term otherwise.
      *
-     * Null if the leadership was not won; the campaign is then to be run again.
+     * Returns null if this controller was not elected; the caller then calls this function again.
      */
     suspend fun runOnce(): ElectedTerm? {
         val current = store.get(LeaderKeys.LEADER)
-        // A record of this very controller is left by an earlier process, which has ended, or by an election
-        // whose answer never came; this process does not lead now, so it need not wait for the lease to expire.
+        // A record with this controller's own name was left by an earlier process, which has ended, or by a commit of
+        // this process that got no response. This process does not lead now, so it does not wait for the lease to expire.
         if (current == null || LeaderRecordCodec.decodeNodeName(current.value) == nodeName) {
             return tryToWin(current?.revision ?: Precondition.ABSENT)
         }
@@ -55,9 +58,9 @@
         }
     }
 
-    /** Starts a term with a fencing token higher than any before; null if another controller was faster. */
+    /** Starts a term with a fencing token higher than any before; returns null if another controller was faster. */
     private suspend fun tryToWin(leaderRevision: Long): ElectedTerm? {
-        // The lease counts from before its request, so that this controller never takes it for longer than the store does.
+        // The lease counts from before the request for it, so that it expires here no later than in the store.
         val sentMicros = clock.nowMicros()
         val lease = store.grantLease(leaderLeaseMicros)
         val latestToken = store.get(LeaderKeys.FENCING_TOKEN)
--- a/src/main/kotlin/linemast/leadership/LeaderKeys.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderKeys.kt
@@ -1,10 +1,13 @@
 package linemast.leadership
 
-/** The keys of the leadership in the store. */
+/** Keys in the store that hold the leader and the latest fencing token. */
 object LeaderKeys {
-    /** Holds a [LeaderRecord]; attached to the leader's lease. Every write of the leader depends on its revision. */
+    /** Holds a [LeaderRecord]; attached to the leader's lease. Every write of the leader has the key's revision as a precondition. */
     const val LEADER = "leader"
 
-    /** The fencing token of the latest term, which outlives all leases; raised by the transaction that starts a term. */
+    /**
+     * Holds the fencing token of the latest term; attached to no lease, so that it outlives all of them. The transaction that
+     * starts a term raises it.
+     */
     const val FENCING_TOKEN = "helm"
 }
--- a/src/main/kotlin/linemast/leadership/LeaderLease.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderLease.kt
@@ -3,17 +3,18 @@
 import linemast.store.Precondition
 
 /**
- * How long a leader may act, from the answers to its renewals.
+ * Tracks how long a leader may act, based on its confirmed lease renewals.
  *
- * Times are those of this process's steady clock. The store's lease lives at least its full time from when the store
- * executed the renewal, which was not before the renewal was sent. So counting from the sending, less what clocks may drift
- * and a margin, ends before the store lets another controller in.
+ * All times are those of this process's steady clock. The lease in the store lasts at least its full time from when the store
+ * executed a renewal, which is not before the renewal was sent. Therefore a lease that counts from when the renewal was sent,
+ * less the possible clock drift and a margin, expires before the store lets another controller become the leader.
  *
- * When the renewals fail, the leader first may no longer issue commands, and is in degraded mode: it answers heartbeats, so
- * that workers keep their tasks, until that is over too.
+ * If renewals fail, the leader first loses the permission to issue commands and enters degraded mode, in which it still
+ * responds to heartbeats so that workers keep their tasks. Degraded mode is limited in time as well.
  *
- * @property fencingToken number of the term; a later term has a higher one.
+ * @property fencingToken fencing token of the term; a later term has a higher one.
  * @param revision store revision at which the term began.
+ * @param sentMicros when the request for the lease was sent.
  */
 class LeaderLease(
     val fencingToken: Long,
@@ -22,12 +23,12 @@
     private val degradedModeMicros: Long,
     sentMicros: Long,
 ) {
-    /** Every write of this term depends on it, so that none is applied once another controller leads. */
+    /** Precondition of every write of this term, so that none is applied once another controller leads. */
     val fence = Precondition(LeaderKeys.LEADER, revision)
     private var commandsUntilMicros = sentMicros + usableMicros(leaderLeaseMicros)
     private var degradedUntilMicros = commandsUntilMicros + degradedModeMicros
 
-    /** Whether the term is over, whatever time its lease has left. */
+    /** Whether the term has ended, regardless of the time until its lease expires. */
     var hasEnded = false
         private set
 
@@ -35,19 +36,19 @@
     var hasSteppedDown = false
         private set
 
-    /** Takes in that a renewal sent at [sentMicros] was confirmed. */
+    /** Records that the store confirmed a renewal sent at [sentMicros]. */
     fun recordRenewal(sentMicros: Long) {
         commandsUntilMicros = maxOf(commandsUntilMicros, sentMicros + usableMicros(leaderLeaseMicros))
         degradedUntilMicros = commandsUntilMicros + degradedModeMicros
     }
 
-    /** Ends the term, for another controller to take the leadership at once. */
+    /** Ends the term so that another controller can become the leader at once. */
     fun stepDown() {
         hasSteppedDown = true
         hasEnded = true
     }
 
-    /** Ends the term: a higher fencing token exists, or the lease is gone. Not even degraded mode is left. */
+    /** Ends the term, and degraded mode with it, because a higher fencing token exists or the lease has expired. */
     fun end() {
         hasEnded = true
     }
@@ -55,7 +56,7 @@
     /** Whether commands may be sent to workers now. */
     fun mayIssueCommands(nowMicros: Long): Boolean = !hasEnded && nowMicros < commandsUntilMicros
 
-    /** Whether heartbeats may be answered now, with or without commands, so that workers keep their tasks. */
+    /** Whether the leader may respond to heartbeats now, with or without commands, so that workers keep their tasks. */
     fun mayRespondToHeartbeats(nowMicros: Long): Boolean = !hasEnded && nowMicros < degradedUntilMicros
 
     companion object {
@@ -63,22 +64,22 @@
         private const val MILLION = 1_000_000L
         private const val MARGIN_MICROS = 200_000L
 
-        /** Covers heartbeats on their way and clocks. */
+        /** Covers heartbeats in transit and clock errors. */
         private const val DEGRADED_MODE_MARGIN_MICROS = 6_000_000L
 
-        /** How far two clocks, each off by at most 0.05%, may differ after a duration; rounded up. */
+        /** Returns by how much two clocks, each off by at most 0.05%, may differ after [micros]; rounded up. */
         fun driftMicros(micros: Long): Long = micros * DRIFT_PER_MILLION / MILLION + 1
 
         private fun usableMicros(leaderLeaseMicros: Long) = leaderLeaseMicros - driftMicros(leaderLeaseMicros) - MARGIN_MICROS
 
         /**
-         * How long a leader without its store may keep answering heartbeats.
+         * Returns how long a leader that cannot reach the store may continue to respond to heartbeats.
          *
-         * A task of a job that was cancelled at another controller can live on for that long plus a worker's lease, and has
-         * to end before the time that a cancellation may take is over.
+         * A task whose job was cancelled at another controller can run for this time plus a worker's lease, and has to end
+         * within the time that a cancellation may take.
          *
          * @param leaseMicros lease of a worker's tasks.
-         * @param cancelMicros time in which the tasks of a cancelled job have to end.
+         * @param cancelMicros time within which the tasks of a cancelled job have to end.
          */
         fun degradedModeMicros(leaseMicros: Long, cancelMicros: Long): Long {
             val marginMicros = DEGRADED_MODE_MARGIN_MICROS + driftMicros(cancelMicros)
--- a/src/main/kotlin/linemast/leadership/LeaderView.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderView.kt
@@ -1,17 +1,20 @@
 package linemast.leadership
 
-/** Who leads, as this controller has last seen it in the store or in the statuses of its peers. */
+/**
+ * The leader and the highest fencing token, as this controller last read them in the store, in the statuses of its peers or,
+ * for the token, in the heartbeats of workers.
+ */
 class LeaderView {
-    /** Name of the controller that leads; null if none is. */
+    /** Name of the controller that leads; null if none does. */
     var leaderName: String? = null
 
-    /** Highest fencing token seen anywhere. */
+    /** Highest fencing token read from any source. */
     var highestFencingToken = 0L
 
-    /** The lease of this controller while it leads or is in degraded mode; null otherwise. */
+    /** This controller's own lease while it leads or is in degraded mode; null otherwise. */
     var ownLease: LeaderLease? = null
 
-    /** Takes in a fencing token seen elsewhere; a lease of this controller with a lower one ends at once. */
+    /** Records [fencingToken] if it is the highest so far, and ends this controller's lease at once if its token is lower. */
     fun observeFencingToken(fencingToken: Long) {
         if (fencingToken > highestFencingToken) highestFencingToken = fencingToken
         ownLease?.let { if (fencingToken > it.fencingToken) it.end() }
--- a/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
@@ -14,21 +14,21 @@
 import linemast.time.Clock
 import org.slf4j.LoggerFactory
 
-/** Reads the outcomes of jobs that the leader does not know, and stores a report once reconciliation is complete. */
+/** Looks up the outcomes of jobs that are unknown to the leader, and stores a report once the reconciliation is complete. */
 internal class ReconciliationMonitor(
     private val store: KeyValueStore,
     private val leaderLease: LeaderLease,
     private val clock: Clock,
     private val wallMicros: () -> Long,
     private val reconciliation: StateReconciliation,
-    /** Whether the tasks of earlier leaders are accounted for. */
+    /** Whether all tasks of previous leaders are reconciled. */
     private val isReconciled: () -> Boolean,
-    /** Runs an action on the coroutine that owns the cluster state. */
+    /** Queues an action for the coroutine that owns the cluster state, and returns before the action runs. */
     private val enqueueOnLeader: suspend (() -> Unit) -> Unit,
 ) {
     private val logger = LoggerFactory.getLogger(ReconciliationMonitor::class.java)
 
-    /** Runs until it is cancelled; reads and writes are coroutines of [scope]. */
+    /** Polls the reconciliation until it is cancelled; starts a coroutine in [scope] for each sequence of reads and for writes. */
     suspend fun run(scope: CoroutineScope) {
         while (true) {
             enqueueOnLeader {
@@ -51,10 +51,10 @@
         val stored = store.readOutcome(job, RequestPriority.HIGH)
         if (stored == null) OutcomeLookup.Absent else OutcomeLookup.Found(stored.record.outcome)
     } catch (e: StoreException) {
-        logger.debug("outcome of {}: {}", job, e.message)
+        logger.debug("reading the outcome of job {} failed: {}", job, e.message)
         OutcomeLookup.Failed
     } catch (e: MalformedException) {
-        logger.error("outcome of {}: {}", job, e.message)
+        logger.error("the outcome of job {} is malformed: {}", job, e.message)
         OutcomeLookup.Failed
     }
 
@@ -72,7 +72,7 @@
     private companion object {
         const val POLL_INTERVAL_MILLIS = 100L
 
-        /** Number of outcomes that one coroutine reads one after the other. */
+        /** Maximum number of outcomes that one coroutine reads, one after the other. */
         const val LOOKUPS_PER_COROUTINE = 20
     }
 }
--- a/src/main/kotlin/linemast/recovery/ReconciliationReport.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationReport.kt
@@ -2,21 +2,21 @@
 
 /** The result of a completed reconciliation, stored for operators. */
 internal class ReconciliationReport(
-    /** Time of day at which the report was written. */
+    /** Wall-clock time at which the report was created. */
     val wallMicros: Long,
-    /** Fencing token of the leader that reconciled. */
+    /** Fencing token of the leader that completed the reconciliation. */
     val fencingToken: Long,
     val statistics: ReconciliationStatistics,
-    /** Jobs without a complete record, by id. */
+    /** States of the jobs without a complete record, by job id. */
     val jobs: Map<String, UnknownJobState>,
 )
 
-/** The stored form of reconciliation reports, see docs/operations-recovery.md for its fields. */
+/** Encodes reconciliation reports for the store; see docs/operations-recovery.md for the fields. */
 internal object ReconciliationReportCodec {
     /** The key of the latest report. */
     const val KEY = "recovery"
 
-    /** So many that the report fits the smallest limit of a stored value. */
+    /** With this many jobs the report still fits the smallest size limit of a stored value. */
     private const val MAX_JOBS = 15
 
     private val stateNames = mapOf(
@@ -38,7 +38,7 @@
         ReconciliationStatistics.Command.ACKNOWLEDGE to "acknowledge",
     )
 
-    /** The stored form of [report]; of many jobs the first [MAX_JOBS] only. */
+    /** Encodes [report] with at most the first [MAX_JOBS] of its jobs. */
     fun encode(report: ReconciliationReport): Map<String, Any?> = mapOf(
         "at_us" to report.wallMicros,
         "helm" to report.fencingToken,
@@ -49,7 +49,7 @@
     private fun encodeJob(id: String, state: UnknownJobState): Map<String, Any?> =
         mapOf("job" to id, "standing" to stateNames.getValue(state))
 
-    /** The counts in one line. */
+    /** Returns the counts of [statistics] in one line. */
     fun summary(statistics: ReconciliationStatistics): String {
         val differences = differenceNames.entries.joinToString { (difference, name) -> "${statistics.countOf(difference)} $name" }
         val commands = commandNames.entries.joinToString { (command, name) -> "${statistics.countOf(command)} $name" }
--- a/src/main/kotlin/linemast/recovery/ReconciliationStatistics.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationStatistics.kt
@@ -3,20 +3,20 @@
 import linemast.domain.TaskAttempt
 import java.util.EnumMap
 
-/** Counts the differences that a new leader finds, and the commands that it sends, until reconciliation is complete. */
+/** Counts the differences that a new leader finds, and the commands that it sends, until its reconciliation is complete. */
 class ReconciliationStatistics {
     /** Kinds of differences between what workers report and what the store holds. */
     enum class Difference {
-        /** A running task that the new leader adopts as it is. */
+        /** A running task of a previous leader that the new leader adopts without a command. */
         ADOPTED,
 
-        /** A result that the store did not have. */
+        /** A result that a worker reports and the store did not have. */
         UNSTORED_RESULT,
 
-        /** A task or result of a job that the leader does not know. */
+        /** A task or result of a job that is unknown to the leader. */
         UNKNOWN,
 
-        /** A task that was lost with its machine, or is missing there. */
+        /** A task that was lost with its machine, or that the machine's worker no longer reports. */
         LOST,
     }
 
@@ -28,7 +28,7 @@
         /** Stop a task. */
         STOP,
 
-        /** Forget an ended task. */
+        /** Acknowledge an ended task, so that the worker removes its result. */
         ACKNOWLEDGE,
     }
 
@@ -40,7 +40,7 @@
     /** Number of workers that have sent a heartbeat. */
     val reportingWorkerCount: Int get() = reportingMachines.size
 
-    /** Takes note of a heartbeat of the worker on [machineName]. */
+    /** Records a heartbeat of the worker on [machineName]. */
     fun recordHeartbeat(machineName: String) {
         reportingMachines += machineName
     }
@@ -50,7 +50,7 @@
         differences.merge(difference, 1, Int::plus)
     }
 
-    /** Counts [task], whose job the leader does not know, once however often it is reported. */
+    /** Counts [task], whose job is unknown to the leader, only once regardless of how often it is reported. */
     fun countUnknown(task: TaskAttempt) {
         if (unknownTasks.add(task)) count(Difference.UNKNOWN)
     }
@@ -60,9 +60,9 @@
         if (count > 0) commands.merge(command, count, Int::plus)
     }
 
-    /** How many differences of one kind were counted. */
+    /** Returns the number of differences of the given kind. */
     fun countOf(difference: Difference): Int = differences[difference] ?: 0
 
-    /** How many commands of one kind were counted. */
+    /** Returns the number of commands of the given kind. */
     fun countOf(command: Command): Int = commands[command] ?: 0
 }
--- a/src/main/kotlin/linemast/recovery/StateReconciliation.kt
+++ b/src/main/kotlin/linemast/recovery/StateReconciliation.kt
@@ -7,33 +7,33 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Reconciles what workers report with what the store holds, during one leader term; does no input or output itself.
+ * Reconciles what workers report with what the store holds, during one leader term; performs no I/O itself.
  *
- * It decides on two things: whether the tasks of a job that the leader does not know may be stopped, and whether one more
- * start or stop command may be sent now. All other decisions are the scheduler's.
+ * This class makes two decisions: whether the tasks of a job that is unknown to the leader may be stopped, and whether one
+ * more start or stop command may be sent now. The scheduler makes all other decisions.
  */
 class StateReconciliation(settings: RecoverySettings) {
     private val logger = LoggerFactory.getLogger(StateReconciliation::class.java)
     private val commandTokens = TokenBucket(settings.ordersPerSecond)
 
-    /** Jobs that workers report and the leader does not know. */
+    /** Jobs that workers report and that are unknown to the leader. */
     val unknownJobs = UnknownJobs(settings.confirmMicros, LOOKUP_TIMEOUT_MICROS)
 
-    /** Counts of differences and commands until the reconciliation is complete. */
+    /** Counts of the differences found and the commands sent until the reconciliation is complete. */
     val statistics = ReconciliationStatistics()
 
-    /** When a command was last held back by the rate limit; null if none was. */
+    /** When the rate limit last held a command back; null if it never did. */
     private var lastThrottledMicros: Long? = null
     private var reconciledSinceMicros: Long? = null
 
     /**
-     * Whether all tasks that earlier leaders started are accounted for, and what has to be started again has been. From
-     * then on no command is rate limited and nothing is counted.
+     * Whether all tasks that previous leaders started are reconciled, and the tasks that have to be started again have been
+     * started. Once this is true, commands are no longer rate limited and nothing is counted.
      */
     var isComplete = false
         private set
 
-    /** Whether the tasks of [job], which the leader does not know, may be stopped and their results discarded. */
+    /** Whether the tasks of [job], which is unknown to the leader, may be stopped and their results discarded. */
     fun mayDiscard(job: String, nowMicros: Long): Boolean = when (unknownJobs.observe(job, nowMicros)) {
         UnknownJobState.UNDECIDED, UnknownJobState.INCONSISTENT -> false
         UnknownJobState.ENDED, UnknownJobState.UNRECORDED, UnknownJobState.UNKNOWN -> true
@@ -46,12 +46,12 @@
         return false
     }
 
-    /** Takes note of a heartbeat of the worker on [machineName]. */
+    /** Records a heartbeat of the worker on [machineName]. */
     fun recordHeartbeat(machineName: String) {
         if (!isComplete) statistics.recordHeartbeat(machineName)
     }
 
-    /** Counts [task], which a worker reports and whose job the leader does not know. */
+    /** Counts [task], which a worker reports and whose job is unknown to the leader. */
     fun countUnknown(task: TaskAttempt) {
         if (!isComplete) statistics.countUnknown(task)
     }
@@ -67,8 +67,10 @@
     }
 
     /**
-     * Completes the reconciliation once the tasks of earlier leaders are accounted for ([isReconciled]), no unknown job is
-     * undecided and no command was held back for a while. True if it became complete by this call.
+     * Completes the reconciliation if all tasks of previous leaders are reconciled ([isReconciled]), no unknown job is
+     * undecided, and both have held for [QUIET_PERIOD_MICROS] without a command held back by the rate limit.
+     *
+     * Returns true if this call completed the reconciliation.
      */
     fun tryComplete(isReconciled: Boolean, nowMicros: Long): Boolean {
         if (isComplete) return false
@@ -87,10 +89,10 @@
     }
 
     private companion object {
-        /** Far below the time within which the tasks of a cancelled job have to be gone. */
+        /** Far below the time within which the tasks of a cancelled job have to end. */
         const val LOOKUP_TIMEOUT_MICROS = 3_000_000L
 
-        /** Longer than it takes until a completed reconciliation has led to starts. */
+        /** Longer than it takes the scheduler, once all tasks are reconciled, to start tasks again. */
         const val QUIET_PERIOD_MICROS = 3_000_000L
     }
 }
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -2,42 +2,42 @@
 
 import linemast.domain.JobOutcome
 
-/** What is known of a job that a worker reports and the leader does not know. */
+/** State of a job that a worker reports and that is unknown to the leader. */
 enum class UnknownJobState {
-    /** Its outcome has not been read yet. */
+    /** The lookups of its outcome have not led to a decision yet. */
     UNDECIDED,
 
-    /** Done or cancelled: what is left of it on workers may be stopped. */
+    /** The job is done or cancelled: its remaining tasks on workers may be stopped. */
     ENDED,
 
-    /** The store has no record of it, confirmed by a second read: its submission was never acknowledged. */
+    /** The store has no record of the job, confirmed by a second read: its submission was never acknowledged. */
     UNRECORDED,
 
-    /** Its outcome is open, and the rest of its record is missing: its tasks and results are kept for operators. */
+    /** The job's outcome is open, but the rest of its record is missing: its tasks and results are kept for operators. */
     INCONSISTENT,
 
-    /** Its outcome could not be read in time; it is treated as if recovery were not enabled. */
+    /** The job's outcome could not be read in time: the job is treated as if recovery were not enabled. */
     UNKNOWN,
 }
 
-/** The result of reading a job's outcome. */
+/** The result of a lookup of a job's outcome in the store. */
 sealed interface OutcomeLookup {
     /** The store holds [outcome] for the job. */
     data class Found(val outcome: JobOutcome) : OutcomeLookup
 
-    /** The store has no record. */
+    /** The store has no record of the job. */
     data object Absent : OutcomeLookup
 
-    /** The store gave no readable result. */
+    /** The store did not respond, or holds a malformed record. */
     data object Failed : OutcomeLookup
 }
 
 /**
- * Jobs that workers report and the leader does not know; does no input or output itself.
+ * Jobs that workers report and that are unknown to the leader; performs no I/O itself.
  *
- * While a job is undecided its tasks go on and its results are kept. The tasks of a cancelled job have to be gone in time,
- * so a job stays undecided for no longer than [timeoutMicros]. An absent record is confirmed by another read after
- * [confirmationMicros].
+ * While a job is undecided, its tasks keep running and its results are kept. The job may have been cancelled, and the tasks
+ * of a cancelled job have to end in time, so a job stays undecided for at most [timeoutMicros] after the first report of it.
+ * That the store has no record of a job is confirmed by another read after [confirmationMicros].
  */
 class UnknownJobs(private val confirmationMicros: Long, private val timeoutMicros: Long) {
     private class Entry(val firstReportedMicros: Long) {
@@ -45,7 +45,7 @@
         var isLookupPending = false
         var firstAbsentMicros: Long? = null
 
-        /** Earliest time of the next lookup; null if it may begin at once. */
+        /** Earliest time of the next lookup; null if the lookup may begin at once. */
         var nextLookupMicros: Long? = null
 
         fun isLookupDue(nowMicros: Long): Boolean {
@@ -57,14 +57,14 @@
 
     private val entries = LinkedHashMap<String, Entry>()
 
-    /** Jobs that are neither done nor cancelled, for operators to look into. */
+    /** Jobs that are not known to be done or cancelled, for operators to investigate. */
     val needingAttention: Map<String, UnknownJobState>
         get() = entries.mapValues { it.value.state }.filterValues { it != UnknownJobState.ENDED }
 
-    /** Whether some job is undecided. */
+    /** Whether any job is undecided. */
     val hasUndecided: Boolean get() = entries.values.any { it.state == UnknownJobState.UNDECIDED }
 
-    /** The state of [job], which a worker reports and the leader does not know. */
+    /** Records a report of [job], which is unknown to the leader, and returns the state of the job. */
     fun observe(job: String, nowMicros: Long): UnknownJobState {
         val entry = entries.getOrPut(job) { Entry(nowMicros) }
         val isTimedOut = nowMicros - entry.firstReportedMicros > timeoutMicros
@@ -73,14 +73,14 @@
         return entry.state
     }
 
-    /** Jobs whose outcome has to be read now; each is returned once until [recordLookup] was called for it. */
+    /** Returns the jobs whose outcome has to be read now; a job is not returned again before [recordLookup] is called for it. */
     fun takeDueLookups(nowMicros: Long): List<String> {
         val due = entries.filterValues { it.isLookupDue(nowMicros) }
         due.values.forEach { it.isLookupPending = true }
         return due.keys.toList()
     }
 
-    /** Takes the result of reading the outcome of [job]; a state that is decided does not change any more. */
+    /** Records the result of a lookup of the outcome of [job]; a decided state does not change any more. */
     fun recordLookup(job: String, lookup: OutcomeLookup, nowMicros: Long) {
         val entry = entries[job] ?: return
         entry.isLookupPending = false
--- a/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -3,19 +3,19 @@
 import linemast.simulation.SimOrder
 import linemast.simulation.SimWorld
 
-/** What is wrong with an action that the cloud carried out. */
+/** Faults that the audit detects in an action that the cloud carried out. */
 enum class CloudActionFault {
-    /** No intent for it had been committed before. */
+    /** No intent for the action was committed before the cloud carried out the action. */
     NO_INTENT,
 
-    /** Its intent was committed by a controller that was not the leader then. */
+    /** The intent was committed by a controller that was not the leader when the intent was committed. */
     STALE_INTENT,
 
-    /** It interrupted tasks that were started after its intent was committed. */
+    /** The action interrupted tasks that were started after its intent was committed. */
     INTERRUPTED_TASKS,
 }
 
-/** An action with a fault. */
+/** An action that the cloud carried out and that has a [fault]. */
 data class FaultyCloudAction(val order: SimOrder, val fault: CloudActionFault)
 
 /** Checks each action that the simulated cloud has carried out against the history of the simulated store. */
@@ -24,10 +24,10 @@
 
     private val decisions = decisions()
 
-    /** Actions with a fault. */
+    /** Returns the actions that have a fault. */
     fun faults(): List<FaultyCloudAction> = world.cloud.orders.mapNotNull { order -> faultOf(order)?.let { FaultyCloudAction(order, it) } }
 
-    /** Number of actions that were carried out after the term that decided them had ended, which is permitted. */
+    /** Returns the number of actions that were carried out after the term that decided them had ended, which is permitted. */
     fun lateActions(): Int = world.cloud.orders.count { order ->
         val decided = decisionsOf(order).firstOrNull { it.revision <= order.revision } ?: return@count false
         leaderAt(order.revision) != decided.intent.id.fencingToken
@@ -39,7 +39,7 @@
         if (intent.state.isTerminal) null else Decision(intent, change.revision, leaderAt(change.revision))
     }
 
-    /** Fencing token of the leader as of the store's [revision]; null if there was none. */
+    /** Returns the fencing token of the leader as of the store's [revision]; null if there was no leader. */
     private fun leaderAt(revision: Long): Long? =
         world.store.history.lastOrNull { it.key == "leader" && it.revision <= revision }?.value?.long("helm")
 
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -20,9 +20,12 @@
 import org.junit.jupiter.params.provider.MethodSource
 import java.util.stream.IntStream
 
-/** Three controllers whose leader is repeatedly suspended, partitioned or restarted, in virtual time. */
+/**
+ * Guards against cloud actions that a controller decides while it is not the leader, and against late scale-ins that interrupt
+ * tasks. Three controllers run in virtual time; their leader is repeatedly paused, partitioned or restarted.
+ */
 class DutySimulationTest {
-    /** Machines come and go within seconds, so that some cloud action is in progress at every failover. */
+    /** Scales out and in within seconds, so that a cloud action is in progress at every failover. */
     private val fastScalingPolicy = Policy(
         shortIntervalMicros = 1_000_000,
         idleScaleInMicros = 1_500_000,
@@ -64,7 +67,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `a leader that is suspended hundreds of times never acts outside its term, even when its calls arrive late`(seed: Int) {
+    fun `a leader that is paused hundreds of times never acts outside its term, even when its calls arrive late`(seed: Int) {
         val terms = HashSet<Long>()
         val world = runSimulation(seed) { world ->
             launchLoad(world)
@@ -85,7 +88,7 @@
         assertEquals(emptyList<String>(), world.store.tooLarge)
     }
 
-    /** Suspends the leader between the commit of its intent and the call, half of the time. */
+    /** Pauses the leader, for half of its cloud calls, between the commit of the intent and the call. */
     private fun pauseLeaderBeforeCalls(world: SimWorld) {
         world.cloud.onOrder =
             { node, _ -> if (world.random.nextBoolean()) world.network.freeze(node, world.random.nextLong(500_000, 6_000_000)) }
@@ -93,7 +96,7 @@
 
     private fun TestScope.launchLoad(world: SimWorld) = backgroundScope.launch { submitContinuously(world) }
 
-    /** By their own clocks, the leases of two controllers last far longer, or shorter, than in the store. */
+    /** By the clocks of two controllers, a leader lease lasts far longer, or far shorter, than in the store. */
     @Test
     fun `leaders whose clocks run at half or double speed never act outside their terms`() {
         val speeds = listOf(0.5, 1.0, 2.0)
@@ -131,9 +134,9 @@
         assertOnlyLeadersActed(world, minActions = 8)
     }
 
-    /** While it is partitioned, the previous leader reaches the cloud, and two controllers believe that they lead. */
+    /** The partitioned previous leader still reaches the cloud, so that two controllers act as leader at the same time. */
     @Test
-    fun `after a partition in which two controllers believe that they lead every action is closed`() {
+    fun `after partitions in which two controllers act as leader every intent is closed`() {
         val world = runSimulation(seed = 4) { world ->
             launchLoad(world)
             world.cloud.lateOrders = 0.2
@@ -152,15 +155,15 @@
             val overdueBeforeMicros = world.clock.nowMicros() - 30_000_000
             val stillOpen = world.store.keysUnder(IntentCodec.PREFIX).map { IntentCodec.decode(world.store.valueOf(it)!!) }
                 .filter { !it.state.isTerminal && it.decidedWallMicros < overdueBeforeMicros }
-            assertEquals(emptyList<Intent>(), stillOpen, "every action is closed")
+            assertEquals(emptyList<Intent>(), stillOpen, "every intent older than 30 s is closed")
         }
         assertOnlyLeadersActed(world, minActions = 8)
         assertEquals(emptyList<Violation>(), world.violations)
     }
 
     /**
-     * The scale-in of a machine is decided while it is idle, and the call arrives late. Meanwhile the leader restarts, and the
-     * next one has tasks that need the machine.
+     * The leader decides the scale-in of an idle machine, and the call arrives late at the cloud. Meanwhile the leader
+     * restarts, and the next leader has tasks that need the machine.
      */
     private fun runLateScaleIn(enabled: Boolean): SimWorld = runSimulation(seed = 5, enabled = enabled) { world ->
         var number = 0
@@ -193,7 +196,7 @@
         assertTrue(CloudActionHistoryAudit(world).lateActions() > 0)
     }
 
-    /** The same scenario without the intent log: the fault that it prevents does occur, so that the test above can fail. */
+    /** The scenario of the test above without the intent log; shows that the scenario does produce the fault. */
     @Test
     fun `without the intent log a late scale-in interrupts running tasks`() {
         val world = runLateScaleIn(enabled = false)
@@ -203,7 +206,7 @@
     }
 
     companion object {
-        /** Other seeds can be given by hand: -Dlinemast.dutySeeds=100-130. */
+        /** Returns the seeds; a system property sets other seeds: -Dlinemast.dutySeeds=100-130. */
         @JvmStatic
         fun seeds(): IntStream {
             val (first, last) = System.getProperty("linemast.dutySeeds", "1-2").split('-').map { it.toInt() }
--- a/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
@@ -30,10 +30,10 @@
     return if (random.nextBoolean()) open else open.closed(IntentState.entries.drop(1).random(random), random.nextInt(101), token)
 }
 
-/** The stored form of intents and the settings file. */
+/** Guards against stored intents and settings files that are decoded wrongly, or accepted although they are malformed. */
 class IntentFormatsTest {
     @Test
-    fun `an encoded intent decodes to an equal one`() {
+    fun `an encoded intent decodes to an equal intent`() {
         val random = Random(27)
         repeat(500) {
             val intent = generatedIntent(random)
@@ -42,7 +42,7 @@
     }
 
     @Test
-    fun `a stored intent without a field, or with one of another type, is rejected`() {
+    fun `a stored intent with a missing field or a field of another type is rejected`() {
         val random = Random(28)
         repeat(200) {
             val stored = IntentCodec.encode(generatedIntent(random))
@@ -68,7 +68,7 @@
     }
 
     @Test
-    fun `invalid settings are rejected, and the shipped file is valid`() {
+    fun `invalid settings are rejected, and the file in the deploy directory is valid`() {
         val shipped = DutySettings.read(Path.of("deploy/duties.toml"))
         assertEquals(listOf(128, 30_000_000L, emptySet<Duty>()), listOf(shipped.slots, shipped.scaleOutRetryMicros, shipped.suspended))
         assertEquals(setOf(Duty.SCALE_OUT, Duty.CLEAN_UP), read("suspended = [\"rent\", \"clean-up\"]").suspended)
--- a/src/test/kotlin/linemast/duties/IntentLogTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentLogTest.kt
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The slots of the log, and scale-ins pending from previous terms, under generated histories. */
+/**
+ * Guards against open intents that are overwritten, and against scale-ins of previous terms that are started twice or while
+ * tasks are on their machines. Uses generated histories.
+ */
 class IntentLogTest {
     @Test
     fun `open intents are never overwritten, and the oldest closed one is overwritten first`() {
@@ -36,7 +39,7 @@
     }
 
     @Test
-    fun `a change leaves the earlier log as it was`() {
+    fun `a change returns a new log and does not modify the original`() {
         val first = IntentLog.empty(slotCount = 4)
         val second = first.put(StoredIntent(0, generatedIntent(Random(1)), 5))
         assertNull(first[0])
@@ -44,7 +47,7 @@
     }
 
     @Test
-    fun `pending scale-ins start as machines become free, and an intent completes with its last machine`() {
+    fun `pending scale-ins start once their machines are free, and an intent completes with its last confirmed machine`() {
         val random = Random(30)
         repeat(100) { round ->
             val intents = List(3) { at ->
--- a/src/test/kotlin/linemast/duties/IntentWriterTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentWriterTest.kt
@@ -25,7 +25,10 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** Intents written to a store that loses answers, executes transactions late and twice, and changes its leader. */
+/**
+ * Guards against intents that are lost, stored twice, or written by a previous leader. The simulated store loses responses and
+ * executes transactions late and twice, and the leader changes.
+ */
 class IntentWriterTest {
     private fun TestScope.clock() = Clock { testScheduler.currentTime * 1_000 + 1 }
 
@@ -40,7 +43,7 @@
 
     private data class RunningWriter(val writer: IntentWriter, val leaderLease: LeaderLease)
 
-    /** The running writer of a leader with fencing token 1. */
+    /** Returns a running writer of a leader with fencing token 1. */
     private suspend fun TestScope.runningWriter(store: SimStore, slots: Int = 32): RunningWriter {
         val leaderLease = becomeLeader(store.clientOf("mast-1"), 1)
         val writer = writer(store.clientOf("mast-1"), leaderLease, slots)
@@ -55,7 +58,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `each intent is stored exactly once when answers get lost and transactions are repeated`(seed: Int) = runTest {
+    fun `each intent is stored exactly once when responses are lost and transactions are repeated`(seed: Int) = runTest {
         val store = SimStore(backgroundScope, clock(), Random(seed))
         val writer = runningWriter(store).writer
         store.lostAnswers = 0.3
@@ -72,7 +75,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [11, 12, 13, 14])
-    fun `a replaced leader writes nothing more, however late its transactions are executed`(seed: Int) = runTest {
+    fun `a previous leader writes nothing after the failover, however late its transactions are executed`(seed: Int) = runTest {
         val store = SimStore(backgroundScope, clock(), Random(seed))
         val (writer, leaderLease) = runningWriter(store)
         store.lostAnswers = 0.7
@@ -88,7 +91,7 @@
         val lateOpen = runCatching { writer.open(scaleInOf(99)) }
         delay(120_000)
         assertEquals(atFailover, stored(store).toSet(), "nothing was written after the failover")
-        assertEquals(atFailover, successor.log.openIntents.map { it.intent }.toSet(), "the successor has read everything that was written")
+        assertEquals(atFailover, successor.log.openIntents.map { it.intent }.toSet(), "the next leader has read all that was written")
         assertTrue(outcomes.all { it.isSuccess || it.exceptionOrNull() is LeadershipLostException })
         assertTrue(outcomes.filter { it.isSuccess }.all { it.getOrThrow().intent in atFailover })
         assertTrue(lateOpen.exceptionOrNull() is LeadershipLostException, "$lateOpen")
@@ -96,7 +99,7 @@
     }
 
     @Test
-    fun `with all slots open no intent is opened until one is closed`() = runTest {
+    fun `when all slots hold open intents a new intent is rejected until one is closed`() = runTest {
         val store = SimStore(backgroundScope, clock(), Random(1))
         val writer = runningWriter(store, slots = 3).writer
         val opened = List(3) { writer.open(scaleInOf(it)) }
--- a/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
+++ b/src/test/kotlin/linemast/leadership/CancellationFreshnessTest.kt
@@ -11,35 +11,39 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
+/**
+ * Guards against tasks of a cancelled job that run longer than a cancellation may take, because a leader that has not read the
+ * cancellation yet still renews their leases.
+ */
 class CancellationFreshnessTest {
-    /** Reads that succeed, lag or fail; a cancellation at any time; the latest answer that misses it. */
+    /** Reads succeed, lag or fail, and the cancellation comes at any time; checks the latest response that may miss it. */
     @ParameterizedTest
     @ValueSource(ints = [23])
-    fun `a lease renewed by an answer that misses a cancellation ends within its time`(seed: Int) {
+    fun `a lease renewed by a response that misses a cancellation expires within the time that the cancellation may take`(seed: Int) {
         val random = Random(seed)
         for ((leaseS, cancelS) in listOf(11 to 36, 16 to 41, 13 to 38, 5 to 60, 10 to 12)) {
             val lease = leaseS * 1_000_000L
             val cancel = cancelS * 1_000_000L
             repeat(200) {
                 val cancellationFreshness = CancellationFreshness(CancellationFreshness.maxRenewalStalenessMicros(lease, cancel))
-                assertEquals(Long.MIN_VALUE, cancellationFreshness.renewalsAllowedUntilMicros, "nothing is renewed before the first read")
+                assertEquals(Long.MIN_VALUE, cancellationFreshness.renewalsAllowedUntilMicros, "no renewals before the first read")
                 var now = 1_000_000L
                 val cancelled = now + random.nextLong(60_000_000)
                 while (now < cancelled + cancel) {
                     val sent = now
                     now += random.nextLong(3_000_000)
-                    // A read sent before the cancellation was confirmed may miss it; a later one never does.
+                    // A read sent before the cancellation was confirmed may miss it; a read sent afterwards never does.
                     if (sent < cancelled && random.nextInt(3) != 0) cancellationFreshness.recordRefresh(sent)
                 }
                 val slowestLease = lease + LeaderLease.driftMicros(lease)
                 assertTrue(cancellationFreshness.renewalsAllowedUntilMicros + slowestLease + 400_000 < cancelled + cancel)
             }
-            assertTrue(CancellationFreshness.maxRenewalStalenessMicros(lease, cancel) > 1_000_000, "leases can be renewed at all")
+            assertTrue(CancellationFreshness.maxRenewalStalenessMicros(lease, cancel) > 1_000_000, "the settings permit renewals")
         }
     }
 
     @Test
-    fun `an answer is judged by the freshness that it was made with`() {
+    fun `whether a response may be sent depends on the freshness at which it was created`() {
         val cancellationFreshness = CancellationFreshness(20_000_000)
         val leaderLease = LeaderLease(3, 1, 4_000_000, 16_000_000, 0)
         cancellationFreshness.recordRefresh(0)
@@ -48,9 +52,9 @@
         cancellationFreshness.recordRefresh(30_000_000)
         repeat(10) { leaderLease.recordRenewal(it * 3_000_000L) }
         assertTrue(empty.isValid(19_000_000))
-        assertFalse(empty.isValid(20_000_000), "it lacks what was learned while it waited")
+        assertFalse(empty.isValid(20_000_000), "a response does not contain what the leader read after creating it")
         assertTrue(start.isValid(3_500_000))
-        assertFalse(start.isValid(4_000_000), "its job may have been cancelled since")
+        assertFalse(start.isValid(4_000_000), "the job of the started task may have been cancelled since")
         leaderLease.end()
         assertFalse(empty.isValid(1))
     }
--- a/src/test/kotlin/linemast/leadership/LeaderLeaseTest.kt
+++ b/src/test/kotlin/linemast/leadership/LeaderLeaseTest.kt
@@ -8,16 +8,17 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
+/** Guards against two controllers that act as leader at the same time, and against a degraded mode that lasts too long. */
 class LeaderLeaseTest {
     private val leaderLeaseMicros = 4_000_000L
     private val lease = 11_000_000L
     private val cancel = 36_000_000L
     private val degradedModeMicros = LeaderLease.degradedModeMicros(lease, cancel)
 
-    /** Renewals at generated times with generated delays, on a clock that runs 0.05% slow against the store's. */
+    /** Renewals at generated times with generated delays, on a clock that is up to 0.05% slower than the store's. */
     @ParameterizedTest
     @ValueSource(ints = [17])
-    fun `a leader lease always ends before the store lets another controller in`(seed: Int) {
+    fun `a leader lease always expires before the store lets another controller become the leader`(seed: Int) {
         val random = Random(seed)
         repeat(300) {
             val slow = 1.0 - 0.0005 * random.nextDouble()
@@ -42,7 +43,7 @@
     }
 
     @Test
-    fun `degraded mode and a lease end with a margin before a cancellation is due`() {
+    fun `degraded mode plus a worker's lease ends with a margin before the tasks of a cancelled job have to end`() {
         for ((leaseS, cancelS) in listOf(11 to 36, 16 to 41, 5 to 60, 10 to 12)) {
             val degradedModeMicros = LeaderLease.degradedModeMicros(leaseS * 1_000_000L, cancelS * 1_000_000L)
             assertTrue(degradedModeMicros >= 0)
@@ -51,7 +52,7 @@
     }
 
     @Test
-    fun `a higher fencing token ends commands and degraded mode at once`() {
+    fun `a higher fencing token ends the permission to issue commands and degraded mode at once`() {
         val leaderLease = LeaderLease(3, 1, leaderLeaseMicros, degradedModeMicros, 0)
         val view = LeaderView()
         view.ownLease = leaderLease
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -12,15 +12,20 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** All controllers stop at once while three hundred workers run tasks, in virtual time. */
+/**
+ * Guards against new leaders that stop or restart tasks which are running as recorded, after all controllers stopped at once
+ * while three hundred workers run tasks. Simulated in virtual time.
+ */
 class RecoverySimulationTest {
     private class Command(val second: Long, val verb: String, val task: String)
 
     private class Outcome(
         val world: SimWorld,
         val commands: List<Command>,
-        /** Tasks and results that were lost with their machines or with the lease of a worker. */
+        /** Tasks and results that were lost with their machines or because the lease of a worker expired. */
         val lost: Set<String>,
+
+        /** Tasks on workers whose jobs have no record in the store. */
         val unrecordedTasks: Set<String>,
         val jobWithoutOpenRecord: SimJob?,
         val completedBefore: Int,
@@ -50,7 +55,7 @@
             repeat(10) { world.users.submit(gang(it + 100), null) }
             delay(28_000)
             val expected = 4 * TASKS + 10 * 2
-            assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all tasks run or have ended")
+            assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all tasks run or are completed")
             repeat(3) { world.killNode(it) }
             val withoutGangs = world.workers.values.filter { machine -> machine.tasks.values.none { world.jobs.getValue(it.job).gang } }
             val failing = withoutGangs.filter { it.tasks.isNotEmpty() }.take(12)
@@ -89,16 +94,16 @@
         }.map { it.id }
         assertEquals(emptyList<String>(), open)
         val results = outcome.tasks("clear").groupingBy { it }.eachCount().filterValues { it > 1 }.keys - outcome.lost
-        assertEquals(emptySet<String>(), results, "each result is taken once")
+        assertEquals(emptySet<String>(), results, "each result is acknowledged once")
     }
 
     @Test
-    fun `after an outage shorter than a lease only the differences lead to commands`() {
+    fun `after an outage shorter than a lease commands are sent only for tasks that differ from the stored state`() {
         val outcome = runOutage(seed = 71, enabled = true, outageMillis = 3_000, losesRecord = false)
         printOutcome(outcome)
         checkAllEnded(outcome)
-        assertEquals(outcome.unrecordedTasks - outcome.lost, outcome.tasks("halt").toSet(), "nothing else is stopped")
-        assertEquals(outcome.lost - outcome.unrecordedTasks, outcome.tasks("start").toSet(), "nothing else is started again")
+        assertEquals(outcome.unrecordedTasks - outcome.lost, outcome.tasks("halt").toSet(), "only tasks of unrecorded jobs are stopped")
+        assertEquals(outcome.lost - outcome.unrecordedTasks, outcome.tasks("start").toSet(), "only lost tasks are started again")
         assertTrue(outcome.unrecordedTasks.any { it !in outcome.lost })
         assertTrue(outcome.tasks("start").size <= outcome.lost.size * 11 / 10, "${outcome.tasks("start").size} starts")
         assertTrue(outcome.tasks("halt").size <= outcome.unrecordedTasks.size * 3, "${outcome.tasks("halt").size} stops")
@@ -126,7 +131,7 @@
     }
 
     @Test
-    fun `tasks of a job whose record is incomplete go on and their results are kept`() {
+    fun `tasks of a job whose record is incomplete keep running and their results are kept`() {
         val outcome = runOutage(seed = 73, enabled = true, outageMillis = 3_000, losesRecord = true)
         printOutcome(outcome)
         checkAllEnded(outcome)
@@ -137,7 +142,7 @@
         assertEquals("inconsistent", listed[incompleteJob])
     }
 
-    /** The same scenario without recovery: the fault occurs, so that the test above can fail. */
+    /** The scenario of the test above without recovery; shows that the scenario does produce the fault. */
     @Test
     fun `without recovery tasks of a job whose record is incomplete are stopped and their results discarded`() {
         val outcome = runOutage(seed = 73, enabled = false, outageMillis = 3_000, losesRecord = true)
--- a/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
+++ b/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
@@ -14,10 +14,14 @@
 import java.nio.file.Path
 import kotlin.random.Random
 
-/** Jobs that the leader does not know, under generated results of the store; rate limit and counts of the reconciliation. */
+/**
+ * Guards against tasks that are stopped, or results that are discarded, before the store has confirmed that their job has
+ * ended or has no record, or the lookups have timed out. Uses generated lookup results; also checks the rate limit and the
+ * counts of the reconciliation.
+ */
 class UnknownJobsTest {
     @Test
-    fun `an unknown job is discarded only once it has ended, was absent twice, or was undecided for too long`() {
+    fun `the tasks of an unknown job are discarded only if it has ended, was absent in two lookups, or was undecided for too long`() {
         val random = Random(61)
         repeat(500) { round ->
             val jobs = UnknownJobs(confirmationMicros = 1_000_000, timeoutMicros = 3_000_000)
@@ -39,7 +43,7 @@
                     UnknownJobState.UNKNOWN -> assertTrue(now > 3_000_000)
                 }
                 for (job in jobs.takeDueLookups(now)) {
-                    assertTrue(jobs.takeDueLookups(now).isEmpty(), "one lookup of a job at a time")
+                    assertTrue(jobs.takeDueLookups(now).isEmpty(), "a job has one lookup at a time")
                     now += random.nextLong(200_000)
                     val lookup = if (random.nextInt(3) == 0) OutcomeLookup.Failed else truth
                     if (lookup == OutcomeLookup.Absent) absences += now
@@ -53,7 +57,7 @@
     }
 
     @Test
-    fun `a decided state does not change with later lookups`() {
+    fun `a later lookup does not change a decided state`() {
         val jobs = UnknownJobs(1, 10)
         jobs.observe("req-1", 0)
         jobs.recordLookup("req-1", OutcomeLookup.Found(JobOutcome.OPEN), 1)
@@ -66,7 +70,7 @@
     fun `commands are rate limited until the reconciliation is complete, and each unknown task is counted once`() {
         val reconciliation = StateReconciliation(RecoverySettings(ordersPerSecond = 10.0))
         val sent = (0L until 5_000_000L step 10_000).count { reconciliation.maySendCommand(it) }
-        assertTrue(sent in 50..61, "$sent in 5 s")
+        assertTrue(sent in 50..61, "$sent commands permitted in 5 s")
         repeat(3) { reconciliation.countUnknown(TaskAttempt(TaskId("req-1", 0), 1)) }
         assertEquals(1, reconciliation.statistics.countOf(ReconciliationStatistics.Difference.UNKNOWN))
         assertFalse(reconciliation.mayDiscard("req-1", 0))
@@ -75,15 +79,15 @@
         reconciliation.unknownJobs.recordLookup("req-1", OutcomeLookup.Found(JobOutcome.CANCELLED), 1)
         assertTrue(reconciliation.mayDiscard("req-1", 1))
         assertFalse(reconciliation.tryComplete(isReconciled = false, 6_000_000))
-        assertFalse(reconciliation.tryComplete(isReconciled = true, 6_000_000), "the tasks that have to be started again are still to come")
+        assertFalse(reconciliation.tryComplete(isReconciled = true, 6_000_000), "lost tasks had no time to start again")
         assertFalse((1..100).all { reconciliation.maySendCommand(8_000_000) })
-        assertFalse(reconciliation.tryComplete(isReconciled = true, 10_000_000), "commands were held back 2 s ago")
+        assertFalse(reconciliation.tryComplete(isReconciled = true, 10_000_000), "the rate limit held a command back 2 s ago")
         assertTrue(reconciliation.tryComplete(isReconciled = true, 11_000_000))
         assertEquals(100, (1..100).count { reconciliation.maySendCommand(11_000_000) })
     }
 
     @Test
-    fun `settings out of range are rejected, and the file in deploy holds the defaults`() {
+    fun `settings out of range are rejected, and the file in the deploy directory holds the defaults`() {
         val shipped = RecoverySettings.read(Path.of("deploy/recovery.toml"))
         assertEquals(
             RecoverySettings().ordersPerSecond to RecoverySettings().confirmMicros,
