--- a/src/main/kotlin/linemast/recovery/ReconciliationReport.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationReport.kt
@@ -17,7 +17,7 @@
     const val KEY = "recovery"
 
     /** With this many jobs the report still fits the smallest size limit of a stored value. */
-    private const val MAX_JOBS = 15
+    private const val MAX_REPORTED_JOBS = 15
 
     private val stateNames = mapOf(
         UnknownJobState.UNDECIDED to "undecided",
@@ -38,12 +38,12 @@
         ReconciliationStatistics.Command.ACKNOWLEDGE to "acknowledge",
     )
 
-    /** Encodes [report] with at most the first [MAX_JOBS] of its jobs. */
+    /** Encodes [report] with at most the first [MAX_REPORTED_JOBS] of its jobs. */
     fun encode(report: ReconciliationReport): Map<String, Any?> = mapOf(
         "at_us" to report.wallMicros,
         "helm" to report.fencingToken,
         "summary" to summary(report.statistics),
-        "jobs" to report.jobs.entries.take(MAX_JOBS).map { (id, state) -> encodeJob(id, state) },
+        "jobs" to report.jobs.entries.take(MAX_REPORTED_JOBS).map { (id, state) -> encodeJob(id, state) },
     )
 
     private fun encodeJob(id: String, state: UnknownJobState): Map<String, Any?> =
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -69,7 +69,7 @@
         val entry = entries.getOrPut(job) { Entry(nowMicros) }
         val isTimedOut = nowMicros - entry.firstReportedMicros > timeoutMicros
         if (entry.state == UnknownJobState.UNDECIDED && isTimedOut) entry.state = UnknownJobState.UNKNOWN
-        while (entries.size > MAX_JOBS) entries.remove(entries.keys.first())
+        while (entries.size > MAX_TRACKED_JOBS) entries.remove(entries.keys.first())
         return entry.state
     }
 
@@ -108,6 +108,6 @@
 
     private companion object {
         const val LOOKUP_RETRY_INTERVAL_MICROS = 500_000L
-        const val MAX_JOBS = 5_000
+        const val MAX_TRACKED_JOBS = 5_000
     }
 }
--- a/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -52,9 +52,9 @@
 
     private fun faultOf(order: SimOrder): CloudActionFault? {
         val earlier = decisionsOf(order).filter { it.revision <= order.revision }
-        val covered = earlier.flatMap { (it.intent.action as? CloudAction.ScaleIn)?.names ?: emptyList() }
+        val machinesInDecidedScaleIns = earlier.flatMap { (it.intent.action as? CloudAction.ScaleIn)?.names ?: emptyList() }
         return when {
-            earlier.isEmpty() || !covered.containsAll(order.returned) -> CloudActionFault.NO_INTENT
+            earlier.isEmpty() || !machinesInDecidedScaleIns.containsAll(order.returned) -> CloudActionFault.NO_INTENT
             earlier.any { it.intent.id.fencingToken != it.leaderToken } -> CloudActionFault.STALE_INTENT
             order.interrupted.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_TASKS
             else -> null
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -28,17 +28,17 @@
         /** Tasks on workers whose jobs have no record in the store. */
         val unrecordedTasks: Set<String>,
         val jobWithoutOpenRecord: SimJob?,
-        val completedBefore: Int,
+        val completedBeforeOutage: Int,
     ) {
         fun tasks(verb: String) = commands.filter { it.verb == verb }.map { it.task.substringBefore('#') }
     }
 
-    private fun array(number: Int, runMicros: Long) = SimJob(
+    private fun arrayJob(number: Int, runMicros: Long) = SimJob(
         "req-%06d".format(number), if (number % 2 == 0) "north" else "south", TASKS, 1.0, false, false, false, true, runMicros,
         staggerMicros = 60_000,
     )
 
-    private fun gang(number: Int) = SimJob("req-%06d".format(number), "south", 2, 4.0, true, true, false, false, 60_000_000)
+    private fun gangJob(number: Int) = SimJob("req-%06d".format(number), "south", 2, 4.0, true, true, false, false, 60_000_000)
 
     private fun liveTasks(machines: Collection<SimWorker>) =
         machines.flatMap { it.tasks.values }.filter { it.status != "ended" }.map { "${it.job}/${it.index}" }.toSet()
@@ -48,11 +48,11 @@
         var lost = emptySet<String>()
         var unrecordedTasks = emptySet<String>()
         var jobWithoutOpenRecord: SimJob? = null
-        var completedBefore = 0
+        var completedBeforeOutage = 0
         val features = Features(recovery = RecoverySettings(ordersPerSecond).takeIf { enabled })
         val world = simulate(seed, size = 50, baselineMachines = 300, features = features) { world ->
-            repeat(4) { world.users.submit(array(it + 1, runMicros = 35_000_000), null) }
-            repeat(10) { world.users.submit(gang(it + 100), null) }
+            repeat(4) { world.users.submit(arrayJob(it + 1, runMicros = 35_000_000), null) }
+            repeat(10) { world.users.submit(gangJob(it + 100), null) }
             delay(28_000)
             val expected = 4 * TASKS + 10 * 2
             assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all tasks run or are completed")
@@ -74,12 +74,12 @@
             world.onLeaseEnd = { tasks -> lost = lost + tasks }
             world.onCommand =
                 { _, verb, task -> commands += Command((world.clock.nowMicros() - outageBeganMicros) / 1_000_000, verb, task) }
-            completedBefore = world.completed.size
+            completedBeforeOutage = world.completed.size
             delay(outageMillis)
             repeat(3) { world.startNode(it) }
             delay(100_000)
         }
-        return Outcome(world, commands, lost, unrecordedTasks, jobWithoutOpenRecord, completedBefore)
+        return Outcome(world, commands, lost, unrecordedTasks, jobWithoutOpenRecord, completedBeforeOutage)
     }
 
     private fun printOutcome(outcome: Outcome) = println(
@@ -117,7 +117,7 @@
         val outcome = runOutage(seed = 72, enabled = true, outageMillis = 12_000, losesRecord = false, ordersPerSecond = 25.0)
         printOutcome(outcome)
         checkAllEnded(outcome)
-        val unfinished = 4 * TASKS + 10 * 2 - outcome.completedBefore
+        val unfinished = 4 * TASKS + 10 * 2 - outcome.completedBeforeOutage
         assertEquals(unfinished, outcome.tasks("start").toSet().size)
         assertTrue(outcome.tasks("start").size <= unfinished * 11 / 10)
         val arrays = outcome.commands.filter {
