--- a/src/main/kotlin/linemast/leadership/Election.kt
+++ b/src/main/kotlin/linemast/leadership/Election.kt
@@ -71,7 +71,7 @@
                 }
                 leaderLease.recordRenewal(sentMicros)
             } catch (e: StoreException) {
-                log.debug("leader lease renewal: {}", e.message)
+                log.debug("failed leader lease renewal: {}", e.message)
             }
         }
     }
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -196,7 +196,7 @@
         assertTrue(CloudActionHistoryAudit(world).lateActions() > 0)
     }
 
-    /** The scenario of the test above without the intent log; shows that the scenario does produce the fault. */
+    /** The scenario of the test above without the intent log: the fault does occur, so that the test above can fail. */
     @Test
     fun `without the intent log a late scale-in interrupts running tasks`() {
         val world = runLateScaleIn(enabled = false)
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -142,7 +142,7 @@
         assertEquals("inconsistent", listed[incompleteJob])
     }
 
-    /** The scenario of the test above without recovery; shows that the scenario does produce the fault. */
+    /** The scenario of the test above without recovery: the fault does occur, so that the test above can fail. */
     @Test
     fun `without recovery tasks of a job whose record is incomplete are stopped and their results discarded`() {
         val outcome = runOutage(seed = 73, enabled = false, outageMillis = 3_000, losesRecord = true)
