--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -7,6 +7,7 @@
 import linemast.domain.MachineType
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
+import linemast.simulation.CONTROLLERS
 import linemast.simulation.SimWorld
 import linemast.time.SteadyClock
 import linemast.transport.Address
@@ -31,6 +32,8 @@
     val requestsPerSecond: Double = 3_000.0,
     val changesPerSecond: Double = 1_000.0,
     val objectives: String = "",
+    /** The program that each controller runs. */
+    val programs: List<Path> = List(CONTROLLERS) { Path.of("target", "linemast.jar") },
 )
 
 /** Three controllers as processes of their own, with stand-ins of everything else in this one, on loopback and in real time. */
@@ -38,8 +41,8 @@
     private class Ports(val serve: Address, val peers: Address, val store: Address, val cloud: Address)
 
     private val directory: Path = Files.createTempDirectory("loopback")
-    private val ports = List(NODES) { Ports(freeAddress(), freeAddress(), freeAddress(), freeAddress()) }
-    private val processes = arrayOfNulls<Process>(NODES)
+    private val ports = List(CONTROLLERS) { Ports(freeAddress(), freeAddress(), freeAddress(), freeAddress()) }
+    private val processes = arrayOfNulls<Process>(CONTROLLERS)
     lateinit var world: SimWorld
         private set
 
@@ -59,7 +62,7 @@
                     maxMachines = options.maxMachines,
                 )
                 connect(loop)
-                repeat(NODES) { start(it) }
+                repeat(CONTROLLERS) { start(it) }
                 world.begin()
                 script(this@LoopbackCluster)
                 coroutineContext.cancelChildren()
@@ -95,7 +98,7 @@
         Files.writeString(config, settingsText("mast-$at"))
         val policy = directory.resolve("policy.lua")
         Files.writeString(policy, options.policy)
-        val command = listOf("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-jar", "target/linemast.jar") +
+        val command = listOf("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-jar", options.programs[at].toString()) +
             options.arguments + listOf("--policy", policy.toString(), "--config", config.toString())
         processes[at] = ProcessBuilder(command).redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(Path.of("target", "loopback-${options.seed}-$at.log").toFile())).start()
@@ -173,7 +176,6 @@
     private fun freeAddress(): Address = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { Address("127.0.0.1", it.localPort) }
 
     private companion object {
-        const val NODES = 3
         const val LEASE_MICROS = 8_000_000L
         const val MAX_CONNECTIONS = 1_000
         const val CALL_MICROS = 5_000_000L
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
@@ -15,48 +15,48 @@
 import okio.ByteString.Companion.toByteString
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.Arguments
 import org.junit.jupiter.params.provider.MethodSource
 import java.util.BitSet
 
-/** Records that the version of commit 21f1c36 stored are read, and written again to the byte. */
+/** Records that previous versions, named by their commits, stored are read, and written again to the byte. */
 class PreviousVersionRecordsTest {
-    private val records = StoredRecord.load("records-21f1c36.txt")
+    private fun ofKind(version: String, kind: String): List<StoredRecord> = StoredRecord.recordsOf(version).filter { it.kind == kind }
 
-    private fun ofKind(kind: String): List<StoredRecord> = records.filter { it.kind == kind }
-
-    @Test
-    fun `the records hold every kind that is stored`() {
+    @ParameterizedTest
+    @MethodSource("versions")
+    fun `the records hold every kind that is stored`(version: String) {
         val kinds = setOf(
             "leader", "helm", "types", "j/", "o/", "w/", "d/", "fleet/", "standing/", "plan", "duty/", "admission/plan",
             "admission/demand/", "recovery",
         )
-        assertEquals(kinds, records.map { it.kind }.toSet())
+        assertEquals(kinds, StoredRecord.recordsOf(version).map { it.kind }.toSet())
     }
 
-    @Test
-    fun `the records hold every job outcome, job state and duty`() {
-        val outcomes = ofKind("j/").map { OutcomeRecordCodec.decode(it.fields).outcome }.toSet()
+    @ParameterizedTest
+    @MethodSource("versions")
+    fun `the records hold every job outcome, job state and duty`(version: String) {
+        val outcomes = ofKind(version, "j/").map { OutcomeRecordCodec.decode(it.fields).outcome }.toSet()
         assertEquals(JobOutcome.entries.toSet(), outcomes)
-        val states = ofKind("o/").map { JobRecordCodec.decode(it.fields) }.map { it.activated to it.cancelled }.toSet()
+        val states = ofKind(version, "o/").map { JobRecordCodec.decode(it.fields) }.map { it.activated to it.cancelled }.toSet()
         assertEquals(setOf(false to false, true to false, false to true, true to true), states)
-        assertEquals(Duty.entries.toSet(), ofKind("duty/").map { IntentCodec.decode(it.fields).action.duty }.toSet())
-        assertTrue(ofKind("w/").all { JobRecordCodec.decode(it.fields).spec.dependencies.isNotEmpty() })
+        assertEquals(Duty.entries.toSet(), ofKind(version, "duty/").map { IntentCodec.decode(it.fields).action.duty }.toSet())
+        assertTrue(ofKind(version, "w/").all { JobRecordCodec.decode(it.fields).spec.dependencies.isNotEmpty() })
     }
 
     @ParameterizedTest
     @MethodSource("rewrittenRecords")
-    fun `a record that is read and written again has the same bytes`(record: StoredRecord) {
-        assertEquals(record.bytes, Cbor.encode(rewritten(record)).toByteString())
+    fun `a record that is read and written again has the same bytes`(version: String, record: StoredRecord) {
+        assertEquals(record.bytes, Cbor.encode(rewritten(version, record)).toByteString())
     }
 
-    private fun rewritten(record: StoredRecord): Map<String, Any?> = when (record.kind) {
+    private fun rewritten(version: String, record: StoredRecord): Map<String, Any?> = when (record.kind) {
         "types" -> MachineTypeCodec.encode(MachineTypeCodec.decode(record.fields))
         "j/" -> OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(record.fields))
         "o/", "w/" -> JobRecordCodec.encode(JobRecordCodec.decode(record.fields))
         "d/" -> rewrittenPart(record.fields, record.key.substringAfterLast('/').toInt())
-        "fleet/" -> rewrittenChunk(record)
+        "fleet/" -> rewrittenChunk(version, record)
         "duty/" -> IntentCodec.encode(IntentCodec.decode(record.fields))
         "admission/plan" -> AdmissionCodec.encode(AdmissionCodec.decodePlan(record.fields))
         "admission/demand/" -> AdmissionCodec.encode(AdmissionCodec.decodeDemand(record.fields))
@@ -70,8 +70,8 @@
         return CompletedTasksCodec.encode(done, part)
     }
 
-    private fun rewrittenChunk(record: StoredRecord): Map<String, Any?> {
-        val types = MachineTypeCodec.decode(ofKind("types").first().fields).associateBy { it.name }
+    private fun rewrittenChunk(version: String, record: StoredRecord): Map<String, Any?> {
+        val types = MachineTypeCodec.decode(ofKind(version, "types").first().fields).associateBy { it.name }
         val registry = MachineRegistry(VALUE_BYTES)
         val machines = registry.read(listOf(Entry(record.key, record.fields, 7)), types)
         assertEquals(record.fields.children("rigs").map { it.text("rig") }, machines.map { it.name })
@@ -86,6 +86,11 @@
         private val writtenByLeader = setOf("leader", "helm", "standing/", "plan", "recovery")
 
         @JvmStatic
-        fun rewrittenRecords(): List<StoredRecord> = StoredRecord.load("records-21f1c36.txt").filter { it.kind !in writtenByLeader }
+        fun versions(): List<String> = StoredRecord.VERSIONS
+
+        @JvmStatic
+        fun rewrittenRecords(): List<Arguments> = StoredRecord.VERSIONS.flatMap { version ->
+            StoredRecord.recordsOf(version).filter { it.kind !in writtenByLeader }.map { Arguments.of(version, it) }
+        }
     }
 }
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
@@ -12,13 +12,11 @@
 import linemast.simulation.simulate
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
-import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.MethodSource
 
-/** Controllers of this version take over a store that the version of commit 21f1c36 has left in the middle of its work. */
+/** Controllers of this version take over a store that a previous version, named by its commit, has left in the middle of its work. */
 class PreviousVersionTakeoverTest {
-    private val snapshot = StoredRecord.load("snapshot-21f1c36.txt")
-    private val records = StoredRecord.load("records-21f1c36.txt")
-
     private val allFeatures = Features(DutySettings(), AdmissionSettings(), RecoverySettings())
     private val array = SimJob("req-000001", "north", 12, 1.0, false, false, false, true, 5_000_000, staggerMicros = 3_000_000)
     private val gang = SimJob("req-000002", "south", 2, 4.0, true, true, false, true, 90_000_000)
@@ -28,7 +26,7 @@
     private val done = SimJob("req-000005", "south", 3, 1.0, false, false, false, true, 1_000_000)
 
     /** All controllers of the previous version have ended; those of this one start on what it has stored. */
-    private fun takeOver(kept: List<StoredRecord> = snapshot): SimWorld = simulate(seed = 502, features = allFeatures) { world ->
+    private fun takeOver(kept: List<StoredRecord>): SimWorld = simulate(seed = 502, features = allFeatures) { world ->
         repeat(3) { world.killNode(it) }
         delay(30_000)
         world.store.load(kept.associate { it.key to it.bytes.toByteArray() })
@@ -47,9 +45,10 @@
         world.workers.values.first().inject(unknown)
     }
 
-    @Test
-    fun `jobs that the previous version has accepted are brought to their end, and completed tasks are not started again`() {
-        val world = takeOver()
+    @ParameterizedTest
+    @MethodSource("versions")
+    fun `jobs that the previous version has accepted are brought to their end, and completed tasks are not started again`(version: String) {
+        val world = takeOver(StoredRecord.snapshotOf(version))
         assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(
             listOf("done", "done", "done", "withdrawn", "done"),
@@ -59,40 +58,46 @@
         assertEquals(emptySet<String>(), world.store.keysUnder("o/") + world.store.keysUnder("w/"))
     }
 
-    @Test
-    fun `the fencing token goes on from the stored one, and the baseline fleet stays the stored one`() {
-        val world = takeOver()
-        val before = stored("helm").long("n")
+    @ParameterizedTest
+    @MethodSource("versions")
+    fun `the fencing token goes on from the stored one, and the baseline fleet stays the stored one`(version: String) {
+        val world = takeOver(StoredRecord.snapshotOf(version))
+        val before = stored(version, "helm").long("n")
         assertEquals(before + 1, world.store.valueOf("helm")?.long("n"))
         assertEquals(before + 1, world.store.valueOf("leader")?.long("helm"))
-        assertEquals(stored("standing/0").map, world.store.valueOf("standing/0")?.map)
-        assertEquals(stored("types").map, world.store.valueOf("types")?.map)
+        assertEquals(stored(version, "standing/0").map, world.store.valueOf("standing/0")?.map)
+        assertEquals(stored(version, "types").map, world.store.valueOf("types")?.map)
     }
 
-    @Test
-    fun `machines are of the baseline fleet if the stored list names them, also without a record of machines`() {
-        val world = takeOver(snapshot.filter { it.kind != "fleet/" })
-        val baseline = stored("standing/0").textsOrNull("rigs").orEmpty().toSet()
+    @ParameterizedTest
+    @MethodSource("versions")
+    fun `machines are of the baseline fleet if the stored list names them, also without a record of machines`(version: String) {
+        val world = takeOver(StoredRecord.snapshotOf(version).filter { it.kind != "fleet/" })
+        val baseline = stored(version, "standing/0").textsOrNull("rigs").orEmpty().toSet()
         val machines = world.store.keysUnder("fleet/").flatMap { checkNotNull(world.store.valueOf(it)).children("rigs") }
         assertEquals(baseline, machines.filter { it.flag("owned") }.map { it.text("rig") }.toSet())
     }
 
-    @Test
-    fun `records that the leader writes have the fields that the previous version gave them`() {
-        val world = takeOver()
+    @ParameterizedTest
+    @MethodSource("versions")
+    fun `records that the leader writes have the fields that the previous version gave them`(version: String) {
+        val world = takeOver(StoredRecord.snapshotOf(version))
         for (key in listOf("leader", "helm", "plan", "recovery")) {
             val written = world.store.history.filter { it.key == key }.mapNotNull { it.value?.map }
             assertTrue(written.isNotEmpty(), "$key is written")
-            val known = records.filter { it.key == key }.map { it.fields.map }
+            val known = StoredRecord.recordsOf(version).filter { it.key == key }.map { it.fields.map }
             assertEquals(known.flatMap { it.keys }.toSet(), written.flatMap { it.keys }.toSet(), key)
             assertEquals(emptySet<String>(), written.flatMap(::fieldNames).toSet() - known.flatMap(::fieldNames).toSet(), key)
         }
     }
 
-    private fun stored(key: String): Fields = snapshot.single { it.key == key }.fields
+    private fun stored(version: String, key: String): Fields = StoredRecord.snapshotOf(version).single { it.key == key }.fields
+
+    companion object {
+        /** Tasks of the array that each snapshot holds as completed, counted from the first one. */
+        private const val DONE_OF_ARRAY = 6
 
-    private companion object {
-        /** Tasks of the array that the snapshot holds as completed, counted from the first one. */
-        const val DONE_OF_ARRAY = 6
+        @JvmStatic
+        fun versions(): List<String> = StoredRecord.VERSIONS
     }
 }
--- a/src/test/kotlin/linemast/upgrade/StoredRecord.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredRecord.kt
@@ -21,8 +21,17 @@
     override fun toString() = key
 
     companion object {
+        /** Commits of the versions whose records are kept as test data. */
+        val VERSIONS = listOf("21f1c36", "828d18a")
+
+        /** One record or more of each kind, as [version] stored them. */
+        fun recordsOf(version: String): List<StoredRecord> = load("records-$version.txt")
+
+        /** All records of a store that controllers of [version] have left in the middle of their work. */
+        fun snapshotOf(version: String): List<StoredRecord> = load("snapshot-$version.txt")
+
         /** Reads the file [name]: a record a line, comments after `#`. */
-        fun load(name: String): List<StoredRecord> {
+        private fun load(name: String): List<StoredRecord> {
             val stream = checkNotNull(StoredRecord::class.java.getResourceAsStream("/stored/$name")) { "no test data $name" }
             return stream.bufferedReader().useLines { lines ->
                 lines.filter { !it.startsWith('#') }.map { line ->
