--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -64,7 +64,7 @@
     fun replanSoon() = scalingTimer.expire()
 
     private fun scale(jobs: List<Job>, nowMicros: Long): ScalingActions {
-        val demands = planner.scaleOutDemands(jobs, { it.baseline }, nowMicros)
+        val demands = planner.scaleOutDemands(jobs, { it.isBaseline }, nowMicros)
         val scaleOuts = fleet.planScaleOut(demands, cluster.types.values, cluster.machines, constraints, nowMicros)
         val scalingOut = demands.filter { it.slots >= 1.0 }.map { it.job }
         val scaleIns = fleet.planScaleIn(cluster.machines, neededBy(scalingOut, jobs), demand.hasCeased(), nowMicros)
@@ -84,7 +84,7 @@
         val needed = HashMap<MachineShape, Boolean>()
         val neededBaseline = HashMap<MachineShape, Boolean>()
         return { machine ->
-            if (machine.baseline) {
+            if (machine.isBaseline) {
                 neededBaseline.getOrPut(machine.shape) { hasPendingTasksFor(machine.shape, all) }
             } else {
                 needed.getOrPut(machine.shape) { hasPendingTasksFor(machine.shape, scalingOut) }
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -28,7 +28,7 @@
 
     /** Plans [jobs], which come in the order in which they get capacity: all anew if [isFull], otherwise only where needed. */
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
-        val baseline = cluster.machines.values.filter { it.baseline && !it.draining && nowMicros < it.leaseEndMicros }
+        val baseline = cluster.machines.values.filter { it.isBaseline && !it.draining && nowMicros < it.leaseEndMicros }
         // Waiting stages get what the other jobs leave, and are planned anew when they are released.
         planner.dropPlans(waitingIds)
         waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
--- a/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
+++ b/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
@@ -17,7 +17,7 @@
     fun pricePerVcpu(job: Job): Double = typesFor(job).minOfOrNull { pricePerVcpu(it, job) } ?: 0.0
 
     private fun pricePerVcpu(type: MachineType, job: Job): Double =
-        (if (job.spec.spot) minOf(type.price, type.spotPrice) else type.price) / type.vcpus
+        (if (job.spec.allowsSpot) minOf(type.price, type.spotPrice) else type.price) / type.vcpus
 
     private fun typesFor(job: Job): List<MachineType> = cluster.types.values.filter { it.canHost(job.spec) }
 
--- a/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
@@ -136,7 +136,7 @@
         return zones.flatMap { zone ->
             val onDemand = PricedShape(MachineShape(type, zone, spot = false), type.price / slots)
             val spot = PricedShape(MachineShape(type, zone, spot = true), type.spotPrice / slots)
-            if (spec.spot) listOf(onDemand, spot) else listOf(onDemand)
+            if (spec.allowsSpot) listOf(onDemand, spot) else listOf(onDemand)
         }
     }
 
--- a/src/main/kotlin/linemast/control/BlockedJobStore.kt
+++ b/src/main/kotlin/linemast/control/BlockedJobStore.kt
@@ -29,7 +29,7 @@
     fun release(job: BlockedJob) {
         term.scope.launch {
             val record = job.record.released(term.wallMicros()).withKnownMachineTypes(cluster.types.values)
-            val key = JobKeys.waiting(job.id)
+            val key = JobKeys.blocked(job.id)
             val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Delete(key))
             val preconditions = listOf(Precondition(key, job.revision))
             val result = storeResultOrNull(log) { term.commit(preconditions, writes, RequestPriority.HIGH) }
@@ -45,7 +45,7 @@
 
     private fun cancelTogether(jobs: List<BlockedJob>) {
         term.scope.launch {
-            val preconditions = jobs.map { Precondition(JobKeys.waiting(it.id), it.revision) }
+            val preconditions = jobs.map { Precondition(JobKeys.blocked(it.id), it.revision) }
             val writes = jobs.flatMap(::cancellationOf)
             val result = cancellations.withPermit {
                 storeResultOrNull(log) { term.commit(preconditions, writes, RequestPriority.HIGH) }
@@ -56,7 +56,7 @@
 
     private fun cancellationOf(job: BlockedJob): List<Write> {
         val outcome = OutcomeRecord(JobOutcome.CANCELLED, job.record.spec.taskCount)
-        return listOf(Write.Put(JobKeys.outcome(job.id), OutcomeRecordCodec.encode(outcome)), Write.Delete(JobKeys.waiting(job.id)))
+        return listOf(Write.Put(JobKeys.outcome(job.id), OutcomeRecordCodec.encode(outcome)), Write.Delete(JobKeys.blocked(job.id)))
     }
 
     private suspend fun settle(jobs: List<BlockedJob>, result: TermCommitResult?, onApplied: (Long) -> Unit) = when (result) {
@@ -64,7 +64,7 @@
             jobs.forEach { graph.remove(it.id) }
             onApplied(result.revision)
         }
-        is TermCommitResult.Conflict -> retryLater(jobs, endedIds = result.failedKeys.map { it.removePrefix(JobKeys.WAITING_PREFIX) })
+        is TermCommitResult.Conflict -> retryLater(jobs, endedIds = result.failedKeys.map { it.removePrefix(JobKeys.BLOCKED_PREFIX) })
         TermCommitResult.LeadershipLost -> term.lease.end()
         TermCommitResult.NoResult, null -> retryLater(jobs, endedIds = emptyList())
     }
--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -20,23 +20,25 @@
 
     /** Writes [parts] of [job] if neither its record nor these parts have changed. */
     suspend fun commit(job: Job, parts: List<CompletedTaskPart>): TermCommitResult {
-        val revisions = parts.map { Precondition(JobKeys.donePart(job.id, it.part), job.storedProgress.partRevisions[it.part] ?: 0L) }
+        val revisions = parts.map {
+            Precondition(JobKeys.completedTasksPart(job.id, it.part), job.storedProgress.partRevisions[it.part] ?: 0L)
+        }
         return term.commit(
             listOf(Precondition(JobKeys.open(job.id), job.revision)) + revisions,
-            parts.map { Write.Put(JobKeys.donePart(job.id, it.part), it.encoded) },
+            parts.map { Write.Put(JobKeys.completedTasksPart(job.id, it.part), it.encoded) },
             RequestPriority.BACKGROUND,
         )
     }
 
     /** The stored parts of a job. */
-    suspend fun read(jobId: String): List<Entry> = term.store.listAll("${JobKeys.DONE_PREFIX}$jobId/").entries
+    suspend fun read(jobId: String): List<Entry> = term.store.listAll("${JobKeys.COMPLETED_TASKS_PREFIX}$jobId/").entries
 
     /** Marks the tasks of a stored part as done. */
     fun apply(job: Job, entry: Entry, part: Int) {
         val tasks = BitSet()
         CompletedTasksCodec.decode(entry.value, part, tasks)
         job.storedProgress.partRevisions[part] = entry.revision
-        tasks.stream().forEach { job.markDone(it) }
+        tasks.stream().forEach { job.markCompleted(it) }
     }
 
     /** Deletes parts of jobs that have ended; the next leader deletes those that are left after a failure. */
@@ -53,13 +55,13 @@
 /** One part of a job's completed tasks as it was at some moment, in its stored form. */
 internal class CompletedTaskPart(val part: Int, val encoded: Map<String, Any?>) {
     /** Whether the part of [job] still is what it was. */
-    fun isCurrent(job: Job): Boolean = CompletedTasksCodec.encode(job.done, part) == encoded
+    fun isCurrent(job: Job): Boolean = CompletedTasksCodec.encode(job.completedTasks, part) == encoded
 
     companion object {
         /** The parts of [job] that changed since they were last stored, at most [maxParts]. */
         fun changed(job: Job, maxParts: Int): List<CompletedTaskPart> {
             val parts = job.storedProgress.dirtyParts.stream().limit(maxParts.toLong()).toArray()
-            return parts.map { CompletedTaskPart(it, CompletedTasksCodec.encode(job.done, it)) }
+            return parts.map { CompletedTaskPart(it, CompletedTasksCodec.encode(job.completedTasks, it)) }
         }
     }
 }
--- a/src/main/kotlin/linemast/control/DependencyCoordinator.kt
+++ b/src/main/kotlin/linemast/control/DependencyCoordinator.kt
@@ -29,13 +29,13 @@
 
     /** Replaces the blocked jobs by those that the store holds, after changes were missed. */
     fun reload(entries: List<Entry>) {
-        graph.retain(entries.mapTo(HashSet()) { it.key.removePrefix(JobKeys.WAITING_PREFIX) })
+        graph.retain(entries.mapTo(HashSet()) { it.key.removePrefix(JobKeys.BLOCKED_PREFIX) })
         load(entries)
     }
 
     /** Applies a change of one record; a malformed one is logged and skipped. */
     fun changed(change: KeyChange) {
-        val value = change.value ?: return graph.remove(change.key.removePrefix(JobKeys.WAITING_PREFIX))
+        val value = change.value ?: return graph.remove(change.key.removePrefix(JobKeys.BLOCKED_PREFIX))
         try {
             graph.put(JobRecordCodec.decode(value), change.revision)
         } catch (e: MalformedException) {
--- a/src/main/kotlin/linemast/control/JobOutcomeStore.kt
+++ b/src/main/kotlin/linemast/control/JobOutcomeStore.kt
@@ -31,7 +31,7 @@
 
     /** Deletes the record, and as many parts of the completed tasks as the transaction has room for; the others after it. */
     private suspend fun commitEnd(job: Job, writes: List<Write>, precondition: Precondition): TermCommitResult {
-        val partKeys = job.storedProgress.partRevisions.keys.map { JobKeys.donePart(job.id, it) }
+        val partKeys = job.storedProgress.partRevisions.keys.map { JobKeys.completedTasksPart(job.id, it) }
         val required = writes + Write.Delete(JobKeys.open(job.id))
         val room = term.limits.maxTxnOps - required.size
         val deletions = partKeys.take(room).map { Write.Delete(it) }
--- a/src/main/kotlin/linemast/control/JobStatistics.kt
+++ b/src/main/kotlin/linemast/control/JobStatistics.kt
@@ -24,5 +24,5 @@
 
     private fun countUnfinishedJobs() = cluster.jobs.values.filter { !it.finished }.groupingBy { flows.flowOf(it.spec) }.eachCount()
 
-    private fun progressOf(job: Job) = JobProgress(job.doneCount, job.runningCount)
+    private fun progressOf(job: Job) = JobProgress(job.completedCount, job.runningCount)
 }
--- a/src/main/kotlin/linemast/control/JobWatcher.kt
+++ b/src/main/kotlin/linemast/control/JobWatcher.kt
@@ -46,7 +46,7 @@
     }
 
     private val blockedJobs = object : Subscription {
-        override val prefix = JobKeys.WAITING_PREFIX
+        override val prefix = JobKeys.BLOCKED_PREFIX
         override val waitMicros = BLOCKED_WATCH_MICROS
 
         override fun changed(changes: List<KeyChange>) = changes.forEach(dependencyCoordinator::changed)
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -37,8 +37,8 @@
     private suspend fun read(): JobRevisions {
         val sentMicros = term.clock.nowMicros()
         val open = term.store.listAll(JobKeys.OPEN_PREFIX)
-        val blocked = term.store.listAll(JobKeys.WAITING_PREFIX)
-        val completed = term.store.listAll(JobKeys.DONE_PREFIX)
+        val blocked = term.store.listAll(JobKeys.BLOCKED_PREFIX)
+        val completed = term.store.listAll(JobKeys.COMPLETED_TASKS_PREFIX)
         val machines = machineRegistryStore.load()
         val records = open.entries.map { StoredJobRecord(JobRecordCodec.decode(it.value), it.revision) }
         cluster.load(records, machines, term.clock.nowMicros())
@@ -53,7 +53,7 @@
     private fun applyCompletedTasks(entries: List<Entry>) {
         val orphaned = ArrayList<String>()
         for (entry in entries) {
-            val (id, part) = entry.key.removePrefix(JobKeys.DONE_PREFIX).split('/')
+            val (id, part) = entry.key.removePrefix(JobKeys.COMPLETED_TASKS_PREFIX).split('/')
             val job = cluster.jobs[id]
             if (job == null) orphaned += entry.key else completedTasks.apply(job, entry, part.toInt())
         }
--- a/src/main/kotlin/linemast/control/UtilizationLog.kt
+++ b/src/main/kotlin/linemast/control/UtilizationLog.kt
@@ -29,8 +29,8 @@
         fun vcpusIn(phase: Placement.Phase) = vcpusByPhase[phase]?.toInt() ?: 0
         log.debug(
             "usage: {} baseline, {} on-demand, {} spot, {} booting; vcpus {} total, {} running, {} fetching, {} saving, {} sent, {} idle",
-            machines.count { it.baseline },
-            machines.count { !it.baseline && !it.spot },
+            machines.count { it.isBaseline },
+            machines.count { !it.isBaseline && !it.spot },
             machines.count { it.spot },
             fleet.machines.values.count { it.name !in cluster.machines },
             machines.sumOf { it.type.vcpus }.toInt(),
--- a/src/main/kotlin/linemast/domain/Heartbeat.kt
+++ b/src/main/kotlin/linemast/domain/Heartbeat.kt
@@ -5,7 +5,7 @@
     /** Name that the cloud gave the machine. */
     val machineName: String,
     /** Address under which users reach the machine's tasks. */
-    val addr: String,
+    val address: String,
     /** Name of the machine type. */
     val machineType: String,
     /** Zone of the cloud that the machine stands in. */
--- a/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
+++ b/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
@@ -50,7 +50,7 @@
     private var olderMicros = NEVER
 
     /** Until then the incarnation cannot end: a response reached the worker for a heartbeat sent less than a lease before. */
-    private var incarnationSafeUntilMicros = NEVER
+    private var incarnationValidUntilMicros = NEVER
 
     /** When the heartbeat before the last one of this incarnation came; the last one was sent after it. */
     private var previousMicros = NEVER
@@ -62,7 +62,7 @@
      * Whether the worker counts incarnations that a replaced one had reached, so that delayed copies of the replaced
      * worker's heartbeats look like its own.
      */
-    val isAmbiguous: Boolean get() = incarnation <= replacedIncarnation
+    val reusesIncarnations: Boolean get() = incarnation <= replacedIncarnation
 
     /**
      * Tells how [heartbeat] relates to the accepted ones. [leaseEndMicros] is the end of the lease that the leader's
@@ -88,7 +88,7 @@
     private fun isPlausible(heartbeat: Heartbeat, nowMicros: Long): Boolean {
         if (heartbeat.fencingToken < fencingToken) return false
         if (heartbeat.incarnation != incarnation) {
-            return heartbeat.incarnation > replacedIncarnation && nowMicros >= incarnationSafeUntilMicros
+            return heartbeat.incarnation > replacedIncarnation && nowMicros >= incarnationValidUntilMicros
         }
         val maxSent = (nowMicros - lastMicros) / MIN_HEARTBEAT_INTERVAL_MICROS + MAX_DELAYED_HEARTBEATS
         return heartbeat.sequenceNumber - sequenceNumber <= maxSent
@@ -109,7 +109,7 @@
         olderMicros = nowMicros
         if (!followsOlder || nowMicros < leaseEndMicros) return false
         replacedIncarnation = maxOf(replacedIncarnation, incarnation)
-        incarnationSafeUntilMicros = NEVER
+        incarnationValidUntilMicros = NEVER
         previousMicros = NEVER
         fencingToken = 0
         return true
@@ -133,7 +133,7 @@
         } else if (unacknowledgedSinceMicros == NEVER) {
             unacknowledgedSinceMicros = nowMicros
         }
-        if (acknowledgesResponses && previousMicros > NEVER) incarnationSafeUntilMicros = previousMicros + minLeaseMicros
+        if (acknowledgesResponses && previousMicros > NEVER) incarnationValidUntilMicros = previousMicros + minLeaseMicros
         previousMicros = if (isSameIncarnation) lastMicros else NEVER
     }
 
--- a/src/main/kotlin/linemast/domain/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -39,7 +39,7 @@
     val readyWallMicros = record.releasedWallMicros ?: record.acceptedWallMicros
 
     /** Whether tasks that a previous leader started may be on machines that have sent this one no heartbeat. */
-    var unconfirmed = inherited
+    var hasUnconfirmedTasks = inherited
 
     /** How far the store knows that tasks may have been started; set as the write begins and ends. */
     var activation = if (record.activated) Activation.ACTIVE else Activation.INACTIVE
@@ -83,16 +83,16 @@
     val runTimes = MeasuredRunTimes()
 
     /** Tasks that have run to completion. */
-    val done: BitSet get() = tasks.done
+    val completedTasks: BitSet get() = tasks.completed
 
     /** Number of tasks that have run to completion. */
-    val doneCount: Int get() = tasks.doneCount
+    val completedCount: Int get() = tasks.completedCount
 
     /** Whether all tasks have run to completion. */
     val isDone: Boolean get() = tasks.isDone
 
     /** Number of tasks that are done or have a placement. */
-    val doneOrPlacedCount: Int get() = tasks.doneOrPlacedCount
+    val completedOrPlacedCount: Int get() = tasks.completedOrPlacedCount
 
     /** Number of tasks that are neither done nor placed. */
     val pendingCount: Int get() = tasks.pendingCount
@@ -109,8 +109,8 @@
     /** See [TaskSet.nextPending]. */
     fun nextPending(from: Int): Int = tasks.nextPending(from)
 
-    /** See [TaskSet.markDone]. */
-    fun markDone(index: Int): Boolean = tasks.markDone(index)
+    /** See [TaskSet.markCompleted]. */
+    fun markCompleted(index: Int): Boolean = tasks.markCompleted(index)
 
     /** See [TaskSet.add]. */
     fun add(placement: Placement) = tasks.add(placement)
--- a/src/main/kotlin/linemast/domain/JobSpec.kt
+++ b/src/main/kotlin/linemast/domain/JobSpec.kt
@@ -56,11 +56,11 @@
     /** The zone that its tasks have to run in; null allows all. */
     val zone: String?,
     /** Whether all its tasks have to run in one zone. */
-    val sameZone: Boolean,
+    val requiresSameZone: Boolean,
     /** Whether its tasks have to be spread over zones: see [maxTasksPerZone]. */
-    val spread: Boolean,
+    val requiresSpread: Boolean,
     /** Whether its tasks may run on spot machines. */
-    val spot: Boolean,
+    val allowsSpot: Boolean,
     /** The owner's estimate of a task's run time. */
     val estimatedRunMicros: Long,
     /** Interval of a running task's checkpoints; 0 if it writes none. */
@@ -79,7 +79,7 @@
     val neverCheckpoints: Boolean get() = checkpointIntervalMicros == 0L
 
     /** How many of its tasks may be in one zone at a time. */
-    val maxTasksPerZone: Int get() = if (spread) (taskCount + 1) / 2 else taskCount
+    val maxTasksPerZone: Int get() = if (requiresSpread) (taskCount + 1) / 2 else taskCount
 
     /** A copy without names of unknown machine types, so that the record fits a stored value. */
     fun withKnownMachineTypes(types: Collection<MachineType>): JobSpec =
--- a/src/main/kotlin/linemast/domain/Machine.kt
+++ b/src/main/kotlin/linemast/domain/Machine.kt
@@ -25,19 +25,19 @@
     var preemptionNoticeMicros: Long? = null
 
     /** Whether it may hold tasks that a previous leader started and that this one has not seen. */
-    var inherited = false
+    var registeredByPreviousLeader = false
 
     /** Placements by task and attempt, so that two attempts of one task both count. */
     val placements = LinkedHashMap<TaskAttempt, Placement>()
 
     /** Ended tasks of the last heartbeat, to be acknowledged once their results are stored. */
-    val ended = LinkedHashMap<TaskAttempt, TaskStatus>()
+    val endedTasks = LinkedHashMap<TaskAttempt, TaskStatus>()
 
     /** Whether its name is stored among those that may run tasks. */
     var isRegistered = false
 
     /** Whether it belongs to the baseline fleet, which is never scaled in. */
-    var baseline = false
+    var isBaseline = false
 
     /** Whether it gets no further starts: it is being scaled in, preempted by the cloud, or quarantined. */
     var draining = false
@@ -88,7 +88,7 @@
     fun freeSlots(spec: JobSpec): Int = capacity.freeSlots(spec)
 
     /** Adds a placement and counts its resources as used. */
-    fun put(placement: Placement) {
+    fun add(placement: Placement) {
         placements[placement.key] = placement
         capacity.allocate(placement.job?.spec)
     }
--- a/src/main/kotlin/linemast/domain/MachineCapacity.kt
+++ b/src/main/kotlin/linemast/domain/MachineCapacity.kt
@@ -25,12 +25,12 @@
     }
 
     /** Takes the resources of one task of [spec]; a task of an unknown job, with a null spec, takes the whole machine. */
-    fun allocate(spec: JobSpec?) = count(spec, 1)
+    fun allocate(spec: JobSpec?) = addUsed(spec, 1)
 
     /** Gives back what [allocate] took for one task of [spec]. */
-    fun release(spec: JobSpec?) = count(spec, -1)
+    fun release(spec: JobSpec?) = addUsed(spec, -1)
 
-    private fun count(spec: JobSpec?, sign: Int) {
+    private fun addUsed(spec: JobSpec?, sign: Int) {
         usedVcpus += sign * (spec?.vcpus ?: type.vcpus)
         usedGpus += sign * (spec?.gpus ?: type.gpus)
         usedMemoryGb += sign * (spec?.memoryGb ?: type.memoryGb)
--- a/src/main/kotlin/linemast/domain/MachineShape.kt
+++ b/src/main/kotlin/linemast/domain/MachineShape.kt
@@ -9,5 +9,5 @@
  */
 data class MachineShape(val type: MachineType, val zone: String, val spot: Boolean) {
     /** Whether a task of [spec] may be on such a machine at all. */
-    fun allows(spec: JobSpec): Boolean = type.canHost(spec) && (spec.spot || !spot) && (spec.zone == null || spec.zone == zone)
+    fun allows(spec: JobSpec): Boolean = type.canHost(spec) && (spec.allowsSpot || !spot) && (spec.zone == null || spec.zone == zone)
 }
--- a/src/main/kotlin/linemast/domain/MachineType.kt
+++ b/src/main/kotlin/linemast/domain/MachineType.kt
@@ -11,9 +11,9 @@
     /** Memory of one machine, in gigabytes. */
     val memoryGb: Double,
     /** Local storage for images, in gigabytes; 0 if the cloud does not say. */
-    val cacheGb: Double,
+    val imageStorageGb: Double,
     /** Rate at which a machine fetches images, in gigabytes a second; concurrent fetches may share it. */
-    val fetchGbPerS: Double,
+    val fetchGbPerSecond: Double,
     /** Price of one machine for an hour, if it is not a spot machine. */
     val price: Double,
     /** Price of one spot machine for an hour when the types were read; it moves. */
--- a/src/main/kotlin/linemast/domain/PendingReason.kt
+++ b/src/main/kotlin/linemast/domain/PendingReason.kt
@@ -36,7 +36,7 @@
     }
 
     /** The store does not know yet that tasks of it may be started. */
-    data object NotOpened : PendingReason {
+    data object NotActivated : PendingReason {
         override val description get() = "not opened yet"
     }
 }
--- a/src/main/kotlin/linemast/domain/Placement.kt
+++ b/src/main/kotlin/linemast/domain/Placement.kt
@@ -55,7 +55,7 @@
     var isStopSent = false
 
     /** Whether it belongs to the first tasks of a starving job, which would never get further if these were preempted. */
-    var exemptFromPreemption = false
+    var isExemptFromPreemption = false
 
     /** The job that its resources are freed for; null if it is not preempted. */
     var preemptedFor: Job? = null
--- a/src/main/kotlin/linemast/domain/StoredProgress.kt
+++ b/src/main/kotlin/linemast/domain/StoredProgress.kt
@@ -11,7 +11,7 @@
     var isWriting = false
 
     /** When the last write of progress began; 0 if there was none. */
-    var writtenMicros = 0L
+    var lastWriteMicros = 0L
 
     /** Revisions of the stored parts: each write builds on them, so that a late one cannot undo a newer one. */
     val partRevisions = HashMap<Int, Long>()
--- a/src/main/kotlin/linemast/domain/TaskStatus.kt
+++ b/src/main/kotlin/linemast/domain/TaskStatus.kt
@@ -21,7 +21,7 @@
 /** Why a task has ended. */
 enum class EndCause {
     /** The task ran to completion; the worker keeps its result. */
-    DONE,
+    COMPLETED,
 
     /** The leader stopped it. */
     STOPPED,
--- a/src/main/kotlin/linemast/jobs/BulkOutcomeReader.kt
+++ b/src/main/kotlin/linemast/jobs/BulkOutcomeReader.kt
@@ -10,14 +10,14 @@
     private var singleReads = 0
     private var hasListed = false
 
-    /** The outcomes of [ids]; open ones may be as old as [OutcomeReader.recent] allows. */
+    /** The outcomes of [ids]; open ones may be as old as [OutcomeReader.readRecent] allows. */
     suspend fun read(ids: Collection<String>): Map<String, OutcomeRecord> {
         singleReads += ids.count { !outcomes.hasRecent(it) }
         if (singleReads > MAX_SINGLE_READS && !hasListed) {
-            outcomes.listOpen()
+            outcomes.cacheOpenJobs()
             hasListed = true
         }
-        return outcomes.recent(ids)
+        return outcomes.readRecent(ids)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/linemast/jobs/CancellationHandler.kt
@@ -25,37 +25,37 @@
     suspend fun cancel(id: String): JobResponse {
         if (!JobSpec.isId(id)) return JobResponse.NotFound
         repeat(MAX_ATTEMPTS) {
-            outcomes.terminal(id)?.let { return statusReporter.status(id, it) }
-            val stored = readingStoredRecord { store.readOutcome(id, RequestPriority.HIGH) } ?: return JobResponse.NotFound
-            if (stored.record.outcome.isTerminal) return statusReporter.status(id, outcomes.remember(id, stored.record))
-            val openJob = readOpenJob(id, isDependent = stored.record.dependencies.isNotEmpty()) ?: return@repeat
+            outcomes.cachedTerminal(id)?.let { return statusReporter.status(id, it) }
+            val stored = readStoredRecord { store.readOutcome(id, RequestPriority.HIGH) } ?: return JobResponse.NotFound
+            if (stored.record.outcome.isTerminal) return statusReporter.status(id, outcomes.cacheOutcome(id, stored.record))
+            val jobEntry = readJobEntry(id, hasDependencies = stored.record.dependencies.isNotEmpty()) ?: return@repeat
             val cancelled = OutcomeRecord(JobOutcome.CANCELLED, stored.record.taskCount)
-            val result = commit(id, stored, openJob, cancelled)
-            if (result is CommitResult.Applied) return statusReporter.status(id, outcomes.remember(id, cancelled))
+            val result = commit(id, stored, jobEntry, cancelled)
+            if (result is CommitResult.Applied) return statusReporter.status(id, outcomes.cacheOutcome(id, cancelled))
         }
         return JobResponse.Unavailable
     }
 
     /** The job's entry: the leader releases a waiting job by one transaction that moves it from one key to the other. */
-    private suspend fun readOpenJob(id: String, isDependent: Boolean): Entry? {
-        val waiting = if (isDependent) store.get(JobKeys.waiting(id), RequestPriority.HIGH) else null
-        return waiting ?: store.get(JobKeys.open(id), RequestPriority.HIGH)
+    private suspend fun readJobEntry(id: String, hasDependencies: Boolean): Entry? {
+        val blocked = if (hasDependencies) store.get(JobKeys.blocked(id), RequestPriority.HIGH) else null
+        return blocked ?: store.get(JobKeys.open(id), RequestPriority.HIGH)
     }
 
-    private suspend fun commit(id: String, stored: StoredOutcome, openJob: Entry, cancelled: OutcomeRecord): CommitResult {
+    private suspend fun commit(id: String, stored: StoredOutcome, jobEntry: Entry, cancelled: OutcomeRecord): CommitResult {
         val outcomeKey = JobKeys.outcome(id)
-        val isWaiting = openJob.key == JobKeys.waiting(id)
-        val jobWrite = if (isWaiting) Write.Delete(openJob.key) else Write.Put(openJob.key, cancelledRecord(openJob))
+        val isBlocked = jobEntry.key == JobKeys.blocked(id)
+        val jobWrite = if (isBlocked) Write.Delete(jobEntry.key) else Write.Put(jobEntry.key, cancelledRecord(jobEntry))
         return store.commit(
-            listOf(Precondition(outcomeKey, stored.revision), Precondition(openJob.key, openJob.revision)),
+            listOf(Precondition(outcomeKey, stored.revision), Precondition(jobEntry.key, jobEntry.revision)),
             listOf(Write.Put(outcomeKey, OutcomeRecordCodec.encode(cancelled)), jobWrite),
             RequestPriority.HIGH,
         )
     }
 
     /** The record of an open job marked as cancelled, by which the leader learns of the cancellation. */
-    private fun cancelledRecord(openJob: Entry): Map<String, Any?> {
-        val record = readingStoredRecord { JobRecordCodec.decode(openJob.value) }.with(cancelled = true)
+    private fun cancelledRecord(jobEntry: Entry): Map<String, Any?> {
+        val record = readStoredRecord { JobRecordCodec.decode(jobEntry.value) }.with(cancelled = true)
         val types = machineTypes() ?: return JobRecordCodec.encode(record)
         return JobRecordCodec.encode(record.withKnownMachineTypes(types))
     }
--- a/src/main/kotlin/linemast/jobs/DependencyCheck.kt
+++ b/src/main/kotlin/linemast/jobs/DependencyCheck.kt
@@ -19,7 +19,7 @@
  * long after it was confirmed.
  */
 internal class DependencyCheck(private val outcomes: OutcomeReader, private val scope: CoroutineScope, private val timeoutMicros: Long) {
-    private val running = HashMap<Set<String>, CompletableDeferred<Result<Boolean>>>()
+    private val runningChecks = HashMap<Set<String>, CompletableDeferred<Result<Boolean>>>()
 
     /**
      * Whether one of [dependencies], or of their transitive dependencies, is cancelled.
@@ -29,23 +29,23 @@
      */
     suspend fun dependsOnCancelled(dependencies: Collection<String>): Boolean {
         val key = dependencies.toSet()
-        val check = running[key] ?: start(key)
+        val check = runningChecks[key] ?: startCheck(key)
         val result = withTimeoutOrNull(CALLER_TIMEOUT_MILLIS) { check.await() }
         return result?.getOrThrow() ?: throw StoreException.ReadAborted("the dependencies are still being read")
     }
 
-    private fun start(dependencies: Set<String>): CompletableDeferred<Result<Boolean>> {
+    private fun startCheck(dependencies: Set<String>): CompletableDeferred<Result<Boolean>> {
         val check = CompletableDeferred<Result<Boolean>>()
-        running[dependencies] = check
+        runningChecks[dependencies] = check
         scope.launch {
-            val result = sharedStoreResult { findCancelledInTime(dependencies) }
-            running.remove(dependencies)
+            val result = sharedStoreResult { findCancelledWithinTimeout(dependencies) }
+            runningChecks.remove(dependencies)
             check.complete(result)
         }
         return check
     }
 
-    private suspend fun findCancelledInTime(dependencies: Collection<String>): Boolean = try {
+    private suspend fun findCancelledWithinTimeout(dependencies: Collection<String>): Boolean = try {
         withTimeout(timeoutMicros / MICROS_PER_MILLI) { findCancelled(dependencies) }
     } catch (e: TimeoutCancellationException) {
         throw StoreException.ReadAborted("the dependencies could not be read in time")
--- a/src/main/kotlin/linemast/jobs/JobKeys.kt
+++ b/src/main/kotlin/linemast/jobs/JobKeys.kt
@@ -13,10 +13,10 @@
     const val OPEN_PREFIX = "o/"
 
     /** Prefix of the keys of completed tasks. */
-    const val DONE_PREFIX = "d/"
+    const val COMPLETED_TASKS_PREFIX = "d/"
 
     /** Prefix of the keys of jobs that are blocked by their dependencies. */
-    const val WAITING_PREFIX = "w/"
+    const val BLOCKED_PREFIX = "w/"
 
     /** Key of the outcome, which is kept forever. */
     fun outcome(id: String) = "j/$id"
@@ -25,8 +25,8 @@
     fun open(id: String) = OPEN_PREFIX + id
 
     /** Key of a job that is blocked by its dependencies. */
-    fun waiting(id: String) = WAITING_PREFIX + id
+    fun blocked(id: String) = BLOCKED_PREFIX + id
 
     /** Key of one part of the set of completed tasks. */
-    fun donePart(id: String, part: Int) = "$DONE_PREFIX$id/$part"
+    fun completedTasksPart(id: String, part: Int) = "$COMPLETED_TASKS_PREFIX$id/$part"
 }
--- a/src/main/kotlin/linemast/jobs/JobResponseCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobResponseCodec.kt
@@ -30,7 +30,7 @@
         mapOf(
             "name_id" to response.id,
             "status" to stateNames.getValue(response.state),
-            "done" to response.progress.done,
+            "done" to response.progress.completed,
             "running" to response.progress.running,
         ),
     )
--- a/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
@@ -8,22 +8,22 @@
 /** The form of a job in submissions, which is also the stored one; see docs/glossary.md for the names. */
 object JobSpecCodec {
     private const val MAX_TASKS = 100_000L
-    private const val MAX_TEXT = 200
+    private const val MAX_LENGTH = 200
 
     /** With ids of the usual length this many, and the rest of a job, fit the smallest limit of a stored value. */
     private const val MAX_DEPENDENCIES = 64
 
     /** Estimated run time of a service that gives none. */
-    private const val UNLIMITED_RUN_MICROS = 30L * 24 * 3_600 * 1_000_000
+    private const val DEFAULT_SERVICE_RUN_MICROS = 30L * 24 * 3_600 * 1_000_000
     private const val MAX_AMOUNT = 1e6
-    private const val MAX_SECONDS = 1e8
+    private const val MAX_DURATION_SECONDS = 1e8
 
     /** The wire names of the values of an enumeration. */
     private class WireNames<T>(vararg names: Pair<String, T>) {
-        val byWire = mapOf(*names)
+        val byWireName = mapOf(*names)
         private val byValue = names.associate { (wire, value) -> value to wire }
 
-        fun wireOf(value: T): String = byValue.getValue(value)
+        fun wireNameOf(value: T): String = byValue.getValue(value)
     }
 
     private val kinds = WireNames("sweep" to JobKind.ARRAY, "gang" to JobKind.GANG, "standing" to JobKind.SERVICE)
@@ -39,8 +39,8 @@
         put("name_id", job.id)
         put("lane", job.jobClass)
         put("crew", job.team)
-        put("shape", kinds.wireOf(job.kind))
-        put("urgency", priorities.wireOf(job.priority))
+        put("shape", kinds.wireNameOf(job.kind))
+        put("urgency", priorities.wireNameOf(job.priority))
         put("pieces", job.taskCount)
         put("vcpus", job.vcpus)
         put("gpus", job.gpus)
@@ -49,9 +49,9 @@
         put("pull_gb", job.imageGb)
         job.machineTypes?.let { put("builds", it) }
         job.zone?.let { put("yard", it) }
-        put("same_place", job.sameZone)
-        put("apart", job.spread)
-        put("loaners", job.spot)
+        put("same_place", job.requiresSameZone)
+        put("apart", job.requiresSpread)
+        put("loaners", job.allowsSpot)
         put("guess_s", job.estimatedRunMicros / 1e6)
         put("mark_every_s", job.checkpointIntervalMicros / 1e6)
         put("mark_s", job.checkpointMicros / 1e6)
@@ -69,58 +69,58 @@
         val taskCount = fields.long("pieces")
         if (taskCount !in 1..MAX_TASKS) fields.fail("pieces", "must be from 1 to $MAX_TASKS")
         val machineTypes = fields.textsOrNull("builds")
-        if (machineTypes != null && (machineTypes.isEmpty() || machineTypes.size > MAX_TEXT)) fields.fail("builds", "must name a type")
-        val vcpus = amount(fields, "vcpus")
-        val gpus = amount(fields, "gpus")
+        if (machineTypes != null && (machineTypes.isEmpty() || machineTypes.size > MAX_LENGTH)) fields.fail("builds", "must name a type")
+        val vcpus = decodeAmount(fields, "vcpus")
+        val gpus = decodeAmount(fields, "gpus")
         if (vcpus == 0.0 && gpus == 0.0) fields.fail("vcpus", "must be more than 0")
-        val kind = kinds.byWire[fields.text("shape")] ?: fields.fail("shape", "is unknown")
+        val kind = kinds.byWireName[fields.text("shape")] ?: fields.fail("shape", "is unknown")
         return JobSpec(
             id = id,
-            jobClass = shortText(fields, "lane"),
-            team = shortText(fields, "crew"),
+            jobClass = decodeShortText(fields, "lane"),
+            team = decodeShortText(fields, "crew"),
             kind = kind,
-            priority = priorities.byWire[fields.text("urgency")] ?: fields.fail("urgency", "is unknown"),
+            priority = priorities.byWireName[fields.text("urgency")] ?: fields.fail("urgency", "is unknown"),
             taskCount = taskCount.toInt(),
             vcpus = vcpus,
             gpus = gpus,
-            memoryGb = amount(fields, "memory_gb"),
-            image = shortText(fields, "bundle"),
-            imageGb = amount(fields, "pull_gb"),
+            memoryGb = decodeAmount(fields, "memory_gb"),
+            image = decodeShortText(fields, "bundle"),
+            imageGb = decodeAmount(fields, "pull_gb"),
             machineTypes = machineTypes,
             zone = fields.textOrNull("yard"),
-            sameZone = fields.flag("same_place"),
-            spread = fields.flag("apart"),
-            spot = fields.flag("loaners"),
+            requiresSameZone = fields.flag("same_place"),
+            requiresSpread = fields.flag("apart"),
+            allowsSpot = fields.flag("loaners"),
             estimatedRunMicros = if (kind == JobKind.SERVICE &&
                 !fields.has("guess_s")
             ) {
-                UNLIMITED_RUN_MICROS
+                DEFAULT_SERVICE_RUN_MICROS
             } else {
-                duration(fields, "guess_s")
+                decodeDuration(fields, "guess_s")
             },
-            checkpointIntervalMicros = duration(fields, "mark_every_s"),
-            checkpointMicros = duration(fields, "mark_s"),
-            deadlineMicros = if (fields.has("due_s")) duration(fields, "due_s") else null,
-            dependencies = dependencies(fields),
+            checkpointIntervalMicros = decodeDuration(fields, "mark_every_s"),
+            checkpointMicros = decodeDuration(fields, "mark_s"),
+            deadlineMicros = if (fields.has("due_s")) decodeDuration(fields, "due_s") else null,
+            dependencies = decodeDependencies(fields),
         )
     }
 
-    private fun dependencies(fields: Fields): List<String> {
+    private fun decodeDependencies(fields: Fields): List<String> {
         val ids = fields.textsOrNull("awaits")?.distinct() ?: return emptyList()
         if (ids.size > MAX_DEPENDENCIES) fields.fail("awaits", "must name at most $MAX_DEPENDENCIES jobs")
         if (!ids.all(JobSpec::isId)) fields.fail("awaits", "must hold job ids only")
         return ids
     }
 
-    private fun shortText(fields: Fields, name: String): String =
-        fields.text(name).also { if (it.isEmpty() || it.length > MAX_TEXT) fields.fail(name, "has no usable length") }
+    private fun decodeShortText(fields: Fields, name: String): String =
+        fields.text(name).also { if (it.isEmpty() || it.length > MAX_LENGTH) fields.fail(name, "has no usable length") }
 
-    private fun amount(fields: Fields, name: String): Double =
+    private fun decodeAmount(fields: Fields, name: String): Double =
         fields.number(name).also { if (it < 0 || it > MAX_AMOUNT) fields.fail(name, "is out of range") }
 
-    private fun duration(fields: Fields, name: String): Long {
+    private fun decodeDuration(fields: Fields, name: String): Long {
         val seconds = fields.number(name)
-        if (seconds < 0 || seconds > MAX_SECONDS) fields.fail(name, "is out of range")
+        if (seconds < 0 || seconds > MAX_DURATION_SECONDS) fields.fail(name, "is out of range")
         return (seconds * 1e6).toLong()
     }
 }
--- a/src/main/kotlin/linemast/jobs/JobStatusReporter.kt
+++ b/src/main/kotlin/linemast/jobs/JobStatusReporter.kt
@@ -15,8 +15,8 @@
             JobOutcome.CANCELLED -> JobState.CANCELLED
             JobOutcome.OPEN -> if (isRunning) JobState.RUNNING else JobState.PENDING
         }
-        val done = if (record.outcome == JobOutcome.DONE) record.taskCount else published?.done ?: 0
+        val completed = if (record.outcome == JobOutcome.DONE) record.taskCount else published?.completed ?: 0
         val running = if (record.outcome == JobOutcome.OPEN) published?.running ?: 0 else 0
-        return JobResponse.Status(id, state, JobProgress(done, running))
+        return JobResponse.Status(id, state, JobProgress(completed, running))
     }
 }
--- a/src/main/kotlin/linemast/jobs/JobWriter.kt
+++ b/src/main/kotlin/linemast/jobs/JobWriter.kt
@@ -49,7 +49,7 @@
         val result = store.commit(listOf(Precondition(JobKeys.outcome(spec.id), NO_REVISION)), writes, RequestPriority.HIGH)
         return when (result) {
             is CommitResult.Applied -> {
-                outcomes.remember(spec.id, outcomeRecord, sentMicros)
+                outcomes.cacheOutcome(spec.id, outcomeRecord, sentMicros)
                 JobWriteResult.WRITTEN
             }
             is CommitResult.Conflict -> JobWriteResult.EXISTS
@@ -57,7 +57,7 @@
         }
     }
 
-    private fun keyOf(spec: JobSpec): String = if (spec.dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.waiting(spec.id)
+    private fun keyOf(spec: JobSpec): String = if (spec.dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.blocked(spec.id)
 
     private companion object {
         /** The revision of a key that does not exist. */
--- a/src/main/kotlin/linemast/jobs/OpenJobListing.kt
+++ b/src/main/kotlin/linemast/jobs/OpenJobListing.kt
@@ -16,16 +16,16 @@
     private val clock: Clock,
     private val cache: OutcomeCache,
 ) {
-    private var pending: CompletableDeferred<Result<Unit>>? = null
+    private var runningListing: CompletableDeferred<Result<Unit>>? = null
 
     /** Lists all open jobs, or waits for a listing that is under way. Throws [linemast.store.StoreException] if it fails. */
     suspend fun run() {
-        pending?.let { return it.await().getOrThrow() }
+        runningListing?.let { return it.await().getOrThrow() }
         val listing = CompletableDeferred<Result<Unit>>()
-        pending = listing
+        runningListing = listing
         scope.launch {
             listing.complete(sharedStoreResult { list() })
-            pending = null
+            runningListing = null
         }
         listing.await().getOrThrow()
     }
@@ -33,9 +33,9 @@
     /** Waiting jobs are listed before those that may start, so that one that is released in between is not missed. */
     private suspend fun list() {
         val sentMicros = clock.nowMicros()
-        for (prefix in listOf(JobKeys.WAITING_PREFIX, JobKeys.OPEN_PREFIX)) {
+        for (prefix in listOf(JobKeys.BLOCKED_PREFIX, JobKeys.OPEN_PREFIX)) {
             for (entry in store.listAll(prefix).entries) {
-                val record = readingStoredRecord { JobRecordCodec.decode(entry.value) }
+                val record = readStoredRecord { JobRecordCodec.decode(entry.value) }
                 val outcome = if (record.cancelled) JobOutcome.CANCELLED else JobOutcome.OPEN
                 cache.put(record.spec.id, OutcomeRecord(outcome, record.spec.taskCount, record.spec.dependencies), sentMicros)
             }
--- a/src/main/kotlin/linemast/jobs/StatusQueryHandler.kt
+++ b/src/main/kotlin/linemast/jobs/StatusQueryHandler.kt
@@ -13,7 +13,7 @@
     /** The status of the job with [id], read after this call began. Throws [linemast.store.StoreException] if it cannot be read. */
     suspend fun query(id: String): JobResponse {
         if (!JobSpec.isId(id)) return JobResponse.NotFound
-        val record = outcomes.fresh(id) ?: return JobResponse.NotFound
+        val record = outcomes.readFresh(id) ?: return JobResponse.NotFound
         return statusOf(id, record)
     }
 
@@ -26,6 +26,6 @@
     suspend fun statusOf(id: String, record: OutcomeRecord): JobResponse = when {
         record.outcome.isTerminal || record.dependencies.isEmpty() -> statusReporter.status(id, record)
         dependencyCheck.dependsOnCancelled(record.dependencies) -> cancellation.cancel(id)
-        else -> statusReporter.status(id, outcomes.fresh(id) ?: record)
+        else -> statusReporter.status(id, outcomes.readFresh(id) ?: record)
     }
 }
--- a/src/main/kotlin/linemast/jobs/StoredOutcome.kt
+++ b/src/main/kotlin/linemast/jobs/StoredOutcome.kt
@@ -23,7 +23,7 @@
  * Turns a malformed stored record into a [StoreException]: the fault is the store's, and a user who asks must not get the
  * status code of a malformed request for it.
  */
-internal inline fun <T> readingStoredRecord(read: () -> T): T = try {
+internal inline fun <T> readStoredRecord(read: () -> T): T = try {
     read()
 } catch (e: MalformedException) {
     throw malformedRecord(e)
--- a/src/main/kotlin/linemast/jobs/SubmissionDeferral.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionDeferral.kt
@@ -15,7 +15,7 @@
     data object Admitted : AdmissionOutcome
 
     /** It was accepted before, with the outcome [record]. */
-    data class AcceptedBefore(val record: OutcomeRecord) : AdmissionOutcome
+    data class AlreadyAccepted(val record: OutcomeRecord) : AdmissionOutcome
 
     /** It may be repeated after [retryAfterSeconds]. */
     data class Deferred(val retryAfterSeconds: Int) : AdmissionOutcome
@@ -28,24 +28,24 @@
     /** Decides on the submission of [spec]. One that was accepted before stays accepted, whatever is limited now. */
     suspend fun admit(spec: JobSpec): AdmissionOutcome {
         val decision = admission.decide(spec) as? AdmissionDecision.Deferred ?: return AdmissionOutcome.Admitted
-        val record = readIfCheap(spec.id)
+        val record = readInBackground(spec.id)
         if (record != null) {
             admission.recordAccepted(spec.id)
-            return AdmissionOutcome.AcceptedBefore(record)
+            return AdmissionOutcome.AlreadyAccepted(record)
         }
         log.debug("{}: deferred for {} s", spec.id, decision.retryAfterSeconds)
         return AdmissionOutcome.Deferred(decision.retryAfterSeconds)
     }
 
     /** Takes note that the job with [id] has been accepted. */
-    fun accepted(id: String) = admission.recordAccepted(id)
+    fun recordAccepted(id: String) = admission.recordAccepted(id)
 
     /**
      * The outcome of a job whose submission is deferred, if it can be read without delaying other calls. A submission
      * repeated right after its acceptance is still admitted, and so finds the outcome without this read.
      */
-    private suspend fun readIfCheap(id: String): OutcomeRecord? = try {
-        readingStoredRecord { store.readOutcome(id, RequestPriority.BACKGROUND) }?.record
+    private suspend fun readInBackground(id: String): OutcomeRecord? = try {
+        readStoredRecord { store.readOutcome(id, RequestPriority.BACKGROUND) }?.record
     } catch (e: StoreException) {
         log.debug("{}: deferred without reading its outcome: {}", id, e.message)
         null
--- a/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
@@ -25,7 +25,7 @@
      */
     suspend fun submit(body: ByteArray): JobResponse {
         val spec = JobSpecCodec.decode(Cbor.decodeMap(body))
-        outcomes.terminal(spec.id)?.let { return statusReporter.status(spec.id, it) }
+        outcomes.cachedTerminal(spec.id)?.let { return statusReporter.status(spec.id, it) }
         val types = machineTypes() ?: return JobResponse.Unavailable
         if (!feasibility.canEverRun(spec, types)) {
             // An accepted job stays accepted, whatever the machine types have become since.
@@ -36,12 +36,12 @@
         return statusIfAccepted(spec.id) ?: submitDependent(spec.withKnownMachineTypes(types))
     }
 
-    private suspend fun statusIfAccepted(id: String): JobResponse? = outcomes.fresh(id)?.let { statusQuery.statusOf(id, it) }
+    private suspend fun statusIfAccepted(id: String): JobResponse? = outcomes.readFresh(id)?.let { statusQuery.statusOf(id, it) }
 
     private suspend fun submitIndependent(spec: JobSpec, types: List<MachineType>): JobResponse =
         when (val admission = deferral?.admit(spec) ?: AdmissionOutcome.Admitted) {
             AdmissionOutcome.Admitted -> accept(spec.withKnownMachineTypes(types), JobOutcome.OPEN)
-            is AdmissionOutcome.AcceptedBefore -> statusQuery.statusOf(spec.id, admission.record)
+            is AdmissionOutcome.AlreadyAccepted -> statusQuery.statusOf(spec.id, admission.record)
             is AdmissionOutcome.Deferred -> JobResponse.Deferred(admission.retryAfterSeconds)
         }
 
@@ -58,7 +58,7 @@
 
     private suspend fun accept(spec: JobSpec, outcome: JobOutcome): JobResponse = when (jobWriter.write(spec, outcome)) {
         JobWriteResult.WRITTEN -> {
-            deferral?.accepted(spec.id)
+            deferral?.recordAccepted(spec.id)
             JobResponse.Accepted(spec.id, if (outcome.isTerminal) JobState.CANCELLED else JobState.PENDING)
         }
         JobWriteResult.EXISTS -> reportAccepted(spec.id)
@@ -66,8 +66,8 @@
     }
 
     private suspend fun reportAccepted(id: String): JobResponse {
-        val record = outcomes.fresh(id) ?: return JobResponse.Unavailable
-        deferral?.accepted(id)
+        val record = outcomes.readFresh(id) ?: return JobResponse.Unavailable
+        deferral?.recordAccepted(id)
         return statusQuery.statusOf(id, record)
     }
 }
--- a/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
+++ b/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
@@ -31,7 +31,7 @@
         out.writeShort(progress.size)
         for ((jobId, counts) in progress) {
             writeText(out, jobId)
-            out.writeInt(counts.done)
+            out.writeInt(counts.completed)
             out.writeInt(counts.running)
         }
         return out
--- a/src/main/kotlin/linemast/planning/JobPlanner.kt
+++ b/src/main/kotlin/linemast/planning/JobPlanner.kt
@@ -19,9 +19,9 @@
      */
     fun plan(job: Job, due: Due, startupMicros: Long, previous: JobPlan?): JobPlan {
         // Tasks that already run are not planned again.
-        val tasks = (job.spec.taskCount - job.doneCount - job.placements.count { !it.isAssigned }).coerceAtLeast(0).toDouble()
+        val tasks = (job.spec.taskCount - job.completedCount - job.placements.count { !it.isAssigned }).coerceAtLeast(0).toDouble()
         if (job.spec.isGang) return planGang(job, tasks, due)
-        val shortfall = previous?.shortfall(job.doneCount, horizon.startMicros) ?: 0.0
+        val shortfall = previous?.shortfall(job.completedCount, horizon.startMicros) ?: 0.0
         return planArray(job, tasks, shortfall, due, startupMicros)
     }
 
@@ -38,7 +38,7 @@
             IntervalTargets(baseline, levelWithScaleOut(baseline, usable.indices, scaleOutTasks)),
             scaleOutSlots = scaleOutTasks / JobPlan.wholeTasksPerSlot(scaleOutSpanMicros, taskMicros),
             backupSlots = (firstSlots - forecast.freeSlotsNow(job)).coerceAtLeast(0.0),
-            PlannedProgress(job.doneCount, shortfall),
+            PlannedProgress(job.completedCount, shortfall),
             due.wallMicros,
         )
     }
@@ -86,7 +86,7 @@
             IntervalTargets(baseline, scaleOut),
             scaleOutSlots = scaleOut[0],
             backupSlots = if (fitsBaseline && forecast.freeSlotsNow(job) < tasks) tasks else 0.0,
-            PlannedProgress(job.doneCount, shortfall = 0.0),
+            PlannedProgress(job.completedCount, shortfall = 0.0),
             due.wallMicros,
         )
     }
--- a/src/main/kotlin/linemast/planning/ScaleOutDemand.kt
+++ b/src/main/kotlin/linemast/planning/ScaleOutDemand.kt
@@ -13,7 +13,7 @@
             val running = job.placements.count { !it.isAssigned && !isBaseline(it.machine) }
             // The plan's scale-out targets shrink as tasks are done; a task running on a scaled-out machine keeps its slot.
             val slots = maxOf(plan.scaleOutSlots + backupSlots, running.toDouble())
-            val remaining = (job.spec.taskCount - job.doneCount - granted).toDouble()
+            val remaining = (job.spec.taskCount - job.completedCount - granted).toDouble()
             return ScaleOutDemand(job, minOf(slots, remaining).coerceAtLeast(0.0))
         }
     }
--- a/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
@@ -42,7 +42,7 @@
         val maxVcpus = maxVcpusByTeam[job.spec.team]
         if (maxVcpus == null || job.spec.vcpus <= 0) return 1
         val maxSlots = maxVcpus / job.spec.vcpus
-        return Math.ceil((job.spec.taskCount - job.doneCount) / maxSlots).toInt().coerceAtLeast(1)
+        return Math.ceil((job.spec.taskCount - job.completedCount) / maxSlots).toInt().coerceAtLeast(1)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
@@ -18,11 +18,11 @@
         val spread = SpreadConstraint(job)
         var baselineLeft = baselineHeadroom(job, maxOnBaseline)
         for (machine in cycle.machines.candidates(job)) {
-            if (machine.baseline && baselineLeft <= 0) continue
+            if (machine.isBaseline && baselineLeft <= 0) continue
             if (cycle.machines.isWithheld(job.spec, machine) || cycle.isLeftToAnother(job, machine)) continue
             val placed = pack(machine, job, left, spread, cycle)
             left -= placed
-            if (machine.baseline) baselineLeft -= placed
+            if (machine.isBaseline) baselineLeft -= placed
             if (left == 0 || job.nextPending(0) < 0) {
                 job.pendingReason = null
                 return
@@ -32,7 +32,7 @@
     }
 
     private fun baselineHeadroom(job: Job, maxOnBaseline: Int?): Int =
-        if (maxOnBaseline == null) Int.MAX_VALUE else maxOnBaseline - job.placements.count { it.machine.baseline }
+        if (maxOnBaseline == null) Int.MAX_VALUE else maxOnBaseline - job.placements.count { it.machine.isBaseline }
 
     private fun reasonNotPlaced(job: Job, cycle: SchedulingCycle): PendingReason =
         if (cycle.machines.feasibleFor(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity
@@ -43,7 +43,7 @@
         var index = job.nextPending(0)
         while (placed < maxTasks && index >= 0 && machine.fits(job) && spread.allows(machine.zone)) {
             val placement = cycle.assign(machine, job, index, cluster.attemptNumbers.next())
-            placement.exemptFromPreemption = job.isStarving
+            placement.isExemptFromPreemption = job.isStarving
             spread.add(machine.zone)
             placed++
             index = job.nextPending(index + 1)
--- a/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
@@ -38,7 +38,7 @@
     init {
         val byKind = LinkedHashMap<MachineKind, MachinePool>()
         for ((position, machine) in machines.withIndex()) {
-            val kind = MachineKind(machine.type, machine.spot, machine.baseline)
+            val kind = MachineKind(machine.type, machine.spot, machine.isBaseline)
             val pool = byKind.getOrPut(kind) { MachinePool(kind) }
             pool.add(machine, position)
             poolOf[machine] = pool
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -173,7 +173,7 @@
     /** Adds a placement and counts its resources. */
     internal fun put(placement: Placement) {
         if (placement.isAssigned) assigned += placement
-        placement.machine.put(placement)
+        placement.machine.add(placement)
         placement.job?.add(placement)
         placement.job?.let { quota.add(it.spec) }
     }
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -45,7 +45,7 @@
         previousLeaderUntilMicros = nowMicros + degradedModeMicros + LeaderLease.driftMicros(degradedModeMicros)
         for (machine in registered) {
             machine.isRegistered = true
-            machine.inherited = true
+            machine.registeredByPreviousLeader = true
             // Until then a previous leader in degraded mode may renew the worker's lease.
             machine.leaseEndMicros = previousLeaderUntilMicros + timing.maxLeaseMicros
             unconfirmedMachines += machine
@@ -88,7 +88,7 @@
             complete(nowMicros)
         } else if (isChanged) {
             val shapes = unconfirmedMachines.mapTo(HashSet()) { it.shape }
-            for (job in cluster.jobs.values) if (job.unconfirmed) job.unconfirmed = shapes.any { it.allows(job.spec) }
+            for (job in cluster.jobs.values) if (job.hasUnconfirmedTasks) job.hasUnconfirmedTasks = shapes.any { it.allows(job.spec) }
             cluster.dirty = true
         }
         isChanged = false
@@ -113,12 +113,12 @@
     /** Zones where most registered machines are confirmed: a machine that is missing there is not cut off with its zone. */
     fun zonesMostlyReporting(): Set<String> {
         val unconfirmed = unconfirmedMachines.groupingBy { it.zone }.eachCount()
-        val registered = cluster.machines.values.filter { it.inherited }.groupingBy { it.zone }.eachCount()
+        val registered = cluster.machines.values.filter { it.registeredByPreviousLeader }.groupingBy { it.zone }.eachCount()
         return registered.filter { (zone, count) -> (unconfirmed[zone] ?: 0) * MAX_MISSING_PART <= count }.keys
     }
 
     /** Whether no unseen task of [job] can be on a machine: unconfirmed machines that cannot hold one do not matter. */
-    fun isReconciledFor(job: Job): Boolean = isReconciled || !job.unconfirmed
+    fun isReconciledFor(job: Job): Boolean = isReconciled || !job.hasUnconfirmedTasks
 
     /** Amounts that unseen tasks of previous leaders may use, by team: they count in full against the team's quota limit. */
     fun unconfirmedAmount(team: String, amount: (Job) -> Double): Double {
--- a/src/main/kotlin/linemast/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPlacement.kt
@@ -17,7 +17,7 @@
         val missing = gang.pendingCount
         val headroom = cycle.headroom.tasksOf(gang)
         // Zones of all feasible machines, not only of those with free capacity: preemption can free the others.
-        val zones = if (gang.spec.sameZone && gang.spec.taskCount > 1) cycle.machines.feasibleZones(gang) else listOf(null)
+        val zones = if (gang.spec.requiresSameZone && gang.spec.taskCount > 1) cycle.machines.feasibleZones(gang) else listOf(null)
         if (headroom >= missing) {
             placeWithinQuotaLimit(gang, zones, missing, cycle)
         } else {
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -74,7 +74,7 @@
     /** Unlike [isPreemptible], this includes tasks that are only assigned or already being stopped: their capacity counts as well. */
     private fun isLessUrgent(placement: Placement, gang: Job): Boolean {
         val job = placement.job ?: return false
-        return job.priority > gang.priority && !job.spec.isGang && !placement.exemptFromPreemption
+        return job.priority > gang.priority && !job.spec.isGang && !placement.isExemptFromPreemption
     }
 
     /** Whether preempting all less urgent tasks of [machine] frees enough: a cheap check that rules out most machines. */
--- a/src/main/kotlin/linemast/scheduling/GangReservation.kt
+++ b/src/main/kotlin/linemast/scheduling/GangReservation.kt
@@ -44,7 +44,7 @@
 
     /** A machine for each pending task, in one zone if the gang asks for that; null if there are too few. */
     private fun soonestFree(gang: Job, available: List<AvailableMachine>): Set<Machine>? {
-        val groups = if (gang.spec.sameZone) available.groupBy { it.machine.zone }.values else listOf(available)
+        val groups = if (gang.spec.requiresSameZone) available.groupBy { it.machine.zone }.values else listOf(available)
         return groups.map { it.take(gang.pendingCount) }
             .filter { it.size == gang.pendingCount }
             .minByOrNull { group -> group.maxOf { it.freeAfterMicros } }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
@@ -54,7 +54,7 @@
     private fun endIncarnation(machine: Machine) {
         if (machine.placements.isNotEmpty()) log.info("{}: new incarnation, {} tasks lost", machine.name, machine.placements.size)
         machine.placements.values.toList().forEach { if (!it.isAssigned) cluster.remove(it) }
-        machine.ended.clear()
+        machine.endedTasks.clear()
         machine.images.clear()
         cluster.dirty = true
     }
--- a/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
+++ b/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
@@ -13,8 +13,8 @@
             if (cluster.failover.isReconciledFor(job) && job.placements.isEmpty() && !progress.isWriting) effects.dropCancelled(job)
         } else if (!progress.isWriting && !progress.dirtyParts.isEmpty) {
             // Progress is stored at intervals: each write takes from what submissions and ends of jobs need.
-            if (!job.isDone && nowMicros < progress.writtenMicros + PROGRESS_INTERVAL_MICROS) return
-            progress.writtenMicros = nowMicros
+            if (!job.isDone && nowMicros < progress.lastWriteMicros + PROGRESS_INTERVAL_MICROS) return
+            progress.lastWriteMicros = nowMicros
             effects.storeDone(job)
         }
     }
--- a/src/main/kotlin/linemast/scheduling/JobReadiness.kt
+++ b/src/main/kotlin/linemast/scheduling/JobReadiness.kt
@@ -25,6 +25,6 @@
     private fun reasonNotReady(job: Job, nowMicros: Long): PendingReason = when {
         nowMicros < job.failureBackOff.untilMicros -> PendingReason.BackOff(job.failureBackOff.failures)
         !cluster.failover.isReconciledFor(job) -> PendingReason.UnconfirmedTasks
-        else -> PendingReason.NotOpened
+        else -> PendingReason.NotActivated
     }
 }
--- a/src/main/kotlin/linemast/scheduling/MachineInventory.kt
+++ b/src/main/kotlin/linemast/scheduling/MachineInventory.kt
@@ -21,7 +21,7 @@
 
     /** Adds a machine whose first heartbeat has come. */
     fun add(machine: Machine) {
-        machine.baseline = machine.name in baseline
+        machine.isBaseline = machine.name in baseline
         machine.draining = machine.name in scalingIn
         machines[machine.name] = machine
         cluster.dirty = true
@@ -39,7 +39,7 @@
     /** Sets which machines belong to the baseline fleet. */
     fun markBaseline(names: Set<String>) {
         baseline = names
-        machines.values.forEach { it.baseline = it.name in names }
+        machines.values.forEach { it.isBaseline = it.name in names }
     }
 
     /** The cloud has confirmed that these are gone. */
--- a/src/main/kotlin/linemast/scheduling/MachinePool.kt
+++ b/src/main/kotlin/linemast/scheduling/MachinePool.kt
@@ -7,7 +7,7 @@
 /** What machines that are candidates at the same place in the order have in common. */
 internal data class MachineKind(val type: MachineType, val spot: Boolean, val baseline: Boolean) {
     /** Whether tasks of [job] may run on machines of this kind. */
-    fun canHost(job: Job): Boolean = type.canHost(job.spec) && (job.spec.spot || !spot)
+    fun canHost(job: Job): Boolean = type.canHost(job.spec) && (job.spec.allowsSpot || !spot)
 }
 
 /** The machines of one kind, searchable by free vcpus. */
--- a/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -61,7 +61,7 @@
 
     private fun demandsOfOthers(type: MachineType, spot: Boolean, spec: JobSpec): List<Demand> {
         if (demands[spec.jobClass]?.typeNames?.contains(type.name) == true) return emptyList()
-        return demands.values.filter { type.name in it.typeNames && (it.spec.spot || !spot) }
+        return demands.values.filter { type.name in it.typeNames && (it.spec.allowsSpot || !spot) }
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/SpreadConstraint.kt
+++ b/src/main/kotlin/linemast/scheduling/SpreadConstraint.kt
@@ -7,7 +7,7 @@
     private val tasksByZone = HashMap<String, Int>()
 
     init {
-        if (job.spec.sameZone || job.spec.spread) job.placements.forEach { add(it.machine.zone) }
+        if (job.spec.requiresSameZone || job.spec.requiresSpread) job.placements.forEach { add(it.machine.zone) }
     }
 
     /** Counts a task placed in [zone]. */
@@ -17,7 +17,7 @@
 
     /** Whether one more task may be placed in [zone]. */
     fun allows(zone: String): Boolean {
-        if (job.spec.sameZone && tasksByZone.keys.any { it != zone }) return false
-        return !job.spec.spread || (tasksByZone[zone] ?: 0) < job.spec.maxTasksPerZone
+        if (job.spec.requiresSameZone && tasksByZone.keys.any { it != zone }) return false
+        return !job.spec.requiresSpread || (tasksByZone[zone] ?: 0) < job.spec.maxTasksPerZone
     }
 }
--- a/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -36,7 +36,7 @@
     }
 
     private fun isStarving(job: Job, wallMicros: Long): Boolean {
-        val isStarted = job.doneCount > 0 || job.placements.any { !it.isAssigned }
+        val isStarted = job.completedCount > 0 || job.placements.any { !it.isAssigned }
         if (isStarted) return false
         val ageMicros = wallMicros - job.readyWallMicros
         return if (job.spec.isGang) isGangStarving(job, ageMicros) else ageMicros > ARRAY_STARVING_MICROS
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -23,7 +23,7 @@
     /** The commands for the response to a heartbeat of [machine]; starts only if [mayStart]. */
     fun commandsFor(machine: Machine, mayStart: Boolean, nowMicros: Long): List<Command> {
         val commands = ArrayList<Command>()
-        for (task in machine.ended.values) {
+        for (task in machine.endedTasks.values) {
             if (mayAcknowledge(machine, task, nowMicros)) commands += Command.Acknowledge(task.task, task.attempt)
         }
         cluster.recovery?.count(ReconciliationStatistics.Command.ACKNOWLEDGE, commands.size)
@@ -62,7 +62,7 @@
         val job = cluster.jobs[task.task.job] ?: return mayDiscard(task.task.job, nowMicros)
         if (job.cancelled || job.finished) return true
         if (job.spec.isGang) job.gangAttempt.recordAcknowledgement(machine, task.attempt)
-        if (task.cause != EndCause.DONE) return true
+        if (task.cause != EndCause.COMPLETED) return true
         val part = CompletedTaskParts.partOf(task.task.index)
         return !job.storedProgress.dirtyParts.get(part) && !job.storedProgress.isWriting
     }
@@ -95,7 +95,7 @@
     /** Whether nothing that the task could still do is of use. */
     private fun isObsolete(placement: Placement, job: Job): Boolean = job.cancelled ||
         job.finished ||
-        job.done.get(placement.task.index) ||
+        job.completedTasks.get(placement.task.index) ||
         (job.spec.isGang && placement.attempt < job.gangAttempt.number)
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -20,7 +20,7 @@
         if (job == null) cluster.recovery?.countUnknown(task.key)
         if (job == null || task.task.index >= job.spec.taskCount) return
         when (task.cause) {
-            EndCause.DONE -> completed(machine, job, task, placement, nowMicros)
+            EndCause.COMPLETED -> completed(machine, job, task, placement, nowMicros)
             EndCause.FAILED -> failed(machine, job, nowMicros)
             else -> if (placement != null) log.debug("{}: ended on {}: {}", task.task, machine.name, task.cause)
         }
@@ -34,7 +34,7 @@
         // A gang completes together: the end of one of its tasks is the end of all.
         val indices = if (job.spec.isGang) 0 until job.spec.taskCount else task.task.index..task.task.index
         for (index in indices) {
-            if (!job.markDone(index)) continue
+            if (!job.markCompleted(index)) continue
             job.storedProgress.dirtyParts.set(CompletedTaskParts.partOf(index))
             cluster.recovery?.count(ReconciliationStatistics.Difference.RESULT)
         }
--- a/src/main/kotlin/linemast/scheduling/TaskPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskPreemption.kt
@@ -26,7 +26,7 @@
 
 /** Whether the task may be preempted: it is on its machine, not being stopped yet, not exempt, and not part of a gang. */
 internal val Placement.isPreemptible: Boolean
-    get() = stopReason == null && !isAssigned && !exemptFromPreemption && job?.spec?.isGang == false
+    get() = stopReason == null && !isAssigned && !isExemptFromPreemption && job?.spec?.isGang == false
 
 /** Vcpus that the task requests; 0 if its job is unknown. */
 internal val Placement.requestedVcpus: Double
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -17,12 +17,12 @@
     /** Takes all tasks of an accepted heartbeat: found ones are adopted, missing ones are lost. */
     fun reconcile(machine: Machine, heartbeat: Heartbeat, nowMicros: Long) {
         val reported = HashSet<TaskAttempt>()
-        machine.ended.clear()
+        machine.endedTasks.clear()
         for (task in heartbeat.tasks) {
             reported += task.key
             val placement = machine.placements[task.key]
             if (task.state == TaskState.ENDED) {
-                machine.ended[task.key] = task
+                machine.endedTasks[task.key] = task
                 taskEndings.ended(machine, task, placement, nowMicros)
             } else {
                 advance(placement ?: adopt(machine, task, nowMicros), task, nowMicros)
@@ -66,7 +66,7 @@
     /** Where a delayed copy looks like a heartbeat, a start is not taken for lost before heartbeats had time to show it. */
     private fun isLost(placement: Placement, reported: Set<TaskAttempt>, nowMicros: Long): Boolean {
         if (placement.key in reported || placement.isAssigned) return false
-        return !placement.machine.heartbeats.isAmbiguous || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
+        return !placement.machine.heartbeats.reusesIncarnations || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
     }
 
     private fun lost(placement: Placement) {
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -19,64 +19,65 @@
  * behind other calls.
  */
 class KeyValueStoreClient(loop: EventLoop, address: Address, limits: StoreLimits, controllers: Int, clock: Clock) : KeyValueStore {
-    private val calls = HttpClient(loop, address, MAX_CALLS, MAX_REPLY_BYTES)
+    private val calls = HttpClient(loop, address, MAX_CALL_CONNECTIONS, MAX_RESPONSE_BYTES)
     private val leaseCalls = HttpClient(loop, address, 1)
-    private val watches = HttpClient(loop, address, MAX_WATCHES, MAX_REPLY_BYTES)
+    private val watches = HttpClient(loop, address, MAX_WATCH_CONNECTIONS, MAX_RESPONSE_BYTES)
     private val rateLimiter = StoreRateLimiter(limits, controllers, clock)
 
     /** Sets whether this controller leads: the leader may write more than the others. */
     fun setLeader(isLeader: Boolean) = rateLimiter.setLeader(isLeader)
 
     override suspend fun get(key: String, priority: RequestPriority): Entry? {
-        val reply = call(calls, "GET", StoreCodec.entryPath(key), null, priority)
-        if (reply.status == HttpStatus.NOT_FOUND) return null
-        return decode(reply, StoreCodec::decodeEntry)
+        val response = call(calls, "GET", StoreCodec.entryPath(key), null, priority)
+        if (response.status == HttpStatus.NOT_FOUND) return null
+        return decode(response, StoreCodec::decodeEntry)
     }
 
     override suspend fun list(prefix: String, after: String?): EntryPage {
-        val reply = call(calls, "GET", StoreCodec.listPath(prefix, after), null, RequestPriority.NORMAL)
-        return decode(reply, StoreCodec::decodePage)
+        val response = call(calls, "GET", StoreCodec.listPath(prefix, after), null, RequestPriority.NORMAL)
+        return decode(response, StoreCodec::decodePage)
     }
 
     override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
         rateLimiter.awaitWrites(writes.size, priority)
         val body = StoreCodec.encodeTransaction(preconditions, writes)
-        val reply = call(calls, "POST", StoreCodec.COMMIT_PATH, body, priority)
-        return when (reply.status) {
-            HttpStatus.OK -> decode(reply, StoreCodec::decodeApplied)
-            HttpStatus.CONFLICT -> CommitResult.Conflict(failedKeys(reply))
-            HttpStatus.BAD_REQUEST -> if (writes.any { it is Write.Put && it.lease != null }) CommitResult.NoSuchLease else refuse(reply)
-            else -> refuse(reply)
+        val response = call(calls, "POST", StoreCodec.COMMIT_PATH, body, priority)
+        return when (response.status) {
+            HttpStatus.OK -> decode(response, StoreCodec::decodeApplied)
+            HttpStatus.CONFLICT -> CommitResult.Conflict(failedKeys(response))
+            HttpStatus.BAD_REQUEST ->
+                if (writes.any { it is Write.Put && it.lease != null }) CommitResult.NoSuchLease else throwErrorStatus(response)
+            else -> throwErrorStatus(response)
         }
     }
 
     /** The status alone says that nothing was applied; a body that cannot be read only leaves the keys unknown. */
-    private fun failedKeys(reply: HttpReply): List<String> =
-        runCatching { StoreCodec.decodeFailedKeys(reply.fields()) }.getOrDefault(emptyList())
+    private fun failedKeys(response: HttpReply): List<String> =
+        runCatching { StoreCodec.decodeFailedKeys(response.fields()) }.getOrDefault(emptyList())
 
     override suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult {
         val path = StoreCodec.watchPath(prefix, afterRevision, waitMicros)
-        val reply = call(watches, "GET", path, null, RequestPriority.NORMAL, waitMicros + WATCH_REPLY_MARGIN_MICROS)
-        if (reply.status == HttpStatus.GONE) return WatchResult.TooOld
-        return decode(reply, StoreCodec::decodeChanges)
+        val response = call(watches, "GET", path, null, RequestPriority.NORMAL, waitMicros + WATCH_RESPONSE_MARGIN_MICROS)
+        if (response.status == HttpStatus.GONE) return WatchResult.TooOld
+        return decode(response, StoreCodec::decodeChanges)
     }
 
     override suspend fun grantLease(ttlMicros: Long): Long {
         val body = StoreCodec.encodeLeaseGrant(ttlMicros)
-        val reply = call(leaseCalls, "POST", StoreCodec.LEASES_PATH, body, RequestPriority.CRITICAL)
-        return decode(reply, StoreCodec::decodeLease)
+        val response = call(leaseCalls, "POST", StoreCodec.LEASES_PATH, body, RequestPriority.CRITICAL)
+        return decode(response, StoreCodec::decodeLease)
     }
 
     override suspend fun renewLease(lease: Long): Boolean {
-        val reply = call(leaseCalls, "POST", StoreCodec.leaseRenewalPath(lease), StoreCodec.encodeEmpty(), RequestPriority.CRITICAL)
-        if (reply.status == HttpStatus.NOT_FOUND) return false
-        if (reply.status != HttpStatus.OK) refuse(reply)
+        val response = call(leaseCalls, "POST", StoreCodec.leaseRenewalPath(lease), StoreCodec.encodeEmpty(), RequestPriority.CRITICAL)
+        if (response.status == HttpStatus.NOT_FOUND) return false
+        if (response.status != HttpStatus.OK) throwErrorStatus(response)
         return true
     }
 
     override suspend fun revokeLease(lease: Long) {
-        val reply = call(leaseCalls, "DELETE", StoreCodec.leasePath(lease), null, RequestPriority.CRITICAL)
-        if (reply.status != HttpStatus.OK && reply.status != HttpStatus.NOT_FOUND) refuse(reply)
+        val response = call(leaseCalls, "DELETE", StoreCodec.leasePath(lease), null, RequestPriority.CRITICAL)
+        if (response.status != HttpStatus.OK && response.status != HttpStatus.NOT_FOUND) throwErrorStatus(response)
     }
 
     /** The reply to a request, once it may be sent; fails if none comes or the store takes no calls now. */
@@ -89,34 +90,34 @@
         timeoutMicros: Long = CALL_TIMEOUT_MICROS,
     ): HttpReply {
         rateLimiter.awaitRequest(priority)
-        val reply = try {
+        val response = try {
             client.call(method, path, body, timeoutMicros)
         } catch (e: NoAnswerException) {
-            throw StoreException.NoAnswer(e.message ?: "no answer")
+            throw StoreException.NoResponse(e.message ?: "no answer")
         }
-        if (reply.status == HttpStatus.TOO_MANY_REQUESTS) rateLimiter.onRefused(isCommit = path == StoreCodec.COMMIT_PATH)
-        if (reply.status == HttpStatus.SERVICE_UNAVAILABLE || reply.status == HttpStatus.TOO_MANY_REQUESTS) refuse(reply)
-        return reply
+        if (response.status == HttpStatus.TOO_MANY_REQUESTS) rateLimiter.onRefused(isCommit = path == StoreCodec.COMMIT_PATH)
+        if (response.status == HttpStatus.SERVICE_UNAVAILABLE || response.status == HttpStatus.TOO_MANY_REQUESTS) throwErrorStatus(response)
+        return response
     }
 
-    private fun refuse(reply: HttpReply): Nothing = throw StoreException.Refused(reply.status)
+    private fun throwErrorStatus(response: HttpReply): Nothing = throw StoreException.ErrorStatus(response.status)
 
-    private inline fun <T> decode(reply: HttpReply, decodeBody: (Fields) -> T): T {
-        if (reply.status != HttpStatus.OK) refuse(reply)
+    private inline fun <T> decode(response: HttpReply, decodeBody: (Fields) -> T): T {
+        if (response.status != HttpStatus.OK) throwErrorStatus(response)
         return try {
-            decodeBody(reply.fields())
+            decodeBody(response.fields())
         } catch (e: MalformedException) {
-            throw StoreException.MalformedAnswer(e)
+            throw StoreException.MalformedResponse(e)
         }
     }
 
     private companion object {
-        const val MAX_CALLS = 6
-        const val MAX_WATCHES = 3
-        const val MAX_REPLY_BYTES = 4 * 1024 * 1024
+        const val MAX_CALL_CONNECTIONS = 6
+        const val MAX_WATCH_CONNECTIONS = 3
+        const val MAX_RESPONSE_BYTES = 4 * 1024 * 1024
         const val CALL_TIMEOUT_MICROS = 2 * SECOND_MICROS
 
         /** How much longer than a watch itself its reply may take. */
-        const val WATCH_REPLY_MARGIN_MICROS = 5 * SECOND_MICROS
+        const val WATCH_RESPONSE_MARGIN_MICROS = 5 * SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/store/RetryPolicy.kt
+++ b/src/main/kotlin/linemast/store/RetryPolicy.kt
@@ -23,16 +23,16 @@
      * Failures are logged to [log], after the name of the [operation] if one is given.
      */
     suspend fun <T : Any> untilResult(log: Logger, operation: String? = null, call: suspend () -> T?): T {
-        while (true) retryingOnce(log, operation, call)?.let { return it }
+        while (true) tryOnce(log, operation, call)?.let { return it }
     }
 
     /** Repeats [call] until the coroutine is cancelled; only a failure is followed by a wait. */
     suspend fun repeatForever(log: Logger, operation: String? = null, call: suspend () -> Unit): Nothing {
-        while (true) retryingOnce(log, operation, call)
+        while (true) tryOnce(log, operation, call)
     }
 
     /** The result of one [call]; without one, null after the wait that its failure asks for. */
-    private suspend fun <T> retryingOnce(log: Logger, operation: String?, call: suspend () -> T?): T? {
+    private suspend fun <T> tryOnce(log: Logger, operation: String?, call: suspend () -> T?): T? {
         val waitMillis = try {
             call()?.let { return it }
             delayMillis
--- a/src/main/kotlin/linemast/store/StoreException.kt
+++ b/src/main/kotlin/linemast/store/StoreException.kt
@@ -8,7 +8,7 @@
     abstract val mayHaveExecuted: Boolean
 
     /** The store answered with the HTTP [status], which stands for an error: it did not execute the request. */
-    class Refused(val status: Int) : StoreException("the key-value store answered $status") {
+    class ErrorStatus(val status: Int) : StoreException("the key-value store answered $status") {
         override val mayHaveExecuted get() = false
     }
 
@@ -18,12 +18,12 @@
     }
 
     /** No answer arrived, in time or at all. */
-    class NoAnswer(message: String) : StoreException(message) {
+    class NoResponse(message: String) : StoreException(message) {
         override val mayHaveExecuted get() = true
     }
 
     /** The store answered with success, but with a body that does not follow its protocol. */
-    class MalformedAnswer(cause: MalformedException) :
+    class MalformedResponse(cause: MalformedException) :
         StoreException("malformed answer from the key-value store: ${cause.message}", cause) {
         override val mayHaveExecuted get() = true
     }
--- a/src/main/kotlin/linemast/store/TokenBucket.kt
+++ b/src/main/kotlin/linemast/store/TokenBucket.kt
@@ -30,8 +30,8 @@
     /** How long until [count] tokens can be taken if nobody else takes any. */
     fun waitMicros(count: Int, priority: RequestPriority, nowMicros: Long): Long {
         refill(nowMicros)
-        val wanted = minOf(count + reservedTokens(priority), ratePerSecond)
-        return if (tokens >= wanted) 0 else ((wanted - tokens) / ratePerSecond * SECOND_MICROS).toLong() + 1
+        val required = minOf(count + reservedTokens(priority), ratePerSecond)
+        return if (tokens >= required) 0 else ((required - tokens) / ratePerSecond * SECOND_MICROS).toLong() + 1
     }
 
     private fun reservedTokens(priority: RequestPriority) = ratePerSecond * priority.reservedShare
--- a/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
+++ b/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
@@ -19,7 +19,7 @@
         "ended" to TaskState.ENDED,
     )
     private val causes = mapOf(
-        "done" to EndCause.DONE,
+        "done" to EndCause.COMPLETED,
         "halted" to EndCause.STOPPED,
         "mates_gone" to EndCause.GANG_LOST,
         "alone" to EndCause.GANG_INCOMPLETE,
@@ -32,7 +32,7 @@
     /** Reads the body of a heartbeat. Throws [MalformedException] if a field is missing or has a wrong form. */
     fun decode(fields: Fields) = Heartbeat(
         machineName = fields.text("rig"),
-        addr = fields.textOrNull("addr") ?: "",
+        address = fields.textOrNull("addr") ?: "",
         machineType = fields.text("build"),
         zone = fields.text("yard"),
         spot = fields.flagOrNull("loaners") ?: false,
--- a/src/main/kotlin/linemast/workers/MachineRegistryCodec.kt
+++ b/src/main/kotlin/linemast/workers/MachineRegistryCodec.kt
@@ -20,7 +20,7 @@
     fun decode(fields: Fields, types: Map<String, MachineType>): Machine? {
         val type = types[fields.text("build")] ?: return null
         val machine = Machine(fields.text("rig"), type, fields.text("yard"), fields.flag("loaners"))
-        machine.baseline = fields.flag("owned")
+        machine.isBaseline = fields.flag("owned")
         return machine
     }
 
@@ -30,7 +30,7 @@
         "build" to machine.type.name,
         "yard" to machine.zone,
         "loaners" to machine.spot,
-        "owned" to machine.baseline,
+        "owned" to machine.isBaseline,
     )
 
     /** Bytes that an entry adds to a chunk in the JSON form, with the comma behind it. */
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -40,12 +40,12 @@
                 cancelled = false,
             )
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
+        client.commit(emptyList(), listOf(Write.Put(JobKeys.blocked("req-2"), JobRecordCodec.encode(blocked))))
         val fixture = ClusterFixture()
         val first = fixture.submit("req-1", 2)
         FakeWorker(fixture, "host-000001").heartbeatFor(3)
         val coordinator = coordinator(client, fixture)
-        coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
+        coordinator.load(client.list(JobKeys.BLOCKED_PREFIX, null).entries)
         coordinator.step()
         assertEquals(listOf("req-2"), fixture.cluster.waitingStages.map { it.job.id })
         assertEquals(JobPriority.HIGH, first.priority)
@@ -55,7 +55,7 @@
         testScheduler.advanceTimeBy(1_000)
         assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves it")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
-        coordinator.changed(KeyChange(JobKeys.waiting("req-2"), null, 9))
+        coordinator.changed(KeyChange(JobKeys.blocked("req-2"), null, 9))
         fixture.pass(2_000_000)
         coordinator.step()
         assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
@@ -76,16 +76,16 @@
         val inner = store.clientOf("mast-0")
         val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, activated = false, cancelled = false)
         inner.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
+        inner.commit(emptyList(), listOf(Write.Put(JobKeys.blocked("req-2"), JobRecordCodec.encode(blocked))))
         val racing = object : KeyValueStore by inner {
             override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-                inner.commit(emptyList(), listOf(Write.Delete(JobKeys.waiting("req-2"))))
+                inner.commit(emptyList(), listOf(Write.Delete(JobKeys.blocked("req-2"))))
                 return inner.commit(preconditions, writes, priority)
             }
         }
         val fixture = ClusterFixture()
         val coordinator = coordinator(racing, fixture)
-        coordinator.load(inner.list(JobKeys.WAITING_PREFIX, null).entries)
+        coordinator.load(inner.list(JobKeys.BLOCKED_PREFIX, null).entries)
         coordinator.jobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(5_000)
         assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "nothing brings it back")
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -58,20 +58,23 @@
         write(store, graph)
         val services = List(3) { at -> service(RateLimitedStore(store.clientOf("mast-$at"), clock), clock) }
         val ids = graph.dependencies.indices.map(::id)
-        val asked = ids.shuffled(Random(6)).take(30) + ids.last()
-        val calm = poll(services, asked, rounds = 4)
+        val polledIds = ids.shuffled(Random(6)).take(30) + ids.last()
+        val statesBefore = poll(services, polledIds, rounds = 4)
         assertTrue(
-            calm.count {
+            statesBefore.count {
                 it == "pending"
-            } > calm.size * 9 / 10,
-            "answered while nothing is cancelled: ${calm.groupingBy { it }.eachCount()}",
+            } > statesBefore.size * 9 / 10,
+            "answered while nothing is cancelled: ${statesBefore.groupingBy { it }.eachCount()}",
         )
         assertEquals("withdrawn", status(services[0], "POST", "/v1/jobs/${ids.first()}/cancel"))
         val cancelledMicros = clock.nowMicros()
-        while (clock.nowMicros() < cancelledMicros + CANCEL_MICROS) poll(services, asked.take(3), rounds = 1)
-        val late = poll(services, asked, rounds = 4)
-        assertTrue("pending" !in late, "called pending: ${late.groupingBy { it }.eachCount()}")
-        assertTrue(late.count { it == "withdrawn" } > late.size * 9 / 10, "answered: ${late.groupingBy { it }.eachCount()}")
+        while (clock.nowMicros() < cancelledMicros + CANCELLATION_MICROS) poll(services, polledIds.take(3), rounds = 1)
+        val statesAfter = poll(services, polledIds, rounds = 4)
+        assertTrue("pending" !in statesAfter, "called pending: ${statesAfter.groupingBy { it }.eachCount()}")
+        assertTrue(
+            statesAfter.count { it == "withdrawn" } > statesAfter.size * 9 / 10,
+            "answered: ${statesAfter.groupingBy { it }.eachCount()}",
+        )
     }
 
     /** The last jobs of a pipeline may be submitted when its root is cancelled for long and nobody was there to pass that on. */
@@ -83,12 +86,12 @@
         write(store, graph)
         val last = graph.dependencies.lastIndex
         assertEquals("withdrawn", status(service(store.clientOf("mast-1"), clock), "POST", "/v1/jobs/${id(0)}/cancel"))
-        delay(CANCEL_MICROS / 1_000)
+        delay(CANCELLATION_MICROS / 1_000)
         val job = JobSpecCodec.encode(testSpec(id(last + 1), "awaits" to listOf(id(last))))
         val service = service(RateLimitedStore(store.clientOf("mast-0"), clock), clock)
-        val answers = List(5) { status(service, "POST", "/v1/jobs", Cbor.encode(job)).also { delay(1_000) } }
-        assertEquals("withdrawn", answers.last(), "$answers")
-        assertTrue("pending" !in answers, "$answers")
+        val states = List(5) { status(service, "POST", "/v1/jobs", Cbor.encode(job)).also { delay(1_000) } }
+        assertEquals("withdrawn", states.last(), "$states")
+        assertTrue("pending" !in states, "$states")
     }
 
     /** Once a check passed its cancellation on to whoever waited for it: a user of the simulation then asked no more. */
@@ -98,7 +101,11 @@
         val store = SimStore(backgroundScope, clock, Random(8))
         write(store, Graph.CHAIN)
         val controller = CoroutineScope(backgroundScope.coroutineContext + Job())
-        val check = DependencyCheck(OutcomeReader(store.clientOf("mast-0"), controller, clock, CANCEL_MICROS), controller, CANCEL_MICROS)
+        val check = DependencyCheck(
+            OutcomeReader(store.clientOf("mast-0"), controller, clock, CANCELLATION_MICROS),
+            controller,
+            CANCELLATION_MICROS,
+        )
         val caller = async { runCatching { check.dependsOnCancelled(listOf(id(400))) } }
         delay(5)
         controller.cancel()
@@ -125,7 +132,7 @@
         for ((at, dependencies) in graph.dependencies.withIndex()) {
             val spec = testSpec(id(at), "awaits" to dependencies.map(::id))
             val record = JobRecord(spec, 0, activated = false, cancelled = false)
-            val key = if (dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.waiting(spec.id)
+            val key = if (dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.blocked(spec.id)
             val outcome = OutcomeRecord(JobOutcome.OPEN, spec.taskCount, spec.dependencies)
             client.commit(
                 emptyList(),
@@ -138,7 +145,7 @@
     }
 
     private fun TestScope.service(store: KeyValueStore, clock: Clock) = JobService(
-        settings = JobServiceSettings(mapOf("team" to Team("team", 8.0, 16.0, 0.0, 0.0)), VALUE_BYTES, CANCEL_MICROS),
+        settings = JobServiceSettings(mapOf("team" to Team("team", 8.0, 16.0, 0.0, 0.0)), VALUE_BYTES, CANCELLATION_MICROS),
         store = store,
         scope = backgroundScope,
         clock = clock,
@@ -151,7 +158,7 @@
     private class RateLimitedStore(private val store: KeyValueStore, private val clock: Clock) : KeyValueStore by store {
         private val requests = TokenBucket(REQUESTS_PER_SECOND)
 
-        private suspend fun enter(priority: RequestPriority) {
+        private suspend fun awaitToken(priority: RequestPriority) {
             val deadline = clock.nowMicros() + priority.queueTimeoutMicros
             while (!requests.tryTake(1, priority, clock.nowMicros())) {
                 val wait = requests.waitMicros(1, priority, clock.nowMicros())
@@ -161,35 +168,35 @@
         }
 
         override suspend fun get(key: String, priority: RequestPriority): Entry? {
-            enter(priority)
+            awaitToken(priority)
             return store.get(key, priority)
         }
 
         /** Pages as large as the store gives them, where its stand-in gives few records a page. */
         override suspend fun list(prefix: String, after: String?): EntryPage {
-            enter(RequestPriority.NORMAL)
+            awaitToken(RequestPriority.NORMAL)
             val entries = ArrayList<Entry>()
             var page = store.list(prefix, after)
             val revision = page.revision
             while (true) {
                 entries += page.entries
-                if (!page.truncated || entries.size >= PAGE_ITEMS) return EntryPage(entries, page.truncated, revision)
+                if (!page.truncated || entries.size >= PAGE_ENTRIES) return EntryPage(entries, page.truncated, revision)
                 page = store.list(prefix, entries.last().key)
             }
         }
 
         override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-            enter(priority)
+            awaitToken(priority)
             return store.commit(preconditions, writes, priority)
         }
     }
 
     private companion object {
         const val WIDTH = 64
-        const val CANCEL_MICROS = 36_000_000L
+        const val CANCELLATION_MICROS = 36_000_000L
         const val VALUE_BYTES = 8 * 1024
         const val REQUESTS_PER_SECOND = 30.0
-        const val PAGE_ITEMS = 500
+        const val PAGE_ENTRIES = 500
         val TYPES = listOf(MachineType("t", 8.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("z")))
 
         fun id(at: Int) = "req-%06d".format(at)
--- a/src/test/kotlin/linemast/jobs/JobCancellationTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobCancellationTest.kt
@@ -22,19 +22,19 @@
         for (at in 2..9) submit(jobService(store), job("name_id" to id(at), "awaits" to listOf(id(at - 1))))
         for (at in 10..29) submit(jobService(store), job("name_id" to id(at), "awaits" to listOf(id(9))))
         submit(jobService(store), job("name_id" to id(30), "awaits" to (10..29).map(::id)))
-        assertEquals("pending", state(jobService(store), id(30)))
+        assertEquals("pending", queryState(jobService(store), id(30)))
         assertEquals(200, cancel(jobService(store), id(1)))
-        assertEquals("withdrawn", state(jobService(store), id(30)))
+        assertEquals("withdrawn", queryState(jobService(store), id(30)))
         assertEquals("withdrawn", store.valueOf("j/${id(30)}")?.text("verdict"))
-        for (at in 2..29) assertEquals("withdrawn", state(jobService(store), id(at)))
+        for (at in 2..29) assertEquals("withdrawn", queryState(jobService(store), id(at)))
         assertEquals(emptySet<String>(), store.keysUnder("w/"))
-        val late = jobService(store)
+        val newController = jobService(store)
         assertEquals(
             201,
-            submit(late, job("name_id" to id(31), "awaits" to listOf(id(30)))),
+            submit(newController, job("name_id" to id(31), "awaits" to listOf(id(30)))),
             "accepted although it depends on a cancelled job",
         )
-        assertEquals("withdrawn", state(late, id(31)))
+        assertEquals("withdrawn", queryState(newController, id(31)))
         assertEquals(setOf("o/${id(1)}"), store.keysUnder("o/"))
     }
 
@@ -44,13 +44,13 @@
         val store = store()
         submit(jobService(store), job())
         submit(jobService(store), job("name_id" to "req-000002", "awaits" to listOf("req-000001")))
-        val other = jobService(store)
+        val otherController = jobService(store)
         val inner = store.clientOf("mast-0")
-        val slow = object : KeyValueStore by inner {
+        val cancellingStore = object : KeyValueStore by inner {
             override suspend fun get(key: String, priority: RequestPriority): Entry? =
-                inner.get(key, priority).also { if (key == "j/req-000001") assertEquals(200, cancel(other, "req-000002")) }
+                inner.get(key, priority).also { if (key == "j/req-000001") assertEquals(200, cancel(otherController, "req-000002")) }
         }
-        assertEquals("withdrawn", state(jobService(slow), "req-000002"))
+        assertEquals("withdrawn", queryState(jobService(cancellingStore), "req-000002"))
     }
 
     /** The leader releases a waiting job while its cancellation through another controller is on its way. */
@@ -60,19 +60,19 @@
         submit(jobService(store), job())
         submit(jobService(store), job("name_id" to "req-000002", "awaits" to listOf("req-000001")))
         val inner = store.clientOf("mast-0")
-        val waiting = JobRecordCodec.decode(requireNotNull(inner.get(JobKeys.waiting("req-000002"))).value)
+        val blocked = JobRecordCodec.decode(requireNotNull(inner.get(JobKeys.blocked("req-000002"))).value)
         var isReleased = false
-        val racing = object : KeyValueStore by inner {
+        val releasingStore = object : KeyValueStore by inner {
             override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
                 if (!isReleased) {
                     isReleased = true
-                    val released = Write.Put(JobKeys.open("req-000002"), JobRecordCodec.encode(waiting.released(5)))
-                    inner.commit(emptyList(), listOf(released, Write.Delete(JobKeys.waiting("req-000002"))))
+                    val released = Write.Put(JobKeys.open("req-000002"), JobRecordCodec.encode(blocked.released(5)))
+                    inner.commit(emptyList(), listOf(released, Write.Delete(JobKeys.blocked("req-000002"))))
                 }
                 return inner.commit(preconditions, writes, priority)
             }
         }
-        assertEquals(200, cancel(jobService(racing), "req-000002"))
+        assertEquals(200, cancel(jobService(releasingStore), "req-000002"))
         assertEquals("withdrawn", store.valueOf(JobKeys.outcome("req-000002"))?.text("verdict"))
         assertEquals(true, store.valueOf(JobKeys.open("req-000002"))?.flag("withdrawn"), "the leader sees the cancellation")
         assertEquals(emptySet<String>(), store.keysUnder("w/"))
--- a/src/test/kotlin/linemast/jobs/JobDependencySubmissionTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobDependencySubmissionTest.kt
@@ -16,28 +16,28 @@
     fun `a job with dependencies is accepted only if all of them were accepted, and is stored as waiting`() = runTest {
         val store = store()
         val jobService = jobService(store)
-        fun child(id: Int, vararg dependencies: Int) = job(
+        fun dependentJob(id: Int, vararg dependencies: Int) = job(
             "name_id" to "req-%06d".format(id),
             "awaits" to dependencies.map { "req-%06d".format(it) },
         )
         submit(jobService, job())
-        assertEquals(listOf(201, 200), listOf(submit(jobService, child(2, 1, 1)), submit(jobService, child(2, 1))))
+        assertEquals(listOf(201, 200), listOf(submit(jobService, dependentJob(2, 1, 1)), submit(jobService, dependentJob(2, 1))))
         assertEquals(
             listOf(422, 422),
-            listOf(submit(jobService, child(3, 1, 9)), submit(jobService, child(3, 3))),
+            listOf(submit(jobService, dependentJob(3, 1, 9)), submit(jobService, dependentJob(3, 3))),
             "never accepted, itself included",
         )
-        assertEquals(200, submit(jobService, child(2, 9)), "a repeated submission gets the status, whatever it names")
-        for (bad in listOf("req-000001", listOf("nonsense"), listOf(1), List(65) { "req-$it" })) {
+        assertEquals(200, submit(jobService, dependentJob(2, 9)), "a repeated submission gets the status, whatever it names")
+        for (malformed in listOf("req-000001", listOf("nonsense"), listOf(1), List(65) { "req-$it" })) {
             assertThrows(MalformedException::class.java, {
-                runBlocking { submit(jobService, job("name_id" to "req-000004", "awaits" to bad)) }
-            }, "$bad")
+                runBlocking { submit(jobService, job("name_id" to "req-000004", "awaits" to malformed)) }
+            }, "$malformed")
         }
         assertEquals(201, submit(jobService, job("name_id" to "req-000004", "awaits" to emptyList<String>())))
         assertEquals(setOf("o/req-000001", "o/req-000004"), store.keysUnder("o/"), "a waiting job is not among those that may start")
         assertEquals(setOf("w/req-000002"), store.keysUnder("w/"))
         store.startOutage()
-        assertEquals(503, submit(jobService, child(5, 1)), "the dependencies cannot be read")
+        assertEquals(503, submit(jobService, dependentJob(5, 1)), "the dependencies cannot be read")
     }
 
     /** Dependencies of another team, long done, or just accepted by another controller, at a controller that has read none of them. */
@@ -51,7 +51,7 @@
         store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/${id(3)}", done)))
         val names = listOf(id(1), id(2), id(3))
         assertEquals(201, submit(jobService(store), job("name_id" to id(4), "awaits" to names)))
-        assertEquals("pending", state(jobService(store), id(4)))
+        assertEquals("pending", queryState(jobService(store), id(4)))
         for (at in 5..67) submit(jobService(store), job("name_id" to id(at)))
         val all = (5..67).map(::id)
         assertEquals(201, submit(jobService(store), job("name_id" to id(80), "awaits" to all)), "as many as may be named")
--- a/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
@@ -19,10 +19,14 @@
         println("seed $seed")
         val random = Random(seed)
         repeat(300) {
-            val record =
-                JobRecord(JobSpecCodec.decode(Fields(job(random))), random.nextLong(1L shl 50), random.nextBoolean(), random.nextBoolean())
-            val again = JobRecordCodec.decode(Cbor.decodeMap(Cbor.encode(JobRecordCodec.encode(record))))
-            assertEquals(JobRecordCodec.encode(record), JobRecordCodec.encode(again))
+            val record = JobRecord(
+                JobSpecCodec.decode(Fields(randomJob(random))),
+                random.nextLong(1L shl 50),
+                random.nextBoolean(),
+                random.nextBoolean(),
+            )
+            val decoded = JobRecordCodec.decode(Cbor.decodeMap(Cbor.encode(JobRecordCodec.encode(record))))
+            assertEquals(JobRecordCodec.encode(record), JobRecordCodec.encode(decoded))
         }
     }
 
@@ -36,7 +40,11 @@
             "guess_s" to Double.POSITIVE_INFINITY, "due_s" to -1.0, "mark_s" to null, "loaners" to 1,
         )
         for ((field, value) in malformed) {
-            assertThrows(MalformedException::class.java, { JobSpecCodec.decode(Fields(job(random) + (field to value))) }, "$field = $value")
+            assertThrows(
+                MalformedException::class.java,
+                { JobSpecCodec.decode(Fields(randomJob(random) + (field to value))) },
+                "$field = $value",
+            )
         }
     }
 
@@ -46,19 +54,19 @@
         for (taskCount in listOf(1, 63, 8_192, 8_193, 100_000)) {
             val done = BitSet()
             repeat(taskCount / 2 + 1) { done.set(random.nextInt(taskCount)) }
-            val again = BitSet()
+            val decoded = BitSet()
             for (part in 0 until CompletedTaskParts.count(taskCount)) {
                 val stored = CompletedTasksCodec.encode(done, part)
                 val text = stored.getValue("bits") as String
                 assertTrue(text.length < 4_096, "part of ${text.length} characters")
-                CompletedTasksCodec.decode(Fields(stored), part, again)
+                CompletedTasksCodec.decode(Fields(stored), part, decoded)
             }
-            assertEquals(done, again)
+            assertEquals(done, decoded)
         }
         assertThrows(MalformedException::class.java) { CompletedTasksCodec.decode(Fields(mapOf("bits" to "*")), 0, BitSet()) }
     }
 
-    private fun job(random: Random): Map<String, Any?> = mapOf(
+    private fun randomJob(random: Random): Map<String, Any?> = mapOf(
         "name_id" to "req-%06d".format(random.nextInt(1_000_000)),
         "lane" to "lane-${random.nextInt(5)}",
         "crew" to "crew",
--- a/src/test/kotlin/linemast/jobs/JobServiceFixture.kt
+++ b/src/test/kotlin/linemast/jobs/JobServiceFixture.kt
@@ -53,13 +53,13 @@
 internal suspend fun submit(jobService: JobService, job: Map<String, Any?>) = status(jobService, "POST", "/v1/jobs", Cbor.encode(job))
 
 /** The status code of a status query. */
-internal suspend fun poll(jobService: JobService, id: String) = status(jobService, "GET", "/v1/jobs/$id", ByteArray(0))
+internal suspend fun queryStatus(jobService: JobService, id: String) = status(jobService, "GET", "/v1/jobs/$id", ByteArray(0))
 
 /** The status code of a cancellation. */
 internal suspend fun cancel(jobService: JobService, id: String) = status(jobService, "POST", "/v1/jobs/$id/cancel", ByteArray(0))
 
 /** The state in the response to a status query. */
-internal suspend fun state(jobService: JobService, id: String): String? =
+internal suspend fun queryState(jobService: JobService, id: String): String? =
     jobService.handle(HttpRequest("GET", "/v1/jobs/$id", "", ByteArray(0)))?.let { Cbor.decodeMap(it.body).text("status") }
 
 private suspend fun status(jobService: JobService, method: String, path: String, body: ByteArray): Int? =
--- a/src/test/kotlin/linemast/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobServiceTest.kt
@@ -21,7 +21,7 @@
         assertEquals(422, submit(jobService, job("name_id" to "req-000002", "crew" to "nobody")))
         assertEquals(422, submit(jobService, job("name_id" to "req-000003", "vcpus" to 9.0)))
         assertEquals(422, submit(jobService, job("name_id" to "req-000004", "shape" to "gang", "pieces" to 5, "vcpus" to 4.0)))
-        assertEquals(listOf(200, 404, 404), listOf("req-000001", "req-000009", "nonsense").map { poll(jobService, it) })
+        assertEquals(listOf(200, 404, 404), listOf("req-000001", "req-000009", "nonsense").map { queryStatus(jobService, it) })
         assertEquals(listOf(200, 404), listOf("req-000001", "req-000009").map { cancel(jobService, it) })
         assertEquals(200, submit(jobService, job()))
         assertEquals("withdrawn", store.valueOf("j/req-000001")?.text("verdict"))
@@ -42,10 +42,10 @@
         val jobService = jobService(store)
         assertEquals(
             listOf(503, 503, 503),
-            listOf(poll(jobService, "req-000001"), cancel(jobService, "req-000001"), submit(jobService, job())),
+            listOf(queryStatus(jobService, "req-000001"), cancel(jobService, "req-000001"), submit(jobService, job())),
         )
         store.startOutage()
-        assertEquals(listOf(503, 503), listOf(poll(jobService, "req-000009"), submit(jobService, job("name_id" to "req-000008"))))
+        assertEquals(listOf(503, 503), listOf(queryStatus(jobService, "req-000009"), submit(jobService, job("name_id" to "req-000008"))))
     }
 
     /** The size of a stored job is counted in the form in which the store counts it. */
--- a/src/test/kotlin/linemast/jobs/SubmissionDeferralTest.kt
+++ b/src/test/kotlin/linemast/jobs/SubmissionDeferralTest.kt
@@ -28,7 +28,7 @@
         admission.apply(AdmissionPlan(1, 1, mapOf(Flow("team", "*") to range)))
         val deferred = jobService.handle(HttpRequest("POST", "/v1/jobs", "", Cbor.encode(job("name_id" to "req-000002"))))
         assertEquals(429 to 8, deferred?.status to deferred?.retryAfterSeconds)
-        assertEquals(404, poll(jobService, "req-000002"), "nothing of it is stored")
+        assertEquals(404, queryStatus(jobService, "req-000002"), "nothing of it is stored")
         assertEquals(200, submit(jobService, job()), "it was accepted before")
         assertEquals(201, submit(jobService, job("name_id" to "req-000003", "awaits" to listOf("req-000001"))))
         assertEquals(201, submit(jobService, job("name_id" to "req-000004", "crew" to "other")), "a submission of another team")
--- a/src/test/kotlin/linemast/peers/PeerStatusCodecTest.kt
+++ b/src/test/kotlin/linemast/peers/PeerStatusCodecTest.kt
@@ -35,7 +35,7 @@
         }
     }
 
-    private fun counts(progress: Map<String, JobProgress>) = progress.mapValues { it.value.done to it.value.running }
+    private fun counts(progress: Map<String, JobProgress>) = progress.mapValues { it.value.completed to it.value.running }
 
     private companion object {
         const val SEED = 99
--- a/src/test/kotlin/linemast/peers/PeerViewTest.kt
+++ b/src/test/kotlin/linemast/peers/PeerViewTest.kt
@@ -30,7 +30,7 @@
     fun `progress comes from the leader with the highest fencing token`() {
         view.received(status("mast-1", fencingToken = 4, isLeader = true, done = 7))
         view.received(status("mast-2", fencingToken = 3, isLeader = true, done = 1))
-        assertEquals(7, view.progressOf("req-1")?.done)
+        assertEquals(7, view.progressOf("req-1")?.completed)
         now += 6_000_000
         assertNull(view.progressOf("req-1"))
     }
--- a/src/test/kotlin/linemast/planning/PlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/PlannerTest.kt
@@ -24,7 +24,7 @@
                     val running = Placement(machine, TaskId("req-9", index), 1, job("req-9", 9, 30, 100))
                     running.phase = Placement.Phase.RUNNING
                     running.runningSinceMicros = -random.nextLong(60_000_000)
-                    machine.put(running)
+                    machine.add(running)
                 }
             }
             val plan = plan(job, machines)
@@ -67,7 +67,7 @@
         repeat(8) { index ->
             val running = Placement(machine, TaskId("req-9", index), 1, other)
             running.phase = Placement.Phase.RUNNING
-            machine.put(running)
+            machine.add(running)
         }
         val planner = planner()
         val job = job("req-1", 8, estimateS = 30, deadlineS = 60)
--- a/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -44,7 +44,7 @@
                 // What is placed shows in the next search, by the free capacity and by the machines left idle.
                 val machine = expected.randomOrNull(random) ?: continue
                 val placement = Placement(machine, TaskId(job.id, job.nextPending(0)), 1, job)
-                machine.put(placement)
+                machine.add(placement)
                 candidateMachines.assigned(placement)
                 for (other in machines) {
                     val expectedWithheld = isWithheldByDefinition(job.spec, other, machines, scarceTypes)
@@ -65,8 +65,8 @@
                 { it.reservedFor !== job && scarceTypes.scarcityOf(it.type, it.spot, job.spec).isScarce },
                 { it.reservedFor !== job && job.withinQuota && job.spec.image !in it.images },
                 { if (it.reservedFor !== job && job.withinQuota) nextHeartbeatOrder(it) else 0 },
-                { it.reservedFor !== job && !it.baseline },
-                { if (it.reservedFor === job || it.baseline) 0.0 else it.pricePerVcpu },
+                { it.reservedFor !== job && !it.isBaseline },
+                { if (it.reservedFor === job || it.isBaseline) 0.0 else it.pricePerVcpu },
                 { if (it.reservedFor === job) 0.0 else it.type.vcpus + it.type.gpus * 16 },
                 { it.reservedFor !== job && job.spec.image !in it.images },
                 { if (it.reservedFor === job) 0.0 else it.freeVcpus },
@@ -81,11 +81,11 @@
 
     private fun machine(number: Int, jobs: List<Job>, random: Random): Machine {
         val machine = Machine("host-%06d".format(number), types.random(random), listOf("a", "b").random(random), random.nextBoolean())
-        machine.baseline = !machine.spot && random.nextBoolean()
+        machine.isBaseline = !machine.spot && random.nextBoolean()
         repeat(random.nextInt(4)) { machine.images += "img-${random.nextInt(3)}" }
         repeat(random.nextInt(6)) { at ->
             val job = jobs.random(random)
-            if (machine.fits(job)) machine.put(Placement(machine, TaskId("req-99", at), 1, job))
+            if (machine.fits(job)) machine.add(Placement(machine, TaskId("req-99", at), 1, job))
         }
         if (random.nextInt(6) == 0) machine.reservation = Reservation(jobs.random(random), untilMicros = 0)
         if (random.nextInt(8) == 0) jobs.random(random).failedOn += machine.name
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -112,7 +112,7 @@
                 if (status ==
                     TaskState.ENDED
                 ) {
-                    EndCause.DONE
+                    EndCause.COMPLETED
                 } else {
                     null
                 },
--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -46,7 +46,7 @@
             machine.leaseEndMicros,
             machine.placements.keys.toList(),
         )
-    } to fixture.cluster.jobs.values.map { it.doneCount to it.pendingCount }
+    } to fixture.cluster.jobs.values.map { it.completedCount to it.pendingCount }
 
     @Test
     fun `a late copy does not bring a terminated machine back`() {
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -66,6 +66,6 @@
         fixture.cluster.machines.getValue(worker.name).images += "held"
         val job = fixture.submit("req-1", taskCount = 3)
         worker.heartbeatFor(2)
-        assertEquals(3, job.doneOrPlacedCount)
+        assertEquals(3, job.completedOrPlacedCount)
     }
 }
--- a/src/test/kotlin/linemast/scheduling/StarvationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/StarvationTest.kt
@@ -19,7 +19,7 @@
             worker.heartbeatFor(20)
             worker.tasks.keys.filter { worker.tasks[it] == TaskState.RUNNING }.forEach { worker.tasks[it] = TaskState.ENDED }
         }
-        assertTrue(second.doneCount > 0 || second.placements.isNotEmpty(), "not started after 160 s")
+        assertTrue(second.completedCount > 0 || second.placements.isNotEmpty(), "not started after 160 s")
     }
 
     /** Two gangs that need both machines whole, while small work keeps coming: each gets them in turn. */
@@ -31,7 +31,7 @@
         fixture.submit("req-1", 600)
         var seconds = 0
         val gangs = listOf("req-2", "req-3").map { fixture.submit(it, 2, gang = true, vcpus = 8.0) }
-        while (gangs.any { it.doneCount == 0 } && seconds < 300) {
+        while (gangs.any { it.completedCount == 0 } && seconds < 300) {
             fixture.pass(1_000_000)
             seconds++
             workers.forEach { worker ->
@@ -44,7 +44,7 @@
                     .forEach { worker.tasks[it] = TaskState.ENDED }
             }
         }
-        assertTrue(gangs.all { it.doneCount == 2 }, "gangs done after $seconds s: ${gangs.map { it.doneCount }}")
+        assertTrue(gangs.all { it.completedCount == 2 }, "gangs done after $seconds s: ${gangs.map { it.completedCount }}")
     }
 
     private fun bothHold(workers: List<FakeWorker>, job: String) = workers.all { worker -> worker.tasks.keys.any { it.first.job == job } }
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -66,7 +66,7 @@
         val bytes = writes.sumOf { it.key.length + if (it is Write.Put) JsonSize.of(it.value) else 0 }
         if (large.isEmpty() && writes.size <= txnOps && bytes <= MAX_TRANSACTION_BYTES) return
         tooLarge += "$large, ${writes.size} operations, $bytes bytes"
-        throw StoreException.Refused(400)
+        throw StoreException.ErrorStatus(400)
     }
 
     fun startOutage() {
@@ -136,7 +136,7 @@
         private suspend fun enter() {
             awaitThaw(node)
             delay(random.nextLong(1, maxLatencyMillis))
-            if (outage || node in refused) throw StoreException.Refused(503)
+            if (outage || node in refused) throw StoreException.ErrorStatus(503)
             expire()
         }
 
@@ -163,7 +163,7 @@
                     apply(preconditions, writes)
                 }
                 delay(2_000)
-                throw StoreException.NoAnswer("no answer")
+                throw StoreException.NoResponse("no answer")
             }
             val result = apply(preconditions, writes)
             if (result is CommitResult.Applied) onApplied(node, writes)
@@ -181,7 +181,7 @@
             enter()
             val end = clock.nowMicros() + waitMicros
             while (true) {
-                if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException.NoAnswer("no answer")
+                if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException.NoResponse("no answer")
                 expire()
                 val matching = changes.filter { it.revision > afterRevision && it.key.startsWith(prefix) }
                 if (!outage && node !in refused && node !in watchesHang && (matching.isNotEmpty() || clock.nowMicros() >= end)) {
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -106,7 +106,7 @@
             before.cluster.machines.values.filter { it.isRegistered }.map { Machine(it.name, it.type, it.zone, it.spot) },
             now,
         )
-        for (job in open) job.done.stream().forEach { cluster.jobs.getValue(job.id).markDone(it) }
+        for (job in open) job.completedTasks.stream().forEach { cluster.jobs.getValue(job.id).markCompleted(it) }
         fleet.baselineMachines = before.fleet.baselineMachines
         fleet.baselineMachines?.let(cluster::markBaseline)
     }
--- a/src/test/kotlin/linemast/size/ScenarioWorker.kt
+++ b/src/test/kotlin/linemast/size/ScenarioWorker.kt
@@ -16,7 +16,7 @@
 
     fun end(why: EndCause = EndCause.STOPPED) {
         if (status == TaskState.ENDED) return
-        if (why != EndCause.DONE && status == TaskState.RUNNING) scenario.countLostTask()
+        if (why != EndCause.COMPLETED && status == TaskState.RUNNING) scenario.countLostTask()
         status = TaskState.ENDED
         cause = why
         scenario.running.remove(task, worker)
@@ -40,7 +40,7 @@
     private fun run(job: ScenarioJob) {
         status = TaskState.RUNNING
         worker.changed()
-        scenario.at(job.runMicros) { if (status == TaskState.RUNNING) end(EndCause.DONE) }
+        scenario.at(job.runMicros) { if (status == TaskState.RUNNING) end(EndCause.COMPLETED) }
     }
 }
 
--- a/src/test/kotlin/linemast/store/RetryPolicyTest.kt
+++ b/src/test/kotlin/linemast/store/RetryPolicyTest.kt
@@ -23,10 +23,10 @@
     private class FailingCall(private val scope: TestScope) {
         val calledAtMillis = ArrayList<Long>()
 
-        fun next(): String? {
+        fun attempt(): String? {
             calledAtMillis += scope.currentTime
             return when (calledAtMillis.size) {
-                1 -> throw StoreException.Refused(503)
+                1 -> throw StoreException.ErrorStatus(503)
                 2 -> null
                 3 -> throw MalformedException("no such field")
                 else -> "result"
@@ -37,7 +37,7 @@
     @Test
     fun `a call is repeated after the delay of its failure until it returns a value`() = runTest {
         val call = FailingCall(this)
-        assertEquals("result", retry.untilResult(log) { call.next() })
+        assertEquals("result", retry.untilResult(log) { call.attempt() })
         assertEquals(listOf(0L, 250L, 500L, 1_500L), call.calledAtMillis)
     }
 
@@ -48,7 +48,7 @@
             retry.repeatForever(log, "test") {
                 calledAtMillis += currentTime
                 when (calledAtMillis.size) {
-                    2 -> throw StoreException.Refused(503)
+                    2 -> throw StoreException.ErrorStatus(503)
                     4 -> awaitCancellation()
                 }
             }
--- a/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
@@ -40,34 +40,34 @@
     fun `a rate that drops in a burst refuses each controller a few times only`() {
         val rates = List(3) { StoreRateLimits(limits, 3).also { rate -> rate.isLeader = it == 0 } }
         val requests = rates.map { TokenBucket(it.requestsPerSecond) }
-        val changes = rates.map { TokenBucket(it.writesPerSecond) }
-        var service = TokenBucket(limits.writeRps)
+        val writes = rates.map { TokenBucket(it.writesPerSecond) }
+        var storeLimit = TokenBucket(limits.writeRps)
         var refusedWrites = 0
-        var refusedAfterwards = 0
+        var lateRefusals = 0
         var accepted = 0
-        for (stepMicros in 0L..30_000_000L step 10_000L) {
-            if (stepMicros == 10_000_000L) {
-                service = TokenBucket(next.writeRps).also { it.tryTake(next.writeRps.toInt(), RequestPriority.CRITICAL, stepMicros) }
+        for (nowMicros in 0L..30_000_000L step 10_000L) {
+            if (nowMicros == 10_000_000L) {
+                storeLimit = TokenBucket(next.writeRps).also { it.tryTake(next.writeRps.toInt(), RequestPriority.CRITICAL, nowMicros) }
             }
-            for (at in 0..2) {
-                if (stepMicros % 800_000L == 0L) {
-                    assertTrue(requests[at].tryTake(1, RequestPriority.CRITICAL, stepMicros), "a renewal waits at $stepMicros")
+            for (node in 0..2) {
+                if (nowMicros % 800_000L == 0L) {
+                    assertTrue(requests[node].tryTake(1, RequestPriority.CRITICAL, nowMicros), "a renewal waits at $nowMicros")
                 }
                 // More submissions than fit are always there: each puts two keys.
-                if (!requests[at].tryTake(1, RequestPriority.HIGH, stepMicros)) continue
-                if (!changes[at].tryTake(2, RequestPriority.HIGH, stepMicros)) continue
-                if (service.tryTake(2, RequestPriority.CRITICAL, stepMicros)) {
+                if (!requests[node].tryTake(1, RequestPriority.HIGH, nowMicros)) continue
+                if (!writes[node].tryTake(2, RequestPriority.HIGH, nowMicros)) continue
+                if (storeLimit.tryTake(2, RequestPriority.CRITICAL, nowMicros)) {
                     accepted++
                     continue
                 }
                 refusedWrites++
-                if (stepMicros > 13_000_000L) refusedAfterwards++
-                if (rates[at].tightenAfterRefusal(isCommit = true)) changes[at].ratePerSecond = rates[at].writesPerSecond
+                if (nowMicros > 13_000_000L) lateRefusals++
+                if (rates[node].tightenAfterRefusal(isCommit = true)) writes[node].ratePerSecond = rates[node].writesPerSecond
             }
         }
         println("$accepted submissions accepted, $refusedWrites refused")
         assertTrue(refusedWrites in 1..60, "$refusedWrites refused")
-        assertEquals(0, refusedAfterwards, "none once all three know")
+        assertEquals(0, lateRefusals, "none once all three know")
         assertTrue(accepted > 250, "$accepted accepted")
     }
 }
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -99,7 +99,7 @@
         assertEquals(outcome, stored(OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(stored(outcome)))).map)
         assertEquals(
             listOf("j/req-1", "o/req-1", "w/req-1", "d/req-1/0"),
-            listOf(JobKeys.outcome("req-1"), JobKeys.open("req-1"), JobKeys.waiting("req-1"), JobKeys.donePart("req-1", 0)),
+            listOf(JobKeys.outcome("req-1"), JobKeys.open("req-1"), JobKeys.blocked("req-1"), JobKeys.completedTasksPart("req-1", 0)),
         )
     }
 
@@ -110,7 +110,7 @@
         val record = MachineRegistry(2_048)
         val machine = record.read(listOf(Entry("fleet/0", stored(old), 7)), types.associateBy { it.name }).single()
         assertEquals(listOf("host-000001", "g8", "a"), listOf(machine.name, machine.type.name, machine.zone))
-        assertTrue(machine.baseline)
+        assertTrue(machine.isBaseline)
         assertEquals(7L, record.revisionOf("fleet/0"))
         val written = record.with(List(80) { Machine("host-%06d".format(it + 2), types.single(), "b", true) })
         for ((at, key) in written.keys.sorted().withIndex()) {
@@ -142,6 +142,6 @@
             listOf("mast-1", 7L, true, true, false),
             listOf(read.node, read.fencingToken, read.isLeader, read.reachesStore, read.receivesHeartbeats),
         )
-        assertEquals(2 to 3, read.progress.getValue("req-1").let { it.done to it.running })
+        assertEquals(2 to 3, read.progress.getValue("req-1").let { it.completed to it.running })
     }
 }
