--- a/src/main/kotlin/linemast/app/MachineTypeCatalog.kt
+++ b/src/main/kotlin/linemast/app/MachineTypeCatalog.kt
@@ -35,7 +35,7 @@
     /** Null if the cloud does not respond, or if another controller stored the machine types first. */
     private suspend fun fetchAndStore(): List<MachineType>? {
         val fetched = try {
-            cloud.types()
+            cloud.listMachineTypes()
         } catch (e: CloudException) {
             log.info("machine types: {}", e.message)
             return null
--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -45,7 +45,7 @@
         if (!isPlanDue && !scalingTimer.isDue(nowMicros)) return ScalingActions.NONE
         val jobs = JobRanking.sorted(cluster.jobs.values, cluster.quota, planner, wallMicros).map { it.job }
         if (isPlanDue) {
-            repeat(newJobCount) { demand.jobSubmitted(nowMicros) }
+            repeat(newJobCount) { demand.recordSubmission(nowMicros) }
             plan(jobs, isFullPlanDue, wallMicros, nowMicros)
         }
         scalingTimer.restart(nowMicros)
@@ -61,7 +61,7 @@
     }
 
     /** A request was refused or granted in part: the next machine shape is requested without waiting out the interval. */
-    fun replanSoon() = scalingTimer.expire()
+    fun scaleSoon() = scalingTimer.expire()
 
     private fun scale(jobs: List<Job>, nowMicros: Long): ScalingActions {
         val demands = planner.scaleOutDemands(jobs, { it.baseline }, nowMicros)
--- a/src/main/kotlin/linemast/autoscaling/DemandMonitor.kt
+++ b/src/main/kotlin/linemast/autoscaling/DemandMonitor.kt
@@ -14,7 +14,7 @@
     private var lastTickMicros: Long? = null
 
     /** A job was submitted. */
-    fun jobSubmitted(nowMicros: Long) {
+    fun recordSubmission(nowMicros: Long) {
         latestSubmissions.addLast(nowMicros)
         if (latestSubmissions.size > MAX_SUBMISSIONS) latestSubmissions.removeFirst()
         sinceSubmissionMicros = 0
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -30,7 +30,7 @@
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
         val baseline = cluster.machines.values.filter { it.baseline && !it.draining && nowMicros < it.leaseEndMicros }
         // Waiting stages get what the other jobs leave, and are planned anew when they are released.
-        planner.dropPlans(waitingIds)
+        planner.removePlans(waitingIds)
         waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
         waitingIds = waitingStages.mapTo(HashSet()) { it.job.id }
         planner.plan(
@@ -38,7 +38,7 @@
                 jobs,
                 stages = waitingStages,
                 baselineMachines = baseline,
-                isClosed = cluster::isClosedTo,
+                isExcluded = cluster::isClosedTo,
                 ScaleOutEstimates(estimates::startupMicros, estimates::pricePerVcpu),
                 replanAll = isFull,
                 wallMicros,
--- a/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
+++ b/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
@@ -23,7 +23,7 @@
         if (!fleet.hasMachineList || !retryTimer.isDue(nowMicros)) return ScaleInBatch.EMPTY
         val reportingZones = cluster.failover.zonesMostlyReporting()
         val missing = cluster.failover.missingMachines(nowMicros)
-            .filter { fleet.isGone(it.name) || (!it.baseline && it.zone in reportingZones) }
+            .filter { fleet.isAbsentOrFailed(it.name) || (!it.baseline && it.zone in reportingZones) }
         if (missing.isEmpty()) return ScaleInBatch.EMPTY
         retryTimer.restart(nowMicros)
         log.info("scaling in {}: {}", missing.map { it.name }, ScaleInReason.MISSING_AFTER_FAILOVER)
--- a/src/main/kotlin/linemast/cloud/Cloud.kt
+++ b/src/main/kotlin/linemast/cloud/Cloud.kt
@@ -11,10 +11,10 @@
 /** The cloud's API, as far as the controllers use it. All calls throw a [CloudException] unless they say otherwise. */
 interface Cloud {
     /** The machine types on offer. */
-    suspend fun types(): List<MachineType>
+    suspend fun listMachineTypes(): List<MachineType>
 
     /** All machines, ordered by name. The list is eventually consistent. */
-    suspend fun machines(): List<ListedMachine>
+    suspend fun listMachines(): List<ListedMachine>
 
     /** Requests machines; idempotent per request id. A missing answer is [ScaleOutResult.Unknown] rather than an exception. */
     suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult
@@ -28,7 +28,7 @@
     /** Name of the machine; never reused. */
     val name: String,
     /** Address of its worker; empty while it has none. */
-    val addr: String,
+    val address: String,
     /** Name of its [MachineType]. */
     val machineType: String,
     /** Zone of the cloud that it stands in. */
@@ -41,7 +41,7 @@
     val ageMicros: Long,
 )
 
-/** A request for [number] machines of one shape. Repeated under the same [requestId] it grants no further machines. */
+/** A request for [machineCount] machines of one shape. Repeated under the same [requestId] it grants no further machines. */
 data class ScaleOutRequest(
     val requestId: String,
     /** Name of the [MachineType]. */
@@ -50,7 +50,7 @@
     val zone: String,
     /** Whether spot machines are requested. */
     val spot: Boolean,
-    val number: Int,
+    val machineCount: Int,
 )
 
 /** Outcome of a [ScaleOutRequest]. */
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -21,17 +21,17 @@
 /** The cloud's API over HTTP, within its limit of calls per second. */
 class CloudClient(loop: EventLoop, address: Address, limits: CloudLimits, private val clock: Clock) : Cloud {
     private val http = HttpClient(loop, address, MAX_CONCURRENT_CALLS)
-    private val tokens = TokenBucket(limits.rps * USED_SHARE_OF_LIMIT)
+    private val rateLimiter = TokenBucket(limits.rps * USED_SHARE_OF_LIMIT)
 
-    override suspend fun types(): List<MachineType> =
+    override suspend fun listMachineTypes(): List<MachineType> =
         decode(call("GET", "/machine_types", null, RequestPriority.CRITICAL), MachineTypeCodec::decode)
 
-    override suspend fun machines(): List<ListedMachine> {
+    override suspend fun listMachines(): List<ListedMachine> {
         val all = ArrayList<ListedMachine>()
         var lastName: String? = null
         while (true) {
-            val reply = call("GET", CloudCodec.machinePagePath(lastName), null, RequestPriority.NORMAL)
-            val page = decode(reply, CloudCodec::decodeMachinePage)
+            val response = call("GET", CloudCodec.machinePagePath(lastName), null, RequestPriority.NORMAL)
+            val page = decode(response, CloudCodec::decodeMachinePage)
             all += page.machines
             // A page that does not get any further must not keep the loop going.
             if (!page.truncated || all.isEmpty() || all.last().name == lastName.orEmpty()) return all
@@ -40,57 +40,57 @@
     }
 
     override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult {
-        val reply = try {
-            call("POST", "/machines", Cbor.encode(CloudCodec.encode(request)), RequestPriority.CRITICAL)
-        } catch (e: CloudException.NoAnswer) {
+        val response = try {
+            call("POST", "/machines", Cbor.encode(CloudCodec.encodeScaleOut(request)), RequestPriority.CRITICAL)
+        } catch (e: CloudException.NoResponse) {
             return ScaleOutResult.Unknown
         }
-        return when (reply.status) {
-            HttpStatus.OK -> ScaleOutResult.Granted(decode(reply, CloudCodec::decodeGranted))
-            HttpStatus.SERVICE_UNAVAILABLE -> if (isNoCapacity(reply)) ScaleOutResult.NoCapacity else ScaleOutResult.Unknown
+        return when (response.status) {
+            HttpStatus.OK -> ScaleOutResult.Granted(decode(response, CloudCodec::decodeGrantedNames))
+            HttpStatus.SERVICE_UNAVAILABLE -> if (isNoCapacity(response)) ScaleOutResult.NoCapacity else ScaleOutResult.Unknown
             HttpStatus.TOO_MANY_REQUESTS -> ScaleOutResult.Unknown
-            else -> throw refused(reply, "a scale-out")
+            else -> throw errorStatus(response, "a scale-out")
         }
     }
 
     override suspend fun scaleIn(names: List<String>) {
         for (part in names.chunked(MAX_MACHINES_PER_SCALE_IN_CALL)) {
             val body = Cbor.encode(CloudCodec.encodeScaleIn(part))
-            val reply = call("POST", "/machines/return", body, RequestPriority.CRITICAL)
-            if (reply.status != HttpStatus.OK) throw refused(reply, "a scale-in")
+            val response = call("POST", "/machines/return", body, RequestPriority.CRITICAL)
+            if (response.status != HttpStatus.OK) throw errorStatus(response, "a scale-in")
         }
     }
 
     /** Any body that cannot be read means trouble of the cloud rather than a lack of capacity. */
-    private fun isNoCapacity(reply: HttpReply): Boolean = try {
-        CloudCodec.isNoCapacity(reply.fields())
+    private fun isNoCapacity(response: HttpReply): Boolean = try {
+        CloudCodec.isNoCapacity(response.fields())
     } catch (e: MalformedException) {
         false
     }
 
     /** Waits until the limit of calls allows this one, then makes it. */
     private suspend fun call(method: String, path: String, body: ByteArray?, priority: RequestPriority): HttpReply {
-        while (!tokens.tryTake(1, priority, clock.nowMicros())) {
-            delay(tokens.waitMicros(1, priority, clock.nowMicros()) / MICROS_PER_MILLI + 1)
+        while (!rateLimiter.tryTake(1, priority, clock.nowMicros())) {
+            delay(rateLimiter.waitMicros(1, priority, clock.nowMicros()) / MICROS_PER_MILLI + 1)
         }
         return try {
             http.call(method, path, body, CALL_TIMEOUT_MICROS)
         } catch (e: NoAnswerException) {
-            throw CloudException.NoAnswer(e.message ?: "no answer", e)
+            throw CloudException.NoResponse(e.message ?: "no answer", e)
         }
     }
 
-    private fun <T> decode(reply: HttpReply, decode: (Fields) -> T): T {
-        if (reply.status != HttpStatus.OK) throw refused(reply, "a query")
+    private fun <T> decode(response: HttpReply, decode: (Fields) -> T): T {
+        if (response.status != HttpStatus.OK) throw errorStatus(response, "a query")
         return try {
-            decode(reply.fields())
+            decode(response.fields())
         } catch (e: MalformedException) {
-            throw CloudException.MalformedAnswer("malformed answer from the cloud: ${e.message}", e)
+            throw CloudException.MalformedResponse("malformed answer from the cloud: ${e.message}", e)
         }
     }
 
-    private fun refused(reply: HttpReply, call: String) =
-        CloudException.Refused(reply.status, "the cloud answered ${reply.status} to $call")
+    private fun errorStatus(response: HttpReply, call: String) =
+        CloudException.ErrorStatus(response.status, "the cloud answered ${response.status} to $call")
 
     private companion object {
         const val MAX_CONCURRENT_CALLS = 3
--- a/src/main/kotlin/linemast/cloud/CloudCodec.kt
+++ b/src/main/kotlin/linemast/cloud/CloudCodec.kt
@@ -26,7 +26,7 @@
 
     private fun decodeMachine(fields: Fields) = ListedMachine(
         name = fields.text("name_id"),
-        addr = fields.textOrNull("addr") ?: "",
+        address = fields.textOrNull("addr") ?: "",
         machineType = fields.text("build"),
         zone = fields.text("yard"),
         spot = fields.flagOrNull("loaners") ?: false,
@@ -35,16 +35,16 @@
     )
 
     /** The body of a scale-out request. */
-    fun encode(request: ScaleOutRequest): Map<String, Any?> = mapOf(
+    fun encodeScaleOut(request: ScaleOutRequest): Map<String, Any?> = mapOf(
         "charter" to request.requestId,
         "build" to request.machineType,
         "yard" to request.zone,
         "loaners" to request.spot,
-        "number" to request.number,
+        "number" to request.machineCount,
     )
 
     /** The names of the machines that a scale-out request was granted. */
-    fun decodeGranted(fields: Fields): List<String> = fields.textsOrNull(MACHINES) ?: emptyList()
+    fun decodeGrantedNames(fields: Fields): List<String> = fields.textsOrNull(MACHINES) ?: emptyList()
 
     /** Whether an answer with the status 503 says that there is no capacity, and not that the cloud has trouble. */
     fun isNoCapacity(fields: Fields): Boolean = fields.textOrNull("error") == NO_CAPACITY
--- a/src/main/kotlin/linemast/cloud/CloudMachine.kt
+++ b/src/main/kotlin/linemast/cloud/CloudMachine.kt
@@ -25,7 +25,7 @@
     var status = STARTING
 
     /** Whether its scale-in has been decided and not yet failed. */
-    var scalingIn = false
+    var isScalingIn = false
 
     /** Values of [status] that decisions depend on, and the mark of a machine that was never listed. */
     companion object {
--- a/src/main/kotlin/linemast/cloud/MachineInventory.kt
+++ b/src/main/kotlin/linemast/cloud/CloudMachineInventory.kt
@@ -8,7 +8,7 @@
  * The cloud's list lags: a machine missing from it may be up, and a listed one may be gone. A machine is therefore dropped
  * only on a confirmed scale-in, or after several consecutive lists without it.
  */
-internal class MachineInventory(private val listLagMicros: Long) {
+internal class CloudMachineInventory(private val listLagMicros: Long) {
     private val machinesByName = LinkedHashMap<String, CloudMachine>()
 
     /** Machines whose scale-in a previous leader has requested: it may take effect at any moment. */
@@ -39,7 +39,7 @@
 
     private fun newMachine(listed: ListedMachine, type: MachineType, nowMicros: Long): CloudMachine {
         val machine = CloudMachine(listed.name, type, listed.zone, listed.spot, nowMicros - listed.ageMicros)
-        machine.scalingIn = listed.name in scaleInsOfPreviousLeaders
+        machine.isScalingIn = listed.name in scaleInsOfPreviousLeaders
         return machine
     }
 
@@ -51,7 +51,7 @@
     /** Marks machines whose scale-in a previous leader has decided, whether they are listed yet or not. */
     fun markScalingIn(names: Collection<String>) {
         scaleInsOfPreviousLeaders += names
-        names.forEach { machinesByName[it]?.scalingIn = true }
+        names.forEach { machinesByName[it]?.isScalingIn = true }
     }
 
     /** Drops machines whose scale-in the cloud has confirmed. */
@@ -61,7 +61,7 @@
     }
 
     /** Whether the machine is known to be gone; one that is only just granted may not be listed yet. */
-    fun isGone(name: String): Boolean = machinesByName[name].let { it == null || it.status == CloudMachine.FAILED }
+    fun isAbsentOrFailed(name: String): Boolean = machinesByName[name].let { it == null || it.status == CloudMachine.FAILED }
 
     /** Whether the machine is a baseline one; every machine counts as such until the baseline is known. */
     fun isBaseline(name: String): Boolean = baselineMachines?.contains(name) ?: true
--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -11,13 +11,13 @@
 /**
  * The machines of one leader's term and the decisions to add and remove some. Makes no calls and is not thread-safe.
  *
- * Events from the cloud update the [MachineInventory]; [planScaleOut] and [planScaleIn] decide from it.
+ * Events from the cloud update the [CloudMachineInventory]; [planScaleOut] and [planScaleIn] decide from it.
  */
 class Fleet(settings: Settings, policy: Policy, fencingToken: Long) {
     private val log = LoggerFactory.getLogger(Fleet::class.java)
-    private val inventory = MachineInventory(settings.cloudLimits.listLagMicros)
-    private val backoff = CapacityBackoff()
-    private val scaleOutPlanner = ScaleOutPlanner(scaleOutLimits(settings, policy), inventory, backoff, fencingToken)
+    private val inventory = CloudMachineInventory(settings.cloudLimits.listLagMicros)
+    private val backOff = CapacityBackOff()
+    private val scaleOutPlanner = ScaleOutPlanner(scaleOutLimits(settings, policy), inventory, backOff, fencingToken)
     private val scaleInPolicy = ScaleInPolicy(settings.workers, policy)
 
     /** All machines by name, as far as the cloud has named them. */
@@ -43,28 +43,35 @@
     fun markScalingIn(names: Collection<String>) = inventory.markScalingIn(names)
 
     /** The cloud has granted [names], possibly fewer than requested. */
-    fun scaleOutGranted(request: ScaleOutRequest, names: List<String>, types: Map<String, MachineType>, nowMicros: Long) {
-        scaleOutPlanner.finishPending(request)
+    fun recordScaleOutGranted(request: ScaleOutRequest, names: List<String>, types: Map<String, MachineType>, nowMicros: Long) {
+        scaleOutPlanner.removePending(request)
         val type = types[request.machineType] ?: return
         inventory.addGranted(names, type, request.zone, request.spot, nowMicros)
-        log.info("scaled out: {} of {} {} in {}{}", names.size, request.number, request.machineType, request.zone, suffix(request.spot))
+        log.info(
+            "scaled out: {} of {} {} in {}{}",
+            names.size,
+            request.machineCount,
+            request.machineType,
+            request.zone,
+            suffix(request.spot),
+        )
         val shape = MachineShape(type, request.zone, request.spot)
-        if (names.size < request.number) backoff.refused(shape, nowMicros) else backoff.granted(shape)
+        if (names.size < request.machineCount) backOff.recordRefusal(shape, nowMicros) else backOff.recordGrant(shape)
     }
 
     /** The cloud has no capacity for [request]; its machine shape is not requested again for a while. */
-    fun scaleOutRefused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
-        scaleOutPlanner.finishPending(request)
+    fun recordScaleOutRefused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
+        scaleOutPlanner.removePending(request)
         log.debug("no capacity for {} in {}{}", request.machineType, request.zone, suffix(request.spot))
         val type = types[request.machineType] ?: return
-        backoff.refused(MachineShape(type, request.zone, request.spot), nowMicros)
+        backOff.recordRefusal(MachineShape(type, request.zone, request.spot), nowMicros)
     }
 
     /** Nobody waits for [request] any more; machines that it did bring will show in the list. */
-    fun scaleOutAbandoned(request: ScaleOutRequest) = scaleOutPlanner.finishPending(request)
+    fun recordScaleOutAbandoned(request: ScaleOutRequest) = scaleOutPlanner.removePending(request)
 
     /** The cloud has confirmed that [names] are gone. */
-    fun scaleInConfirmed(names: Collection<String>) = inventory.remove(names)
+    fun recordScaleInConfirmed(names: Collection<String>) = inventory.remove(names)
 
     /** Requests that would meet [demands]; each is pending until one of the `scaleOut...` events reports its outcome. */
     fun planScaleOut(
@@ -82,18 +89,18 @@
      */
     fun planScaleIn(workers: Map<String, Machine>, isNeeded: (Machine) -> Boolean, demandCeased: Boolean, nowMicros: Long): ScaleInBatch {
         val reportingZones = scaleInPolicy.reportingZones(workers, nowMicros)
-        val situation = ScaleInPolicy.Situation(isNeeded, demandCeased, reportingZones, nowMicros)
+        val conditions = ScaleInPolicy.Conditions(isNeeded, demandCeased, reportingZones, nowMicros)
         val reasons = LinkedHashMap<String, ScaleInReason>()
         for (machine in machines.values) {
-            if (machine.scalingIn) continue
-            val reason = scaleInPolicy.reason(machine, workers[machine.name], isBaseline(machine.name), situation) ?: continue
+            if (machine.isScalingIn) continue
+            val reason = scaleInPolicy.reason(machine, workers[machine.name], isBaseline(machine.name), conditions) ?: continue
             reasons[machine.name] = reason
         }
         return ScaleInBatch(reasons)
     }
 
     /** Whether the cloud's list shows that a machine is gone. */
-    fun isGone(name: String): Boolean = inventory.isGone(name)
+    fun isAbsentOrFailed(name: String): Boolean = inventory.isAbsentOrFailed(name)
 
     /** Whether the machine is a baseline one; all count as such until the baseline is known. */
     fun isBaseline(name: String): Boolean = inventory.isBaseline(name)
--- a/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
@@ -10,7 +10,7 @@
     private val maxHeartbeatAgeMicros = workers.heartbeatIntervalMicros * MISSED_HEARTBEATS + HEARTBEAT_MARGIN_MICROS
 
     /** What all machines of one round have in common. */
-    class Situation(
+    class Conditions(
         /** Whether a plan still has work for a machine. */
         val isNeeded: (Machine) -> Boolean,
         /** Whether no further jobs are expected. */
@@ -27,22 +27,22 @@
     }
 
     /** Why [machine] is to be removed; null if it is to be kept. [worker] is null until it has reported for the first time. */
-    fun reason(machine: CloudMachine, worker: Machine?, isBaseline: Boolean, situation: Situation): ScaleInReason? {
+    fun reason(machine: CloudMachine, worker: Machine?, isBaseline: Boolean, conditions: Conditions): ScaleInReason? {
         if (machine.status == CloudMachine.FAILED) return ScaleInReason.FAILED
-        if (worker == null || worker.lastHeartbeatMicros == NO_HEARTBEAT_MICROS) return startupFailure(machine, situation.nowMicros)
-        return failure(machine, worker, isBaseline, situation) ?: idle(worker, isBaseline, situation)
+        if (worker == null || worker.lastHeartbeatMicros == NO_HEARTBEAT_MICROS) return startupFailureReason(machine, conditions.nowMicros)
+        return failureReason(machine, worker, isBaseline, conditions) ?: idleReason(worker, isBaseline, conditions)
     }
 
-    private fun startupFailure(machine: CloudMachine, nowMicros: Long): ScaleInReason? {
+    private fun startupFailureReason(machine: CloudMachine, nowMicros: Long): ScaleInReason? {
         val ageMicros = nowMicros - machine.createdMicros
         val maxAgeMicros = MAX_STARTUP_FACTOR * machine.type.startupMicros + STARTUP_MARGIN_MICROS
         val isOverdue = machine.status == CloudMachine.STARTING && ageMicros > maxAgeMicros
         return if (isOverdue) ScaleInReason.NEVER_STARTED else null
     }
 
-    private fun failure(machine: CloudMachine, worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
-        val heartbeatAgeMicros = situation.nowMicros - worker.lastHeartbeatMicros
-        val isReportingZone = worker.zone in situation.reportingZones
+    private fun failureReason(machine: CloudMachine, worker: Machine, isBaseline: Boolean, conditions: Conditions): ScaleInReason? {
+        val heartbeatAgeMicros = conditions.nowMicros - worker.lastHeartbeatMicros
+        val isReportingZone = worker.zone in conditions.reportingZones
         val noticeMicros = worker.preemptionNoticeMicros
         val missingMicros = if (isBaseline) BASELINE_MISSING_HEARTBEAT_MICROS else MISSING_HEARTBEAT_MICROS
         return when {
@@ -50,7 +50,7 @@
             noticeMicros != null && heartbeatAgeMicros >= noticeMicros - PREEMPTION_MARGIN_MICROS -> ScaleInReason.PREEMPTED
             machine.spot && heartbeatAgeMicros > maxHeartbeatAgeMicros && isReportingZone -> ScaleInReason.PREEMPTED_WITHOUT_NOTICE
             heartbeatAgeMicros > missingMicros && isReportingZone -> ScaleInReason.MISSING_HEARTBEAT
-            isUnreachable(worker, situation.nowMicros) -> ScaleInReason.UNREACHABLE
+            isUnreachable(worker, conditions.nowMicros) -> ScaleInReason.UNREACHABLE
             else -> null
         }
     }
@@ -58,19 +58,19 @@
     private fun isUnreachable(worker: Machine, nowMicros: Long): Boolean =
         worker.unacknowledgedSinceMicros > 0 && nowMicros - worker.unacknowledgedSinceMicros > MISSING_HEARTBEAT_MICROS
 
-    private fun idle(worker: Machine, isBaseline: Boolean, situation: Situation): ScaleInReason? {
+    private fun idleReason(worker: Machine, isBaseline: Boolean, conditions: Conditions): ScaleInReason? {
         val isBusy = worker.placements.isNotEmpty() || worker.reservedFor != null
-        val isOutdated = situation.nowMicros - worker.lastHeartbeatMicros > maxHeartbeatAgeMicros
-        if (isBusy || isOutdated || situation.isNeeded(worker)) return null
-        val idleMicros = situation.nowMicros - worker.idleSinceMicros
+        val isOutdated = conditions.nowMicros - worker.lastHeartbeatMicros > maxHeartbeatAgeMicros
+        if (isBusy || isOutdated || conditions.isNeeded(worker)) return null
+        val idleMicros = conditions.nowMicros - worker.idleSinceMicros
         val usualMicros = if (isBaseline) policy.baselineIdleScaleInMicros else policy.idleScaleInMicros
-        if (idleMicros <= maxIdleMicros(usualMicros, situation)) return null
+        if (idleMicros <= maxIdleMicros(usualMicros, conditions)) return null
         return if (isBaseline) ScaleInReason.BASELINE_IDLE else ScaleInReason.IDLE
     }
 
     /** Once demand has ceased nothing is kept idle, beyond the time in which a running task may be missing from heartbeats. */
-    private fun maxIdleMicros(usualMicros: Long, situation: Situation): Long =
-        if (situation.demandCeased) minOf(usualMicros, maxHeartbeatAgeMicros) else usualMicros
+    private fun maxIdleMicros(usualMicros: Long, conditions: Conditions): Long =
+        if (conditions.demandCeased) minOf(usualMicros, maxHeartbeatAgeMicros) else usualMicros
 
     private companion object {
         /** [Machine.lastHeartbeatMicros] of a machine whose worker has not reported to this leader. */
--- a/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
@@ -14,8 +14,8 @@
  */
 internal class ScaleOutPlanner(
     private val limits: ScaleOutLimits,
-    private val inventory: MachineInventory,
-    private val backoff: CapacityBackoff,
+    private val inventory: CloudMachineInventory,
+    private val backOff: CapacityBackOff,
     private val fencingToken: Long,
 ) {
     private class MachineBatch(val shape: MachineShape, val count: Int)
@@ -35,7 +35,7 @@
     }
 
     /** Notes that [request] was answered or given up. */
-    fun finishPending(request: ScaleOutRequest) {
+    fun removePending(request: ScaleOutRequest) {
         pendingRequests.remove(request.requestId)
     }
 
@@ -63,7 +63,7 @@
             usedVcpus += count * shape.type.vcpus
             supply += requestedSupply(shape, count, job, slots)
         }
-        return takePermitted(machinesByShape)
+        return createPermittedRequests(machinesByShape)
     }
 
     /** The part of [demand] that [supply] has no room for. */
@@ -85,17 +85,17 @@
     }
 
     /** As many requests as may be in flight; the rest of the demand is deferred to a later plan. */
-    private fun takePermitted(machinesByShape: Map<MachineShape, Int>): List<ScaleOutRequest> {
-        val parts = machinesByShape.flatMap { (shape, count) -> requestSizes(count).map { MachineBatch(shape, it) } }
+    private fun createPermittedRequests(machinesByShape: Map<MachineShape, Int>): List<ScaleOutRequest> {
+        val batches = machinesByShape.flatMap { (shape, count) -> requestSizes(count).map { MachineBatch(shape, it) } }
         val permitted = (limits.maxPendingRequests - pendingRequests.size).coerceAtLeast(0)
-        hasDeferredDemand = parts.size > permitted
-        return parts.take(permitted).map(::newRequest).onEach(::addPending)
+        hasDeferredDemand = batches.size > permitted
+        return batches.take(permitted).map(::createRequest).onEach(::addPending)
     }
 
     private fun requestSizes(count: Int): List<Int> =
-        (0 until count step MAX_MACHINES_PER_REQUEST).map { start -> minOf(count - start, MAX_MACHINES_PER_REQUEST) }
+        (0 until count step MAX_MACHINES_PER_SCALE_OUT_REQUEST).map { start -> minOf(count - start, MAX_MACHINES_PER_SCALE_OUT_REQUEST) }
 
-    private fun newRequest(batch: MachineBatch): ScaleOutRequest {
+    private fun createRequest(batch: MachineBatch): ScaleOutRequest {
         val shape = batch.shape
         return ScaleOutRequest("r-$fencingToken-${++lastRequestNumber}", shape.type.name, shape.zone, shape.spot, batch.count)
     }
@@ -109,7 +109,7 @@
         for (request in pendingRequests.values) {
             val type = types.firstOrNull { it.name == request.machineType } ?: continue
             val shape = MachineShape(type, request.zone, request.spot)
-            supply.getOrPut(shape) { MachineSupply(shape) }.add(request.number)
+            supply.getOrPut(shape) { MachineSupply(shape) }.add(request.machineCount)
         }
         // Small machines first, so that large ones stay available to jobs that need them.
         return supply.values.sortedBy { it.shape.type.vcpus }.toMutableList()
@@ -117,7 +117,7 @@
 
     /** Whether a machine beyond the baseline takes tasks now, or will once it has booted. */
     private fun isUsable(machine: CloudMachine, worker: Machine?, nowMicros: Long): Boolean {
-        if (inventory.isBaseline(machine.name) || machine.scalingIn || machine.status == CloudMachine.FAILED) return false
+        if (inventory.isBaseline(machine.name) || machine.isScalingIn || machine.status == CloudMachine.FAILED) return false
         if (worker == null) return nowMicros - machine.createdMicros <= MAX_STARTUP_FACTOR * machine.type.startupMicros
         return !worker.draining && worker.unacknowledgedSinceMicros <= 0
     }
@@ -126,7 +126,7 @@
     private fun availableShapes(job: Job, types: Collection<MachineType>, nowMicros: Long): List<MachineShape> = types
         .filter { it.canHost(job.spec) }
         .flatMap { pricedShapes(it, job.spec) }
-        .filter { backoff.isAvailable(it.shape, nowMicros) }
+        .filter { backOff.isAvailable(it.shape, nowMicros) }
         .sortedBy { it.pricePerSlot }
         .map { it.shape }
 
@@ -145,7 +145,7 @@
         const val MIN_SLOTS = 0.5
 
         /** The cloud's limit per request. */
-        const val MAX_MACHINES_PER_REQUEST = 50
+        const val MAX_MACHINES_PER_SCALE_OUT_REQUEST = 50
 
         /** After so many times its usual startup a machine without a worker is not waited for. */
         const val MAX_STARTUP_FACTOR = 2
--- a/src/main/kotlin/linemast/control/BaselineFleetStore.kt
+++ b/src/main/kotlin/linemast/control/BaselineFleetStore.kt
@@ -24,7 +24,7 @@
     suspend fun loadOrCreate(): Set<String>? {
         val stored = term.store.listAll(PREFIX).entries
         if (stored.any { it.key == FIRST_CHUNK }) return stored.flatMapTo(LinkedHashSet()) { BaselineFleetCodec.decode(it.value) }
-        val found = cloud.machines().filter { !it.spot && it.status != FAILED }.map { it.name }
+        val found = cloud.listMachines().filter { !it.spot && it.status != FAILED }.map { it.name }
         if (found.isEmpty() && mayListLag()) return null
         if (!write(found, stored)) return null
         log.info("baseline fleet: {} machines", found.size)
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -43,8 +43,8 @@
             delay(RETRY_MILLIS)
         }
         term.loop.run {
-            fleet.scaleOutAbandoned(request)
-            autoscaler.replanSoon()
+            fleet.recordScaleOutAbandoned(request)
+            autoscaler.scaleSoon()
         }
     }
 
@@ -58,26 +58,26 @@
     /** Applies the result of a scale-out request. */
     fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult) {
         val now = term.clock.nowMicros()
-        if (result == ScaleOutResult.Unknown) return fleet.scaleOutAbandoned(request)
+        if (result == ScaleOutResult.Unknown) return fleet.recordScaleOutAbandoned(request)
         val granted = (result as? ScaleOutResult.Granted)?.names
         if (granted == null) {
-            fleet.scaleOutRefused(request, cluster.types, now)
+            fleet.recordScaleOutRefused(request, cluster.types, now)
         } else {
-            fleet.scaleOutGranted(request, granted, cluster.types, now)
+            fleet.recordScaleOutGranted(request, granted, cluster.types, now)
         }
-        if ((granted?.size ?: 0) < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
+        if ((granted?.size ?: 0) < request.machineCount || fleet.hasDeferredDemand) autoscaler.scaleSoon()
     }
 
     private fun scaleIn(batch: ScaleInBatch) {
         val names = batch.names
         for (name in names) {
-            fleet.machines[name]?.scalingIn = true
+            fleet.machines[name]?.isScalingIn = true
             cluster.machines[name]?.draining = true
         }
         term.scope.launch {
             val isConfirmed = requestScaleIn(batch)
             term.loop.run {
-                if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.scalingIn = false }
+                if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.isScalingIn = false }
             }
         }
     }
@@ -92,7 +92,7 @@
 
     /** The cloud has confirmed that the machines are gone. */
     fun scaleInConfirmed(names: List<String>) {
-        fleet.scaleInConfirmed(names)
+        fleet.recordScaleInConfirmed(names)
         cluster.markTerminated(names)
         machineRegistryStore.remove(names)
     }
--- a/src/main/kotlin/linemast/control/MachineListWatcher.kt
+++ b/src/main/kotlin/linemast/control/MachineListWatcher.kt
@@ -28,7 +28,7 @@
         while (true) {
             try {
                 if (fleet.baselineMachines == null) findBaselineFleet()
-                val machines = cloud.machines()
+                val machines = cloud.listMachines()
                 term.loop.run { apply(machines) }
             } catch (e: CloudException) {
                 log.debug("machine list: {}", e.message)
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -35,7 +35,7 @@
         "build" to request.machineType,
         "yard" to request.zone,
         "loaners" to request.spot,
-        "number" to request.number,
+        "number" to request.machineCount,
     )
 
     /** Reads the stored form; throws a `MalformedException` for any other. */
@@ -62,6 +62,6 @@
         machineType = fields.text("build"),
         zone = fields.text("yard"),
         spot = fields.flag("loaners"),
-        number = fields.long("number").toInt(),
+        machineCount = fields.long("number").toInt(),
     )
 }
--- a/src/main/kotlin/linemast/duties/IntentReport.kt
+++ b/src/main/kotlin/linemast/duties/IntentReport.kt
@@ -40,7 +40,7 @@
     private fun describe(action: CloudAction): String = when (action) {
         is CloudAction.ScaleIn -> action.names.joinToString(" ")
         is CloudAction.ScaleOut -> action.request.let {
-            "${it.requestId}: ${it.number} ${it.machineType} in ${it.zone}${if (it.spot) " (spot)" else ""}"
+            "${it.requestId}: ${it.machineCount} ${it.machineType} in ${it.zone}${if (it.spot) " (spot)" else ""}"
         }
     }
 
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -55,7 +55,7 @@
             // The next leader carries on with it.
             return ScaleOutResult.Unknown
         }
-        if (result == ScaleOutResult.Unknown) throw CloudException.NoAnswer("no answer to scale-out ${request.requestId}")
+        if (result == ScaleOutResult.Unknown) throw CloudException.NoResponse("no answer to scale-out ${request.requestId}")
         return result
     }
 
--- a/src/main/kotlin/linemast/planning/BaselineForecast.kt
+++ b/src/main/kotlin/linemast/planning/BaselineForecast.kt
@@ -11,17 +11,17 @@
  * Waiting demand comes off as jobs reserve their targets in their order; free capacity is never below zero. Machines of one
  * shape are kept together in a [FreeCapacityHistogram].
  *
- * @param isClosed whether machines of a type, spot or not, are kept from a job that would fit them.
+ * @param isExcluded whether machines of a type, spot or not, are kept from a job that would fit them.
  */
 internal class BaselineForecast(
     machines: Collection<Machine>,
     private val horizon: PlanningHorizon,
     private val runTimes: RunTimeEstimates,
-    private val isClosed: (type: MachineType, spot: Boolean, job: Job) -> Boolean,
+    private val isExcluded: (type: MachineType, spot: Boolean, job: Job) -> Boolean,
 ) {
     private class ShapeForecast(val shape: MachineShape, intervals: Int) {
-        val now = FreeCapacityHistogram(shape.type.vcpus)
-        val byInterval = List(intervals) { FreeCapacityHistogram(shape.type.vcpus) }
+        val freeNow = FreeCapacityHistogram(shape.type.vcpus)
+        val freeByInterval = List(intervals) { FreeCapacityHistogram(shape.type.vcpus) }
     }
 
     /** Small machines first. */
@@ -32,9 +32,9 @@
         val freeVcpus = DoubleArray(horizon.intervals)
         for (machine in machines) {
             val forecast = byShape.getOrPut(machine.shape) { ShapeForecast(machine.shape, horizon.intervals) }
-            forecast.now.add(machine.freeVcpus)
+            forecast.freeNow.add(machine.freeVcpus)
             fillFreeVcpus(machine, freeVcpus)
-            for (i in freeVcpus.indices) forecast.byInterval[i].add(freeVcpus[i])
+            for (i in freeVcpus.indices) forecast.freeByInterval[i].add(freeVcpus[i])
         }
         return byShape.values.sortedBy { it.shape.type.vcpus }
     }
@@ -58,21 +58,21 @@
 
     /** Tasks of [job] that may run concurrently in interval [interval], going by what is left on each machine. */
     fun freeSlots(job: Job, interval: Int): Double =
-        shapes.sumOf { if (isOpen(it.shape, job)) it.byInterval[interval].slots(job.spec.vcpus) else 0.0 }
+        shapes.sumOf { if (isUsable(it.shape, job)) it.freeByInterval[interval].slots(job.spec.vcpus) else 0.0 }
 
     /** Tasks of [job] that could start at once. */
-    fun freeSlotsNow(job: Job): Double = shapes.sumOf { if (isOpen(it.shape, job)) it.now.slots(job.spec.vcpus) else 0.0 }
+    fun freeSlotsNow(job: Job): Double = shapes.sumOf { if (isUsable(it.shape, job)) it.freeNow.slots(job.spec.vcpus) else 0.0 }
 
     /** Reserves capacity for [slots] concurrent tasks of [job] in interval [interval]. */
     fun reserve(job: Job, interval: Int, slots: Double) {
         var remainingVcpus = slots * job.spec.vcpus
         for (forecast in shapes) {
             if (remainingVcpus <= EPSILON) return
-            if (isOpen(forecast.shape, job)) remainingVcpus = forecast.byInterval[interval].reserve(remainingVcpus)
+            if (isUsable(forecast.shape, job)) remainingVcpus = forecast.freeByInterval[interval].reserve(remainingVcpus)
         }
     }
 
-    private fun isOpen(shape: MachineShape, job: Job) = shape.allows(job.spec) && !isClosed(shape.type, shape.spot, job)
+    private fun isUsable(shape: MachineShape, job: Job) = shape.allows(job.spec) && !isExcluded(shape.type, shape.spot, job)
 
     private companion object {
         const val EPSILON = 1e-6
--- a/src/main/kotlin/linemast/planning/JobPlan.kt
+++ b/src/main/kotlin/linemast/planning/JobPlan.kt
@@ -37,10 +37,10 @@
 
     /** How many tasks more should have been completed by [nowMicros] than the [completedTasks] that were. */
     fun shortfall(completedTasks: Int, nowMicros: Long): Double =
-        (dueBy(nowMicros) - (completedTasks - progress.completedTasks)).coerceAtLeast(0.0)
+        (tasksExpectedBy(nowMicros) - (completedTasks - progress.completedTasks)).coerceAtLeast(0.0)
 
     /** How many tasks should have been completed since the plan was made. */
-    private fun dueBy(nowMicros: Long): Double {
+    private fun tasksExpectedBy(nowMicros: Long): Double {
         val passed = (nowMicros - horizon.startMicros).toDouble() / horizon.intervalMicros
         return baseline.indices.sumOf { i -> (baseline[i] + scaleOut[i]) * (passed - i).coerceIn(0.0, 1.0) }
     }
--- a/src/main/kotlin/linemast/planning/JobPlanner.kt
+++ b/src/main/kotlin/linemast/planning/JobPlanner.kt
@@ -3,7 +3,7 @@
 import linemast.domain.Job
 
 /** When a job has to end: on the wall clock, and how long from now. */
-internal class Due(val wallMicros: Long, val remainingMicros: Long)
+internal class Deadline(val wallMicros: Long, val remainingMicros: Long)
 
 /** Plans jobs that may start, on the baseline capacity that jobs planned before have left in [forecast]. */
 internal class JobPlanner(
@@ -17,29 +17,29 @@
      * @param previous the plan before; what the job is behind it is scaled out as a top-up.
      * @param startupMicros how long a scaled-out machine takes to start.
      */
-    fun plan(job: Job, due: Due, startupMicros: Long, previous: JobPlan?): JobPlan {
+    fun plan(job: Job, deadline: Deadline, startupMicros: Long, previous: JobPlan?): JobPlan {
         // Tasks that already run are not planned again.
         val tasks = (job.spec.taskCount - job.doneCount - job.placements.count { !it.isAssigned }).coerceAtLeast(0).toDouble()
-        if (job.spec.isGang) return planGang(job, tasks, due)
+        if (job.spec.isGang) return planGang(job, tasks, deadline)
         val shortfall = previous?.shortfall(job.doneCount, horizon.startMicros) ?: 0.0
-        return planArray(job, tasks, shortfall, due, startupMicros)
+        return planArray(job, tasks, shortfall, deadline, startupMicros)
     }
 
-    private fun planArray(job: Job, tasks: Double, shortfall: Double, due: Due, startupMicros: Long): JobPlan {
+    private fun planArray(job: Job, tasks: Double, shortfall: Double, deadline: Deadline, startupMicros: Long): JobPlan {
         val taskMicros = runTimes.estimateMicros(job)
-        val usable = UsableIntervals(horizon, taskMicros, due.remainingMicros)
+        val usable = UsableIntervals(horizon, taskMicros, deadline.remainingMicros)
         val baseline = reserveBaseline(job, tasks, usable)
         val scaleOutTasks = (tasks - baseline.sum() + shortfall).coerceIn(0.0, tasks)
-        val scaleOutSpanMicros = scaleOutSpanMicros(due.remainingMicros - startupMicros, taskMicros)
+        val scaleOutSpanMicros = scaleOutSpanMicros(deadline.remainingMicros - startupMicros, taskMicros)
         val firstSlots = baseline[0] / usable.tasksPerSlot(0)
         return JobPlan(
             horizon,
             taskMicros,
-            IntervalTargets(baseline, levelWithScaleOut(baseline, usable.indices, scaleOutTasks)),
+            IntervalTargets(baseline, distributeScaleOutTasks(baseline, usable.indices, scaleOutTasks)),
             scaleOutSlots = scaleOutTasks / JobPlan.wholeTasksPerSlot(scaleOutSpanMicros, taskMicros),
             backupSlots = (firstSlots - forecast.freeSlotsNow(job)).coerceAtLeast(0.0),
             PlannedProgress(job.doneCount, shortfall),
-            due.wallMicros,
+            deadline.wallMicros,
         )
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** A gang is planned whole, in the first interval, on the side that has capacity for it. */
-    private fun planGang(job: Job, tasks: Double, due: Due): JobPlan {
+    private fun planGang(job: Job, tasks: Double, deadline: Deadline): JobPlan {
         val baseline = DoubleArray(horizon.intervals)
         val scaleOut = DoubleArray(horizon.intervals)
         val fitsBaseline = forecast.freeSlots(job, 0) >= tasks
@@ -87,7 +87,7 @@
             scaleOutSlots = scaleOut[0],
             backupSlots = if (fitsBaseline && forecast.freeSlotsNow(job) < tasks) tasks else 0.0,
             PlannedProgress(job.doneCount, shortfall = 0.0),
-            due.wallMicros,
+            deadline.wallMicros,
         )
     }
 }
@@ -105,7 +105,7 @@
 }
 
 /** Scale-out targets of [tasks] in all: they go first where baseline targets are lowest, so that the sum is even. */
-private fun levelWithScaleOut(baseline: DoubleArray, usable: List<Int>, tasks: Double): DoubleArray {
+private fun distributeScaleOutTasks(baseline: DoubleArray, usable: List<Int>, tasks: Double): DoubleArray {
     val scaleOut = DoubleArray(baseline.size)
     if (usable.isEmpty() || tasks <= 0) return scaleOut
     var remaining = tasks
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -24,7 +24,7 @@
     }
 
     /** Drops the plans of jobs [ids], so that they are planned anew. */
-    fun dropPlans(ids: Collection<String>) = ids.forEach(plans::remove)
+    fun removePlans(ids: Collection<String>) = ids.forEach(plans::remove)
 
     /** When [job] has to end, on the wall clock: its own or an implied deadline, or the end of its window in a pipeline. */
     fun deadlineWallMicros(job: Job): Long = deadlines.wallMicros(job)
@@ -38,14 +38,14 @@
     /** Plans jobs in the order of the [request], all of them anew or only those without a plan that still holds; then stages. */
     fun plan(request: PlanningRequest) {
         val horizon = PlanningHorizon(request.nowMicros, policy.longIntervalMicros, INTERVALS)
-        val forecast = BaselineForecast(request.baselineMachines, horizon, runTimes, request.isClosed)
+        val forecast = BaselineForecast(request.baselineMachines, horizon, runTimes, request.isExcluded)
         val jobPlanner = JobPlanner(forecast, runTimes, horizon)
         for (job in request.jobs) {
             val current = plans[job.id]
             if (!request.replanAll && current != null && !isOutdated(job)) {
                 reserve(job, current, forecast)
             } else {
-                plans[job.id] = jobPlanner.plan(job, due(job, request), request.scaleOutEstimates.startupMicros(job), current)
+                plans[job.id] = jobPlanner.plan(job, deadline(job, request), request.scaleOutEstimates.startupMicros(job), current)
             }
         }
         planStages(request, StagePlanner(forecast, runTimes, horizon))
@@ -56,15 +56,15 @@
         for (interval in plan.baseline.indices) forecast.reserve(job, interval, plan.slotsInInterval(interval))
     }
 
-    private fun due(job: Job, request: PlanningRequest): Due {
+    private fun deadline(job: Job, request: PlanningRequest): Deadline {
         val deadlineWallMicros = deadlineWallMicros(job)
-        return Due(deadlineWallMicros, deadlineWallMicros - request.wallMicros)
+        return Deadline(deadlineWallMicros, deadlineWallMicros - request.wallMicros)
     }
 
     /** Plans the known stages of pipelines in the paper's order; a stage gets about the throughput of its neighbour. */
     private fun planStages(request: PlanningRequest, stagePlanner: StagePlanner) {
         fun plan(stage: WaitingStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
-            stagePlanner.plan(stage, neighbour, request.scaleOutEstimates.startupMicros(stage.job), due(stage.job, request), reserve)
+            stagePlanner.plan(stage, neighbour, request.scaleOutEstimates.startupMicros(stage.job), deadline(stage.job, request), reserve)
 
         fun scaleOutCost(stage: WaitingStage): Double {
             val alone = plan(stage, neighbour = null, reserve = false)
--- a/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
@@ -32,13 +32,13 @@
         is Objective.Finished -> objective.withinMicros - runMicros
         is Objective.Deadline -> job.spec.deadlineMicros?.let { deadlineMicros ->
             val waitedMicros = job.readyWallMicros - job.acceptedWallMicros
-            (deadlineMicros * objective.factor).toLong() - runMicros * rounds(job) - waitedMicros
+            (deadlineMicros * objective.factor).toLong() - runMicros * sequentialRounds(job) - waitedMicros
         }
         is Objective.Guarantee, is Objective.Ignored -> null
     }
 
     /** How many times over its team's limit makes it use the same slots: a job too large for its time is late from the start. */
-    private fun rounds(job: Job): Int {
+    private fun sequentialRounds(job: Job): Int {
         val maxVcpus = maxVcpusByTeam[job.spec.team]
         if (maxVcpus == null || job.spec.vcpus <= 0) return 1
         val maxSlots = maxVcpus / job.spec.vcpus
--- a/src/main/kotlin/linemast/planning/StagePlanner.kt
+++ b/src/main/kotlin/linemast/planning/StagePlanner.kt
@@ -15,14 +15,14 @@
     private class Window(val startMicros: Long, val endMicros: Long, val taskMicros: Long)
 
     /**
-     * The plan of [stage], which has to end as [due] says. With [reserve], stages planned later find its baseline capacity taken.
+     * The plan of [stage], which has to end as [deadline] says. With [reserve], stages planned later find its baseline capacity taken.
      *
      * [neighbour] is the plan of a stage next to it in its pipeline: this one is given about the same throughput, as the share of
      * all tasks of the stage in a time, but never less than its own window asks for.
      */
-    fun plan(stage: WaitingStage, neighbour: JobPlan?, startupMicros: Long, due: Due, reserve: Boolean): JobPlan {
+    fun plan(stage: WaitingStage, neighbour: JobPlan?, startupMicros: Long, deadline: Deadline, reserve: Boolean): JobPlan {
         val taskMicros = runTimes.estimateMicros(stage.job)
-        val window = Window(stage.startsInMicros, maxOf(due.remainingMicros, stage.startsInMicros + taskMicros), taskMicros)
+        val window = Window(stage.startsInMicros, maxOf(deadline.remainingMicros, stage.startsInMicros + taskMicros), taskMicros)
         val tasks = stage.job.spec.taskCount.toDouble()
         val baseline = baselineTargets(stage, tasks, window)
         if (reserve) reserveBaseline(stage, baseline, window)
@@ -35,7 +35,7 @@
             scaleOutSlots = scaleOutTasks / tasksPerSlot,
             backupSlots = 0.0,
             PlannedProgress(completedTasks = 0, shortfall = 0.0),
-            due.wallMicros,
+            deadline.wallMicros,
             spanMicros = (tasksPerSlot * taskMicros).toLong(),
         )
     }
--- a/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
+++ b/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
@@ -16,13 +16,13 @@
         }
         repeat(6) {
             pass(1)
-            demand.jobSubmitted(now)
+            demand.recordSubmission(now)
         }
         pass(3_600)
         assertFalse(demand.hasCeased(), "too few submissions to tell")
         repeat(20) {
             pass(20)
-            demand.jobSubmitted(now)
+            demand.recordSubmission(now)
         }
         pass(80)
         assertFalse(demand.hasCeased())
--- a/src/test/kotlin/linemast/cloud/CloudCodecTest.kt
+++ b/src/test/kotlin/linemast/cloud/CloudCodecTest.kt
@@ -23,7 +23,7 @@
     @Test
     fun `a scale-out request has the protocol's names`() {
         val expected = mapOf("charter" to "r-7-1", "build" to "small", "yard" to "a", "loaners" to true, "number" to 3)
-        assertEquals(expected, CloudCodec.encode(ScaleOutRequest("r-7-1", "small", "a", spot = true, number = 3)))
+        assertEquals(expected, CloudCodec.encodeScaleOut(ScaleOutRequest("r-7-1", "small", "a", spot = true, machineCount = 3)))
     }
 
     @Test
@@ -44,7 +44,7 @@
         val listed = page.machines.single()
         assertEquals(
             listOf("host-000001", "10.0.0.1:7000", "small", "a"),
-            listOf(listed.name, listed.addr, listed.machineType, listed.zone),
+            listOf(listed.name, listed.address, listed.machineType, listed.zone),
         )
         assertEquals(listOf(true, "running", 2_500_000L), listOf(listed.spot, listed.status, listed.ageMicros))
     }
@@ -54,7 +54,7 @@
         val page = CloudCodec.decodeMachinePage(Fields(mapOf("rigs" to listOf(machine - setOf("addr", "loaners", "age_s")))))
         assertFalse(page.truncated)
         val listed = page.machines.single()
-        assertEquals(listOf("", false, 0L), listOf(listed.addr, listed.spot, listed.ageMicros))
+        assertEquals(listOf("", false, 0L), listOf(listed.address, listed.spot, listed.ageMicros))
     }
 
     @Test
--- a/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
@@ -19,8 +19,8 @@
         worker.heartbeats.lastMicros = nowMicros - 500_000
         worker.idleSinceMicros = nowMicros - idleMicros
         val listed = CloudMachine(worker.name, type, "z", false, createdMicros = 0)
-        val situation = ScaleInPolicy.Situation({ isNeeded }, demandCeased, setOf("z"), nowMicros)
-        return policy.reason(listed, worker, isBaseline, situation)
+        val conditions = ScaleInPolicy.Conditions({ isNeeded }, demandCeased, setOf("z"), nowMicros)
+        return policy.reason(listed, worker, isBaseline, conditions)
     }
 
     @Test
--- a/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
@@ -34,24 +34,24 @@
     @Test
     fun `no more requests are pending than the cloud takes in a second`() {
         val first = requestsFor(400)
-        assertEquals(List(5) { 50 }, first.map { it.number })
+        assertEquals(List(5) { 50 }, first.map { it.machineCount })
         assertTrue(fleet.hasDeferredDemand)
         assertEquals(0, requestsFor(400).size)
-        fleet.scaleOutGranted(first[0], List(50) { "host-%06d".format(it) }, types, 0L)
-        assertEquals(listOf(50), requestsFor(400).map { it.number })
+        fleet.recordScaleOutGranted(first[0], List(50) { "host-%06d".format(it) }, types, 0L)
+        assertEquals(listOf(50), requestsFor(400).map { it.machineCount })
     }
 
     @Test
     fun `deferred demand is requested as another machine shape once the first one is refused`() {
         val first = requestsFor(400)
-        fleet.scaleOutRefused(first[0], types, 0L)
+        fleet.recordScaleOutRefused(first[0], types, 0L)
         assertEquals(listOf("a" to true), first.map { it.zone to it.spot }.distinct())
         assertEquals(listOf("b" to true), requestsFor(400).map { it.zone to it.spot })
     }
 
     @Test
     fun `demand that pending requests will meet is not requested again`() {
-        assertEquals(listOf(50, 50), requestsFor(100).map { it.number })
+        assertEquals(listOf(50, 50), requestsFor(100).map { it.machineCount })
         assertFalse(fleet.hasDeferredDemand)
         assertEquals(0, requestsFor(100).size)
     }
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -19,9 +19,9 @@
 /** The names of a baseline fleet of any size are stored within the limits of the store, and read back whole. */
 class BaselineFleetStoreTest {
     private class ListingCloud(private val names: List<String>) : Cloud {
-        override suspend fun types(): List<MachineType> = emptyList()
+        override suspend fun listMachineTypes(): List<MachineType> = emptyList()
 
-        override suspend fun machines() = names.map { ListedMachine(it, "", "small", "z", false, "running", 0L) }
+        override suspend fun listMachines() = names.map { ListedMachine(it, "", "small", "z", false, "running", 0L) }
 
         override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult = ScaleOutResult.NoCapacity
 
--- a/src/test/kotlin/linemast/loopback/StandInServers.kt
+++ b/src/test/kotlin/linemast/loopback/StandInServers.kt
@@ -85,17 +85,17 @@
 /** The stand-in of the cloud behind its protocol, as one controller reaches it. */
 internal class CloudServer(private val cloud: Cloud) {
     suspend fun answer(request: HttpRequest): HttpResponse = when {
-        request.path == "/machine_types" -> HttpResponse(200, Cbor.encode(MachineTypeCodec.encode(cloud.types())))
+        request.path == "/machine_types" -> HttpResponse(200, Cbor.encode(MachineTypeCodec.encode(cloud.listMachineTypes())))
         request.path == "/machines/return" -> scaleIn(Cbor.decodeMap(request.body).textsOrNull("rigs")!!)
         request.method == "POST" -> scaleOut(Cbor.decodeMap(request.body))
         else -> list()
     }
 
     private suspend fun list(): HttpResponse {
-        val rigs = cloud.machines().map {
+        val rigs = cloud.listMachines().map {
             mapOf(
                 "name_id" to it.name,
-                "addr" to it.addr,
+                "addr" to it.address,
                 "build" to it.machineType,
                 "yard" to it.zone,
                 "loaners" to it.spot,
--- a/src/test/kotlin/linemast/planning/PlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/PlannerTest.kt
@@ -17,7 +17,7 @@
     fun `every task of a generated job is planned once, and in usable intervals only`(seed: Int) {
         val random = Random(seed)
         repeat(300) {
-            val machines = List(random.nextInt(6)) { Machine("host-$it", eightVcpus, "z", false) }
+            val machines = List(random.nextInt(6)) { Machine("host-$it", eightVcpuType, "z", false) }
             val job = job("req-1", random.nextInt(1, 400), estimateS = random.nextInt(5, 90), deadlineS = random.nextInt(20, 600))
             machines.forEach { machine ->
                 repeat(random.nextInt(9)) { index ->
@@ -42,7 +42,7 @@
 
     @Test
     fun `baseline targets are in proportion to free capacity when that suffices`() {
-        val machine = Machine("host-1", eightVcpus, "z", false)
+        val machine = Machine("host-1", eightVcpuType, "z", false)
         val plan = plan(job("req-1", 12, estimateS = 30, deadlineS = 180), listOf(machine))
         assertEquals(listOf(4.0, 4.0, 4.0), plan.baseline.take(3))
         assertEquals(0.0, plan.scaleOut.sum(), 1e-9)
@@ -50,7 +50,7 @@
 
     @Test
     fun `what fell short of a plan is scaled out in the next one`() {
-        val machine = Machine("host-1", eightVcpus, "z", false)
+        val machine = Machine("host-1", eightVcpuType, "z", false)
         val planner = planner()
         val job = job("req-1", 16, estimateS = 30, deadlineS = 300)
         planner.plan(planningRequest(listOf(job), listOf(machine)))
@@ -62,7 +62,7 @@
 
     @Test
     fun `baseline capacity that is not free yet is backed up until it is granted`() {
-        val machine = Machine("host-1", eightVcpus, "z", false)
+        val machine = Machine("host-1", eightVcpuType, "z", false)
         val other = job("req-9", 8, estimateS = 30, deadlineS = 100)
         repeat(8) { index ->
             val running = Placement(machine, TaskId("req-9", index), 1, other)
--- a/src/test/kotlin/linemast/planning/PlanningFixture.kt
+++ b/src/test/kotlin/linemast/planning/PlanningFixture.kt
@@ -8,7 +8,7 @@
 import linemast.testSettings
 import linemast.testSpec
 
-internal val eightVcpus = MachineType("t", 8.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("z"))
+internal val eightVcpuType = MachineType("t", 8.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("z"))
 
 internal fun planner() = Planner(testSettings(), Policy(), RunTimeEstimates())
 
@@ -24,7 +24,7 @@
     jobs,
     stages,
     machines,
-    isClosed = { _, _, _ -> false },
+    isExcluded = { _, _, _ -> false },
     ScaleOutEstimates(startupMicros = { startupMicros }, vcpuPrice = { 1.0 }),
     replanAll,
     wallMicros = nowMicros,
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -13,7 +13,7 @@
 import kotlin.random.Random
 
 class StagePlannerTest {
-    private val machines = List(2) { Machine("host-$it", eightVcpus, "z", false) }
+    private val machines = List(2) { Machine("host-$it", eightVcpuType, "z", false) }
 
     @Test
     fun `stages are planned from the costliest outward, each next to one planned before it`() {
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -53,7 +53,7 @@
         val room = world.maxMachines - world.workers.size
         if (room <= 0) return ScaleOutResult.NoCapacity
         val type = types.first { it.name == request.machineType }
-        val names = List(minOf(room, request.number)) { world.addMachine(type, request.zone, request.spot).name }
+        val names = List(minOf(room, request.machineCount)) { world.addMachine(type, request.zone, request.spot).name }
         requestCount[request.requestId] = names
         orders += SimOrder(node, request, emptyList(), world.store.revision, emptyList())
         return ScaleOutResult.Granted(names)
@@ -77,20 +77,20 @@
                     carryOut()
                 }
                 delay(TIMEOUT_MILLIS)
-                throw CloudException.NoAnswer("no answer")
+                throw CloudException.NoResponse("no answer")
             }
             delay(LATENCY_MILLIS)
             val result = carryOut()
-            if (world.random.nextDouble() < lostAnswers) throw CloudException.NoAnswer("no answer")
+            if (world.random.nextDouble() < lostAnswers) throw CloudException.NoResponse("no answer")
             return result
         }
 
-        override suspend fun types(): List<MachineType> {
+        override suspend fun listMachineTypes(): List<MachineType> {
             delay(LATENCY_MILLIS)
             return types
         }
 
-        override suspend fun machines(): List<ListedMachine> {
+        override suspend fun listMachines(): List<ListedMachine> {
             delay(LATENCY_MILLIS)
             return list()
         }
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -155,30 +155,30 @@
         for (request in actions.scaleOuts) {
             at(120_000) {
                 val type = types.first { it.name == request.machineType }
-                val names = List(minOf(request.number, maxMachines - workers.size).coerceAtLeast(0)) {
+                val names = List(minOf(request.machineCount, maxMachines - workers.size).coerceAtLeast(0)) {
                     addWorker(type, request.zone, request.spot, (type.startupMicros * (0.6 + 0.9 * random.nextDouble())).toLong())
                 }
                 if (names.isEmpty()) {
-                    fleet.scaleOutRefused(
+                    fleet.recordScaleOutRefused(
                         request,
                         cluster.types,
                         now,
                     )
                 } else {
-                    fleet.scaleOutGranted(request, names, cluster.types, now)
+                    fleet.recordScaleOutGranted(request, names, cluster.types, now)
                 }
-                if (names.size < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
+                if (names.size < request.machineCount || fleet.hasDeferredDemand) autoscaler.scaleSoon()
             }
         }
         if (!actions.scaleIns.isEmpty) {
             val names = actions.scaleIns.names
             names.forEach {
-                fleet.machines[it]?.scalingIn = true
+                fleet.machines[it]?.isScalingIn = true
                 cluster.machines[it]?.draining = true
             }
             at(120_000) {
                 names.forEach(::removeWorker)
-                fleet.scaleInConfirmed(names)
+                fleet.recordScaleInConfirmed(names)
                 cluster.markTerminated(names)
             }
         }
