--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -38,7 +38,7 @@
                 jobs,
                 stages = waitingStages,
                 baselineMachines = baseline,
-                isClosed = cluster::isClosedTo,
+                isClosed = cluster::isTypeExcluded,
                 ScaleOutEstimates(estimates::startupMicros, estimates::pricePerVcpu),
                 replanAll = isFull,
                 wallMicros,
--- a/src/main/kotlin/linemast/control/BlockedJobStore.kt
+++ b/src/main/kotlin/linemast/control/BlockedJobStore.kt
@@ -35,7 +35,7 @@
             val result = storeResultOrNull(log) { term.commit(preconditions, writes, RequestPriority.HIGH) }
             settle(listOf(job), result) { revision ->
                 log.info("{}: released: all that it depends on is done", job.id)
-                cluster.putJob(record, revision)
+                cluster.applyJobRecord(record, revision)
             }
         }
     }
--- a/src/main/kotlin/linemast/control/DependencyForecast.kt
+++ b/src/main/kotlin/linemast/control/DependencyForecast.kt
@@ -41,14 +41,14 @@
     }
 
     /** How long a job that has not started will take, from the end of its last dependency. */
-    private fun durationMicros(record: JobRecord): Long = cluster.times.estimateMicros(record.spec) + HANDOVER_MICROS
+    private fun durationMicros(record: JobRecord): Long = cluster.runTimeEstimates.estimateMicros(record.spec) + HANDOVER_MICROS
 
     /** How long a running job still takes; null for one that is not running. */
     private fun remainingMicros(id: String): Long? {
         val job = cluster.jobs[id]?.takeIf { !it.cancelled } ?: return null
         val hasPendingTasks = job.pendingCount > 0
         if (hasPendingTasks && job.placements.isEmpty()) return null
-        val taskMicros = cluster.times.estimateMicros(job)
+        val taskMicros = cluster.runTimeEstimates.estimateMicros(job)
         val now = term.clock.nowMicros()
         val ofPlacedTasks =
             job.placements.maxOfOrNull { if (it.isRunning) taskMicros - (now - it.runningSinceMicros) else taskMicros } ?: 0L
--- a/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
@@ -21,7 +21,7 @@
         lease.mayAnswerHeartbeats(nowMicros) && nowMicros < cancellationFreshness.renewalsAllowedUntilMicros
 
     private fun permittedCommands(nowMicros: Long): CommandPermission = when {
-        !lease.mayIssueCommands(nowMicros) -> CommandPermission.NO_COMMANDS
+        !lease.mayIssueCommands(nowMicros) -> CommandPermission.CANCELLATIONS_ONLY
         nowMicros < cancellationFreshness.startsAllowedUntilMicros -> CommandPermission.ALL
         else -> CommandPermission.NO_STARTS
     }
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -44,7 +44,7 @@
         planner,
         LeaderClocks(term.clock, term.wallMicros),
         cancellationFreshness,
-        OptionalPolicies(startTurns = features.admission?.let { FlowRoundRobin(flows) }, recovery),
+        OptionalPolicies(roundRobin = features.admission?.let { FlowRoundRobin(flows) }, recovery),
     )
 
     /** Reads and writes of the reconciliation after an outage; null if it is not enabled. */
--- a/src/main/kotlin/linemast/control/OpenJobUpdates.kt
+++ b/src/main/kotlin/linemast/control/OpenJobUpdates.kt
@@ -15,10 +15,10 @@
 
     /** Applies a change of one record; a malformed one is logged and skipped. */
     fun apply(change: KeyChange) {
-        val value = change.value ?: return cluster.dropJob(change.key.removePrefix(JobKeys.OPEN_PREFIX))
+        val value = change.value ?: return cluster.applyJobDeletion(change.key.removePrefix(JobKeys.OPEN_PREFIX))
         try {
             val record = JobRecordCodec.decode(value)
-            cluster.putJob(record, change.revision)
+            cluster.applyJobRecord(record, change.revision)
             if (record.cancelled) outcomeListener.jobEnded(record.spec.id, JobOutcome.CANCELLED)
         } catch (e: MalformedException) {
             log.error("{}: malformed record: {}", change.key, e.message)
@@ -26,5 +26,5 @@
     }
 
     /** Applies all records, after changes were missed. */
-    fun applyAll(page: EntryPage) = page.entries.forEach { cluster.putJob(JobRecordCodec.decode(it.value), it.revision) }
+    fun applyAll(page: EntryPage) = page.entries.forEach { cluster.applyJobRecord(JobRecordCodec.decode(it.value), it.revision) }
 }
--- a/src/main/kotlin/linemast/control/PreviousLeaders.kt
+++ b/src/main/kotlin/linemast/control/PreviousLeaders.kt
@@ -33,6 +33,6 @@
 
     private fun endIfAllPeersKnow() {
         if (!isStateLoaded || !informedPeers.containsAll(peerNames)) return
-        events.tryRun { cluster.endPreviousLeaders(clock.nowMicros()) }
+        events.tryRun { cluster.recordPreviousLeadersEnded(clock.nowMicros()) }
     }
 }
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -25,16 +25,16 @@
         this.machineRegistry = machineRegistry
     }
 
-    override fun storeActivation(job: Job) = activations.activate(job)
+    override fun persistActivation(job: Job) = activations.activate(job)
 
-    override fun storeDone(job: Job) = jobs.storeProgress(job)
+    override fun persistProgress(job: Job) = jobs.storeProgress(job)
 
-    override fun dropCancelled(job: Job) = jobs.deleteCancelled(job)
+    override fun deleteCancelled(job: Job) = jobs.deleteCancelled(job)
 
-    override fun storeMachines(machines: List<Machine>) = machineRegistry.add(machines) {
+    override fun registerMachines(machines: List<Machine>) = machineRegistry.add(machines) {
         machines.forEach { it.isRegistered = true }
         cluster.dirty = true
     }
 
-    override fun dropMachines(names: List<String>) = machineRegistry.remove(names)
+    override fun unregisterMachines(names: List<String>) = machineRegistry.remove(names)
 }
--- a/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
@@ -13,14 +13,14 @@
      * is not null.
      */
     fun place(job: Job, cycle: SchedulingCycle, maxOnBaseline: Int? = null, maxTasks: Int = Int.MAX_VALUE) {
-        var left = minOf(cycle.headroom.tasksOf(job), job.pendingCount, maxTasks)
+        var left = minOf(cycle.headroom.remainingTasksOf(job), job.pendingCount, maxTasks)
         if (left == 0) return pendingReasons.record(job, PendingReason.QuotaLimit)
-        val spread = SpreadConstraint(job)
+        val zoneConstraint = ZoneConstraint(job)
         var baselineLeft = baselineHeadroom(job, maxOnBaseline)
         for (machine in cycle.machines.candidates(job)) {
             if (machine.baseline && baselineLeft <= 0) continue
             if (cycle.machines.isWithheld(job.spec, machine) || cycle.isLeftToAnother(job, machine)) continue
-            val placed = pack(machine, job, left, spread, cycle)
+            val placed = pack(machine, job, left, zoneConstraint, cycle)
             left -= placed
             if (machine.baseline) baselineLeft -= placed
             if (left == 0 || job.nextPending(0) < 0) {
@@ -38,13 +38,13 @@
         if (cycle.machines.feasibleFor(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity
 
     /** Assigns up to [maxTasks] tasks to [machine] while they fit; returns how many. */
-    private fun pack(machine: Machine, job: Job, maxTasks: Int, spread: SpreadConstraint, cycle: SchedulingCycle): Int {
+    private fun pack(machine: Machine, job: Job, maxTasks: Int, zoneConstraint: ZoneConstraint, cycle: SchedulingCycle): Int {
         var placed = 0
         var index = job.nextPending(0)
-        while (placed < maxTasks && index >= 0 && machine.fits(job) && spread.allows(machine.zone)) {
+        while (placed < maxTasks && index >= 0 && machine.fits(job) && zoneConstraint.allows(machine.zone)) {
             val placement = cycle.assign(machine, job, index, cluster.attemptNumbers.next())
             placement.exemptFromPreemption = job.isStarving
-            spread.add(machine.zone)
+            zoneConstraint.add(machine.zone)
             placed++
             index = job.nextPending(index + 1)
         }
--- a/src/main/kotlin/linemast/scheduling/AttemptNumbers.kt
+++ b/src/main/kotlin/linemast/scheduling/AttemptNumbers.kt
@@ -12,7 +12,7 @@
     private var latestUsed = 0L
 
     /** Whether the numbers are nearly exhausted: a leader with the next fencing token has to go on. */
-    val isNearlyExhausted: Boolean get() = latestUsed >= max - max / RESERVED_PART
+    val isNearlyExhausted: Boolean get() = latestUsed >= max - max / RESERVED_DIVISOR
 
     /** A number that no command has carried. */
     fun next(): Long = base + ++latest
@@ -31,6 +31,6 @@
         const val PER_TOKEN = 1L shl 24
 
         /** One part in this many, a million, is more than a cycle can assign before the leader has stepped down. */
-        private const val RESERVED_PART = 16
+        private const val RESERVED_DIVISOR = 16
     }
 }
--- a/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
@@ -90,9 +90,9 @@
      */
     fun isWithheld(spec: JobSpec, machine: Machine): Boolean {
         val scarcity = scarcity(spec, poolOf.getValue(machine))
-        if (!scarcity.isScarce || scarcity.isClosed) return scarcity.isClosed
+        if (!scarcity.isScarce || scarcity.isExcluded) return scarcity.isExcluded
         if (machine.placements.isNotEmpty()) return false
-        return scarcity.neededTypes.sumOf { idleByType[it] ?: 0 } <= MIN_IDLE
+        return scarcity.neededTypes.sumOf { idleByType[it] ?: 0 } <= MIN_IDLE_MACHINES
     }
 
     /** Whether capacity that frees up on [machine] is of use to [job]. */
@@ -104,18 +104,18 @@
         }
 
     /** [placement] was assigned to its machine. */
-    fun assigned(placement: Placement) {
+    fun recordAssigned(placement: Placement) {
         val machine = placement.machine
         val pool = poolOf[machine] ?: return
-        pool.capacityChanged()
+        pool.invalidateOrder()
         if (machine.placements.size == 1) idleByType.merge(machine.type.name, -1, Int::plus)
     }
 
     /** [placement] was removed from its machine. */
-    fun unassigned(placement: Placement) {
+    fun recordUnassigned(placement: Placement) {
         val machine = placement.machine
         val pool = poolOf[machine] ?: return
-        pool.capacityChanged()
+        pool.invalidateOrder()
         if (machine.placements.isEmpty()) idleByType.merge(machine.type.name, 1, Int::plus)
     }
 
@@ -124,7 +124,7 @@
         const val GPU_WEIGHT = 16.0
 
         /** How many machines of scarce types stay idle for the job classes that need them. */
-        const val MIN_IDLE = 1
+        const val MIN_IDLE_MACHINES = 1
 
         /** Static machines first; then cheap machines fill up, so that expensive ones become idle and can be scaled in. */
         val CHEAPEST_FIRST = compareBy<MachinePool>(
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -31,7 +31,7 @@
     term: ClusterTerm,
     private val effects: ClusterEffects,
     /** Run times of tasks, as estimated by owners and corrected by measurement. */
-    val times: RunTimeEstimates,
+    val runTimeEstimates: RunTimeEstimates,
     /** Plans capacity for the jobs; its objectives and deadlines also rank them. */
     val planner: Planner,
     private val clocks: LeaderClocks,
@@ -50,16 +50,16 @@
     val jobs = LinkedHashMap<String, Job>()
 
     /** Machines, and what the cloud says of them. */
-    internal val inventory = MachineInventory(this)
+    internal val knownMachines = KnownMachines(this)
 
     /** Known machines by name. */
-    val machines: MutableMap<String, Machine> get() = inventory.machines
+    val machines: MutableMap<String, Machine> get() = knownMachines.machines
 
     /** Machine types by name. */
     var types: Map<String, MachineType> = emptyMap()
 
     /** Placements that were assigned to a machine and whose start has not left. */
-    private val assigned = LinkedHashSet<Placement>()
+    private val unsentAssignments = LinkedHashSet<Placement>()
 
     /** Placements that are being stopped to free their resources, or before the cloud preempts their machine. */
     val stopping = LinkedHashSet<Placement>()
@@ -79,7 +79,7 @@
     var dirty = true
 
     private val timing = WorkerTiming(settings.workers)
-    private val scheduler = Scheduler(this, settings, policies.startTurns)
+    private val scheduler = Scheduler(this, settings, policies.roundRobin)
     private val cycleTimer = CycleTimer(clocks.monotonic)
     private val leaseExpiry = LeaseExpiry(this, effects)
     private val jobFollowUp = JobFollowUp(this, effects)
@@ -107,15 +107,15 @@
         failover.reconcile(nowMicros)
     }
 
-    /** See [FailoverReconciliation.endPreviousLeaders]. */
-    fun endPreviousLeaders(nowMicros: Long) = failover.endPreviousLeaders(nowMicros)
+    /** See [FailoverReconciliation.recordPreviousLeadersEnded]. */
+    fun recordPreviousLeadersEnded(nowMicros: Long) = failover.recordPreviousLeadersEnded(nowMicros)
 
     /** See [HeartbeatHandler.handle]. */
     fun heartbeat(heartbeat: Heartbeat, nowMicros: Long, permission: CommandPermission = CommandPermission.ALL): List<Command>? =
         heartbeatHandler.handle(heartbeat, nowMicros, permission)
 
     /** Takes a job's record as the store holds it at [revision]. */
-    fun putJob(record: JobRecord, revision: Long) {
+    fun applyJobRecord(record: JobRecord, revision: Long) {
         val job = jobs[record.spec.id]
         if (job == null) {
             // Whatever a previous leader activated was there to be loaded.
@@ -134,10 +134,10 @@
     }
 
     /** The open record is gone: the job is over. It is kept while a task of it may still be on a machine, to be stopped there. */
-    fun dropJob(id: String) {
+    fun applyJobDeletion(id: String) {
         val job = jobs[id] ?: return
         job.finished = true
-        removeAssigned(job)
+        removeAssignmentsOf(job)
         if (job.placements.isEmpty()) jobs.remove(id)
         dirty = true
     }
@@ -146,7 +146,7 @@
     fun finish(job: Job) {
         job.finished = true
         jobs.remove(job.id)
-        if (job.spec.isGang) failover.gangFinished(job)
+        if (job.spec.isGang) failover.recordFinishedGang(job)
         dirty = true
     }
 
@@ -157,11 +157,11 @@
         // Confirmed after the last complete read, or that would have shown it.
         job.cancelledSinceMicros = cancellationFreshness.freshAsOfMicros ?: clocks.monotonic.nowMicros()
         log.info("{}: cancelled by its user, {} tasks to stop", job.id, job.placements.count { !it.isAssigned })
-        removeAssigned(job)
+        removeAssignmentsOf(job)
         dirty = true
     }
 
-    private fun removeAssigned(job: Job) = job.placements.filter { it.isAssigned }.forEach(::remove)
+    private fun removeAssignmentsOf(job: Job) = job.placements.filter { it.isAssigned }.forEach(::remove)
 
     /** Assigns a task to [machine]; its start leaves with the response to the machine's next heartbeat. */
     fun assign(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
@@ -172,21 +172,21 @@
 
     /** Adds a placement and counts its resources. */
     internal fun put(placement: Placement) {
-        if (placement.isAssigned) assigned += placement
+        if (placement.isAssigned) unsentAssignments += placement
         placement.machine.put(placement)
         placement.job?.add(placement)
         placement.job?.let { quota.add(it.spec) }
     }
 
     /** The start of [placement] has left in a response. */
-    internal fun startSent(placement: Placement) {
-        assigned -= placement
+    internal fun recordStartSent(placement: Placement) {
+        unsentAssignments -= placement
         attemptNumbers.markUsed(placement.attempt)
     }
 
     /** Drops all assignments whose start has not left, so that the scheduler makes them anew. */
-    fun dropAssignments() {
-        assigned.toList().forEach(::remove)
+    fun removeAssignments() {
+        unsentAssignments.toList().forEach(::remove)
         attemptNumbers.releaseUnused()
     }
 
@@ -199,7 +199,7 @@
 
     /** Removes a placement: its task is surely not on the machine any more. */
     fun remove(placement: Placement) {
-        assigned -= placement
+        unsentAssignments -= placement
         stopping -= placement
         placement.machine.remove(placement)
         placement.job?.let {
@@ -214,9 +214,9 @@
         leaseExpiry.expireLeases(nowMicros)
         expireReservations(nowMicros)
         // What was assigned to a machine whose heartbeat is missing since is assigned anew.
-        if (!dirty) dirty = assigned.any { !scheduler.isFresh(it.machine, nowMicros) }
+        if (!dirty) dirty = unsentAssignments.any { !scheduler.hasRecentHeartbeat(it.machine, nowMicros) }
         failover.reconcile(nowMicros)
-        leaseExpiry.registerMachines(nowMicros)
+        leaseExpiry.registerReportingMachines(nowMicros)
         for (job in jobs.values.toList()) jobFollowUp.followUp(job, nowMicros)
         runCycleIfDue(nowMicros)
     }
@@ -242,29 +242,30 @@
     fun activate(job: Job) {
         if (job.activation != Job.Activation.INACTIVE) return
         job.activation = Job.Activation.STORING
-        effects.storeActivation(job)
+        effects.persistActivation(job)
     }
 
     /** Whether heartbeats of most workers that reached this leader are missing at once. */
-    fun isMostlyMissingHeartbeats(nowMicros: Long): Boolean = inventory.isMostlyMissingHeartbeats(nowMicros, timing.missingHeartbeatMicros)
+    fun areMostHeartbeatsMissing(nowMicros: Long): Boolean =
+        knownMachines.areMostHeartbeatsMissing(nowMicros, timing.missingHeartbeatMicros)
 
     /** Whether machines of this kind are kept from [job] although it fits: they count neither as free nor as worth renting for it. */
-    fun isClosedTo(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isClosedTo(type, spot, job.spec)
+    fun isTypeExcluded(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isTypeExcluded(type, spot, job.spec)
 
     internal fun isStartable(job: Job, nowMicros: Long): Boolean = scheduler.isStartable(job, nowMicros)
 
-    /** See [MachineInventory.markBaseline]. */
-    fun markBaseline(names: Set<String>) = inventory.markBaseline(names)
+    /** See [KnownMachines.markBaseline]. */
+    fun markBaseline(names: Set<String>) = knownMachines.markBaseline(names)
 
-    /** See [MachineInventory.markScalingIn]. */
-    fun markScalingIn(names: Collection<String>) = inventory.markScalingIn(names)
+    /** See [KnownMachines.markScalingIn]. */
+    fun markScalingIn(names: Collection<String>) = knownMachines.markScalingIn(names)
 
-    /** See [MachineInventory.markTerminated]. */
-    fun markTerminated(names: Collection<String>) = inventory.markTerminated(names)
+    /** See [KnownMachines.markTerminated]. */
+    fun markTerminated(names: Collection<String>) = knownMachines.markTerminated(names)
 
-    /** See [MachineInventory.removeUnlisted]. */
-    fun removeUnlisted(listed: Set<String>, nowMicros: Long): List<String> = inventory.removeUnlisted(listed, nowMicros)
+    /** See [KnownMachines.removeUnlisted]. */
+    fun removeUnlisted(listed: Set<String>, nowMicros: Long): List<String> = knownMachines.removeUnlisted(listed, nowMicros)
 
-    /** See [MachineInventory.isFree]. */
-    fun isFree(machineName: String): Boolean = inventory.isFree(machineName)
+    /** See [KnownMachines.isFree]. */
+    fun isFree(machineName: String): Boolean = knownMachines.isFree(machineName)
 }
--- a/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
+++ b/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
@@ -10,17 +10,17 @@
  */
 interface ClusterEffects {
     /** Store that tasks of [job] may be started from now on. */
-    fun storeActivation(job: Job)
+    fun persistActivation(job: Job)
 
     /** Store the dirty parts of the job's set of completed tasks, or its end when it is done. */
-    fun storeDone(job: Job)
+    fun persistProgress(job: Job)
 
     /** Register [machines] as ones that may run tasks. */
-    fun storeMachines(machines: List<Machine>)
+    fun registerMachines(machines: List<Machine>)
 
     /** Unregister the machines [names], which run nothing any more. */
-    fun dropMachines(names: List<String>)
+    fun unregisterMachines(names: List<String>)
 
     /** Delete the open record of [job], which is cancelled and has no task left on any machine. */
-    fun dropCancelled(job: Job)
+    fun deleteCancelled(job: Job)
 }
--- a/src/main/kotlin/linemast/scheduling/CommandPermission.kt
+++ b/src/main/kotlin/linemast/scheduling/CommandPermission.kt
@@ -9,5 +9,5 @@
     NO_STARTS,
 
     /** This leader's term may be over: nothing but stops of tasks that are known to be cancelled. */
-    NO_COMMANDS,
+    CANCELLATIONS_ONLY,
 }
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -24,10 +24,10 @@
     private val unconfirmedMachines = LinkedHashSet<Machine>()
 
     /** Whether [unconfirmedMachines] changed since the jobs were last compared with it. */
-    private var isChanged = false
+    private var haveMachinesChanged = false
 
     /** Gangs that were done while machines that may hold tasks of theirs were unconfirmed. */
-    private val doneUnconfirmedGangs = ArrayList<Job>()
+    private val finishedUnconfirmedGangs = ArrayList<Job>()
 
     /** When the store had been read and heartbeats began to count. */
     private var loadedMicros = 0L
@@ -50,14 +50,14 @@
             machine.leaseEndMicros = previousLeaderUntilMicros + timing.maxLeaseMicros
             unconfirmedMachines += machine
         }
-        isChanged = true
+        haveMachinesChanged = true
     }
 
     /**
      * Every other controller has shown that it knows this fencing token, which ended any lower term of its own: from now
      * on no previous leader answers a heartbeat.
      */
-    fun endPreviousLeaders(nowMicros: Long) {
+    fun recordPreviousLeadersEnded(nowMicros: Long) {
         if (nowMicros >= previousLeaderUntilMicros) return
         previousLeaderUntilMicros = nowMicros
         val latest = nowMicros + timing.maxLeaseMicros
@@ -65,33 +65,33 @@
     }
 
     /** Until when some leader may answer a worker whose heartbeat came at [nowMicros] and showed [fencingToken]. */
-    fun answeredUntilMicros(fencingToken: Long, nowMicros: Long): Long =
+    fun latestResponseMicros(fencingToken: Long, nowMicros: Long): Long =
         if (fencingToken >= cluster.fencingToken) nowMicros else maxOf(nowMicros, previousLeaderUntilMicros)
 
     /** A heartbeat of [machine] was accepted: it is confirmed if it has shown this leader's fencing token. */
-    fun heartbeatAccepted(machine: Machine, nowMicros: Long) {
+    fun confirmIfTokenShown(machine: Machine, nowMicros: Long) {
         if (isReconciled || machine.fencingToken < cluster.fencingToken || !unconfirmedMachines.remove(machine)) return
-        isChanged = true
+        haveMachinesChanged = true
         if (unconfirmedMachines.isEmpty()) reconcile(nowMicros)
     }
 
     /** A gang is done with the first of its tasks that says so; others of its tasks may be on unconfirmed machines. */
-    fun gangFinished(job: Job) {
-        if (!isReconciledFor(job)) doneUnconfirmedGangs += job
+    fun recordFinishedGang(job: Job) {
+        if (!isReconciledFor(job)) finishedUnconfirmedGangs += job
     }
 
     /** Drops machines that need no confirmation any more, and updates which jobs may have tasks on the others. */
     fun reconcile(nowMicros: Long) {
         if (isReconciled) return
-        if (unconfirmedMachines.removeIf { isConfirmed(it, nowMicros) }) isChanged = true
+        if (unconfirmedMachines.removeIf { isConfirmed(it, nowMicros) }) haveMachinesChanged = true
         if (unconfirmedMachines.isEmpty()) {
             complete(nowMicros)
-        } else if (isChanged) {
+        } else if (haveMachinesChanged) {
             val shapes = unconfirmedMachines.mapTo(HashSet()) { it.shape }
             for (job in cluster.jobs.values) if (job.unconfirmed) job.unconfirmed = shapes.any { it.allows(job.spec) }
             cluster.dirty = true
         }
-        isChanged = false
+        haveMachinesChanged = false
     }
 
     private fun isConfirmed(machine: Machine, nowMicros: Long): Boolean = machine.fencingToken >= cluster.fencingToken ||
@@ -100,7 +100,7 @@
 
     private fun complete(nowMicros: Long) {
         isReconciled = true
-        doneUnconfirmedGangs.clear()
+        finishedUnconfirmedGangs.clear()
         cluster.dirty = true
         val tookMillis = (nowMicros - loadedMicros) / MICROS_PER_MILLI
         log.info("reconciled {} ms after loading: {} machines, {} jobs", tookMillis, cluster.machines.size, cluster.jobs.size)
@@ -114,7 +114,7 @@
     fun zonesMostlyReporting(): Set<String> {
         val unconfirmed = unconfirmedMachines.groupingBy { it.zone }.eachCount()
         val registered = cluster.machines.values.filter { it.inherited }.groupingBy { it.zone }.eachCount()
-        return registered.filter { (zone, count) -> (unconfirmed[zone] ?: 0) * MAX_MISSING_PART <= count }.keys
+        return registered.filter { (zone, count) -> (unconfirmed[zone] ?: 0) * MAX_MISSING_DIVISOR <= count }.keys
     }
 
     /** Whether no unseen task of [job] can be on a machine: unconfirmed machines that cannot hold one do not matter. */
@@ -124,13 +124,13 @@
     fun unconfirmedAmount(team: String, amount: (Job) -> Double): Double {
         if (isReconciled) return 0.0
         val ofOpenJobs = cluster.jobs.values.filter { it.spec.team == team && !isReconciledFor(it) }.sumOf { it.pendingCount * amount(it) }
-        val ofDoneGangs = doneUnconfirmedGangs.filter { it.spec.team == team }
+        val ofDoneGangs = finishedUnconfirmedGangs.filter { it.spec.team == team }
             .sumOf { (it.spec.taskCount - it.placements.size) * amount(it) }
         return ofOpenJobs + ofDoneGangs
     }
 
     private companion object {
         /** A zone mostly reports if no more than one machine in this many is missing. */
-        const val MAX_MISSING_PART = 4
+        const val MAX_MISSING_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/linemast/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPlacement.kt
@@ -15,7 +15,7 @@
     fun place(gang: Job, cycle: SchedulingCycle) {
         if (!prepareAttempt(gang)) return
         val missing = gang.pendingCount
-        val headroom = cycle.headroom.tasksOf(gang)
+        val headroom = cycle.headroom.remainingTasksOf(gang)
         // Zones of all feasible machines, not only of those with free capacity: preemption can free the others.
         val zones = if (gang.spec.sameZone && gang.spec.taskCount > 1) cycle.machines.feasibleZones(gang) else listOf(null)
         if (headroom >= missing) {
@@ -62,13 +62,13 @@
     }
 
     private fun placeAll(gang: Job, machines: Sequence<Machine>, missing: Int, cycle: SchedulingCycle): Boolean {
-        val spread = SpreadConstraint(gang)
+        val zoneConstraint = ZoneConstraint(gang)
         val placed = ArrayList<Placement>()
         var index = gang.nextPending(0)
         for (machine in machines) {
-            while (index >= 0 && machine.fits(gang) && spread.allows(machine.zone)) {
+            while (index >= 0 && machine.fits(gang) && zoneConstraint.allows(machine.zone)) {
                 placed += cycle.assign(machine, gang, index, gang.gangAttempt.number)
-                spread.add(machine.zone)
+                zoneConstraint.add(machine.zone)
                 index = gang.nextPending(index + 1)
             }
             if (index < 0) break
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -49,17 +49,17 @@
         val reservedCount = machines.count { it.reservedFor === gang }
         if (reservedCount >= missing) return true
         val windowMicros = timing.gangWindowMicros(gang, cluster.wallMicros() - gang.readyWallMicros)
-        val preemptions = machines.filter { it.reservedFor == null && couldFit(gang, it) }
+        val preemptions = machines.filter { it.reservedFor == null && canFitAfterPreemption(gang, it) }
             .mapNotNull { machine -> victimsOn(machine, gang, windowMicros, cycle.nowMicros)?.let { Preemption(machine, it) } }
-            .sortedBy { preemption -> preemption.victims.sumOf { lostWork(it, cycle.nowMicros) } }
+            .sortedBy { preemption -> preemption.victims.sumOf { lostVcpuMicros(it, cycle.nowMicros) } }
             .take(missing - reservedCount)
             .toList()
         if (preemptions.size + reservedCount < missing) return false
-        preemptions.forEach { carryOut(it, gang, windowMicros, cycle) }
+        preemptions.forEach { execute(it, gang, windowMicros, cycle) }
         return true
     }
 
-    private fun carryOut(preemption: Preemption, gang: Job, windowMicros: Long, cycle: SchedulingCycle) {
+    private fun execute(preemption: Preemption, gang: Job, windowMicros: Long, cycle: SchedulingCycle) {
         preemption.machine.reserveFor(gang, cycle.nowMicros + windowMicros + GangReservation.RESERVATION_MICROS)
         for (victim in preemption.victims) {
             // A task whose start has not left need not be started and stopped again.
@@ -78,7 +78,7 @@
     }
 
     /** Whether preempting all less urgent tasks of [machine] frees enough: a cheap check that rules out most machines. */
-    private fun couldFit(gang: Job, machine: Machine): Boolean {
+    private fun canFitAfterPreemption(gang: Job, machine: Machine): Boolean {
         var vcpus = machine.freeVcpus + ROUNDING_TOLERANCE
         if (vcpus >= gang.spec.vcpus) return true
         for (placement in machine.placements.values) {
@@ -107,7 +107,7 @@
     }
 
     /** Work that a preemption loses, in microseconds of one vcpu: all since the start, or the time to save a checkpoint. */
-    private fun lostWork(placement: Placement, nowMicros: Long): Double {
+    private fun lostVcpuMicros(placement: Placement, nowMicros: Long): Double {
         val spec = placement.job?.spec ?: return 0.0
         return if (spec.neverCheckpoints) (nowMicros - placement.sentMicros) * spec.vcpus else spec.checkpointMicros * spec.vcpus
     }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
@@ -12,22 +12,22 @@
     /** Records [heartbeat] as the newest one of its machine; null if it does not count. */
     fun accept(heartbeat: Heartbeat, nowMicros: Long): Machine? {
         // The cloud has confirmed that the machine is gone: a delayed copy must not bring it back.
-        if (cluster.inventory.isTerminated(heartbeat.machineName)) return null
+        if (cluster.knownMachines.isTerminated(heartbeat.machineName)) return null
         val machine = machineOf(heartbeat) ?: return null
         val heartbeats = machine.heartbeats
         val order = heartbeats.classify(heartbeat, nowMicros, machine.leaseEndMicros, timing.acknowledgedIntervalMicros)
         if (order == HeartbeatOrder.STALE) return null
-        if (order == HeartbeatOrder.NEWER && contradicts(machine, heartbeat)) return null
-        val wasUsable = isUsable(machine, machine.fencingToken)
+        if (order == HeartbeatOrder.NEWER && contradictsReportedTasks(machine, heartbeat)) return null
+        val couldReceiveStarts = mayReceiveStarts(machine, machine.fencingToken)
         val isNewIncarnation = order == HeartbeatOrder.RESTARTED || heartbeat.incarnation > heartbeats.incarnation
         heartbeats.record(heartbeat, nowMicros, timing.acknowledgedIntervalMicros, timing.minLeaseMicros)
-        if (!wasUsable && isUsable(machine, heartbeat.fencingToken)) cluster.dirty = true
+        if (!couldReceiveStarts && mayReceiveStarts(machine, heartbeat.fencingToken)) cluster.dirty = true
         if (isNewIncarnation) endIncarnation(machine)
-        machine.leaseEndMicros = cluster.failover.answeredUntilMicros(heartbeat.fencingToken, nowMicros) + timing.maxLeaseMicros
+        machine.leaseEndMicros = cluster.failover.latestResponseMicros(heartbeat.fencingToken, nowMicros) + timing.maxLeaseMicros
         return machine
     }
 
-    private fun isUsable(machine: Machine, fencingToken: Long): Boolean =
+    private fun mayReceiveStarts(machine: Machine, fencingToken: Long): Boolean =
         machine.acknowledgesResponses && fencingToken >= cluster.fencingToken
 
     /** The machine of [heartbeat], added if it is new; null if its type is unknown. */
@@ -35,7 +35,7 @@
         cluster.machines[heartbeat.machineName]?.let { return it }
         val type = cluster.types[heartbeat.machineType] ?: return null
         val machine = Machine(heartbeat.machineName, type, heartbeat.zone, heartbeat.spot)
-        cluster.inventory.add(machine)
+        cluster.knownMachines.add(machine)
         return machine
     }
 
@@ -44,7 +44,7 @@
      * A worker lists its tasks until their ends are acknowledged: such a heartbeat is a delayed copy from before a restart,
      * whatever its sequence number.
      */
-    private fun contradicts(machine: Machine, heartbeat: Heartbeat): Boolean {
+    private fun contradictsReportedTasks(machine: Machine, heartbeat: Heartbeat): Boolean {
         if (heartbeat.incarnation != machine.heartbeats.incarnation) return false
         val listed = heartbeat.tasks.mapTo(HashSet()) { it.key }
         return machine.placements.values.any { it.isReported && it.key !in listed }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -31,22 +31,22 @@
      */
     fun handle(heartbeat: Heartbeat, nowMicros: Long, permission: CommandPermission): List<Command>? {
         val machine = acceptance.accept(heartbeat, nowMicros) ?: return null
-        notePreemption(machine, heartbeat)
+        recordPreemptionNotice(machine, heartbeat)
         taskReconciliation.reconcile(machine, heartbeat, nowMicros)
         if (machine.preemptionNoticeMicros != null) checkpointBeforePreemption(machine)
         if (machine.placements.values.any { outlivesCancellation(it, nowMicros) }) return null
-        if (permission == CommandPermission.NO_COMMANDS) return taskCommands.stopsOfCancelled(machine)
-        cluster.failover.heartbeatAccepted(machine, nowMicros)
+        if (permission == CommandPermission.CANCELLATIONS_ONLY) return taskCommands.stopsOfCancelled(machine)
+        cluster.failover.confirmIfTokenShown(machine, nowMicros)
         cluster.recovery?.heartbeatReceived(machine.name)
         cluster.runCycleIfDue(nowMicros)
         // A worker that does not show this fencing token has got no response of this leader yet, and may never get one.
-        val mayStart = permission == CommandPermission.ALL &&
+        val startsAllowed = permission == CommandPermission.ALL &&
             machine.acknowledgesResponses &&
             heartbeat.fencingToken >= cluster.fencingToken
-        return taskCommands.commandsFor(machine, mayStart, nowMicros)
+        return taskCommands.commandsFor(machine, startsAllowed, nowMicros)
     }
 
-    private fun notePreemption(machine: Machine, heartbeat: Heartbeat) {
+    private fun recordPreemptionNotice(machine: Machine, heartbeat: Heartbeat) {
         if (heartbeat.preemptionNoticeMicros != null && machine.preemptionNoticeMicros == null) {
             log.info("{}: preempted by the cloud in {} s", machine.name, heartbeat.preemptionNoticeMicros / MICROS_PER_SECOND)
             machine.draining = true
--- a/src/main/kotlin/linemast/scheduling/ImageAffinity.kt
+++ b/src/main/kotlin/linemast/scheduling/ImageAffinity.kt
@@ -26,12 +26,12 @@
     private fun mayPrecede(other: RankedJob, rank: RankedJob): Boolean = other.job.pendingCount > 0 &&
         other.job.priority == rank.job.priority &&
         other.missedObjectives <= rank.missedObjectives &&
-        other.deadlineMicros <= rank.deadlineMicros + SAME_RANK_MICROS
+        other.deadlineMicros <= rank.deadlineMicros + MAX_DEADLINE_DIFFERENCE_MICROS
 
     private fun mayRunOn(machine: Machine, job: Job): Boolean = machine.canPlace(job) && hasQuotaHeadroom(job)
 
     private companion object {
         /** Jobs whose deadlines are closer to each other than this may precede each other. */
-        const val SAME_RANK_MICROS = 60_000_000L
+        const val MAX_DEADLINE_DIFFERENCE_MICROS = 60_000_000L
     }
 }
--- a/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
+++ b/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
@@ -10,12 +10,12 @@
         if (job.finished) {
             if (job.placements.isEmpty()) cluster.jobs.remove(job.id)
         } else if (job.cancelled) {
-            if (cluster.failover.isReconciledFor(job) && job.placements.isEmpty() && !progress.isWriting) effects.dropCancelled(job)
+            if (cluster.failover.isReconciledFor(job) && job.placements.isEmpty() && !progress.isWriting) effects.deleteCancelled(job)
         } else if (!progress.isWriting && !progress.dirtyParts.isEmpty) {
             // Progress is stored at intervals: each write takes from what submissions and ends of jobs need.
             if (!job.isDone && nowMicros < progress.writtenMicros + PROGRESS_INTERVAL_MICROS) return
             progress.writtenMicros = nowMicros
-            effects.storeDone(job)
+            effects.persistProgress(job)
         }
     }
 
--- a/src/main/kotlin/linemast/scheduling/MachineInventory.kt
+++ b/src/main/kotlin/linemast/scheduling/KnownMachines.kt
@@ -6,7 +6,7 @@
  * The machines that the leader knows, and what the cloud says of them: which belong to the baseline fleet, are being
  * scaled in, or are gone.
  */
-internal class MachineInventory(private val cluster: Cluster) {
+internal class KnownMachines(private val cluster: Cluster) {
     /** Known machines by name. */
     val machines = LinkedHashMap<String, Machine>()
 
@@ -67,7 +67,7 @@
     fun isFree(machineName: String): Boolean = cluster.isReconciled && machines[machineName]?.placements.isNullOrEmpty()
 
     /** Whether heartbeats of most workers that reached this leader are missing at once. */
-    fun isMostlyMissingHeartbeats(nowMicros: Long, missingHeartbeatMicros: Long): Boolean {
+    fun areMostHeartbeatsMissing(nowMicros: Long, missingHeartbeatMicros: Long): Boolean {
         var known = 0
         var reporting = 0
         for (machine in machines.values) {
@@ -75,7 +75,7 @@
             known++
             if (nowMicros - machine.lastHeartbeatMicros < missingHeartbeatMicros) reporting++
         }
-        return known >= MIN_WORKERS && reporting * MIN_REPORTING_PART < known
+        return known >= MIN_WORKERS && reporting * MIN_REPORTING_DIVISOR < known
     }
 
     private companion object {
@@ -83,7 +83,7 @@
         const val MIN_WORKERS = 3
 
         /** Most workers are lost if less than one in this many reports. */
-        const val MIN_REPORTING_PART = 4
+        const val MIN_REPORTING_DIVISOR = 4
 
         /** Delayed copies come minutes late at most; this is four times the machines of the largest fleet. */
         const val MAX_TERMINATED = 24_000
--- a/src/main/kotlin/linemast/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/linemast/scheduling/LeaseExpiry.kt
@@ -17,14 +17,14 @@
         val unregistered = ArrayList<String>()
         for (machine in cluster.machines.values) {
             if (nowMicros < machine.leaseEndMicros || (!machine.isRegistered && machine.placements.isEmpty())) continue
-            loseTasks(machine)
+            removeTasks(machine)
             if (machine.isRegistered) unregistered += machine.name
             machine.isRegistered = false
         }
-        if (unregistered.isNotEmpty()) effects.dropMachines(unregistered)
+        if (unregistered.isNotEmpty()) effects.unregisterMachines(unregistered)
     }
 
-    private fun loseTasks(machine: Machine) {
+    private fun removeTasks(machine: Machine) {
         if (machine.placements.isEmpty()) return
         log.info("{}: lease expired, {} tasks lost", machine.name, machine.placements.size)
         machine.placements.values.toList().forEach(cluster::remove)
@@ -32,8 +32,8 @@
     }
 
     /** Has machines stored that hold a lease and are not registered. */
-    fun registerMachines(nowMicros: Long) {
+    fun registerReportingMachines(nowMicros: Long) {
         val machines = cluster.machines.values.filter { !it.isRegistered && it.hasReported && nowMicros < it.leaseEndMicros }
-        if (machines.isNotEmpty()) effects.storeMachines(machines)
+        if (machines.isNotEmpty()) effects.registerMachines(machines)
     }
 }
--- a/src/main/kotlin/linemast/scheduling/MachinePool.kt
+++ b/src/main/kotlin/linemast/scheduling/MachinePool.kt
@@ -35,7 +35,7 @@
     }
 
     /** The free capacity of one of the machines has changed. */
-    fun capacityChanged() {
+    fun invalidateOrder() {
         sorted = false
     }
 
--- a/src/main/kotlin/linemast/scheduling/MachineReadiness.kt
+++ b/src/main/kotlin/linemast/scheduling/MachineReadiness.kt
@@ -7,13 +7,13 @@
     private val maxAgeMicros = heartbeatIntervalMicros * 5 / 2 + HEARTBEAT_DELAY_MICROS
 
     /** Whether the last heartbeat is so recent that the next one can be expected soon. */
-    fun isFresh(machine: Machine, nowMicros: Long): Boolean =
+    fun hasRecentHeartbeat(machine: Machine, nowMicros: Long): Boolean =
         machine.lastHeartbeatMicros > 0 && nowMicros - machine.lastHeartbeatMicros < maxAgeMicros
 
     /** Whether tasks may be assigned to [machine]. */
     fun isSchedulable(machine: Machine, nowMicros: Long): Boolean = !machine.draining &&
         machine.isRegistered &&
-        isFresh(machine, nowMicros) &&
+        hasRecentHeartbeat(machine, nowMicros) &&
         machine.acknowledgesResponses &&
         machine.fencingToken >= cluster.fencingToken
 
--- a/src/main/kotlin/linemast/scheduling/QuotaHeadroom.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaHeadroom.kt
@@ -14,12 +14,12 @@
      * How many more tasks of [job] its team's quota limit allows, besides unconfirmed tasks of previous leaders and what is
      * reserved for more urgent gangs of the team: those that are pending only because of the limit, and the next one expected.
      */
-    fun tasksOf(job: Job): Int = tasksOf(job, if (job.isStarving) null else expectedGangs.reservedAgainst(job.spec))
+    fun remainingTasksOf(job: Job): Int = remainingTasksOf(job, if (job.isStarving) null else expectedGangs.reservedAgainst(job.spec))
 
     /** Whether the limit allows one more task of [job], if the next gang expected is left out of account. */
-    fun allowsTaskOf(job: Job): Boolean = tasksOf(job, null) > 0
+    fun allowsTaskOf(job: Job): Boolean = remainingTasksOf(job, null) > 0
 
-    private fun tasksOf(job: Job, expectedGang: Resources?): Int {
+    private fun remainingTasksOf(job: Job, expectedGang: Resources?): Int {
         val unconfirmed = unconfirmedOf(job.spec.team)
         val pendingGangs = reservedForPendingGangs(job)
         val reserved = Resources(
--- a/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
@@ -34,7 +34,7 @@
     /** Preempts as many tasks as [job] needs to start [missing] of its own, beside what frees up by itself in time. */
     fun preemptFor(job: Job, missing: Int) {
         var left = missing - (stoppingFor[job] ?: 0)
-        left -= countEndingSoon(job, left)
+        left -= claimEndingSoon(job, left)
         if (left <= 0) return
         for (victim in victimsFor(job)) {
             if (left <= 0) return
@@ -62,7 +62,7 @@
         excessVcpus.getOrPut(team) { cluster.quota.excessVcpus(team) - taskPreemption.stoppingVcpus(team) }
 
     /** Up to [max] tasks that end by themselves soon enough: a job within its quota is the first to get their capacity. */
-    private fun countEndingSoon(job: Job, max: Int): Int {
+    private fun claimEndingSoon(job: Job, max: Int): Int {
         val windowMicros = timing.quotaWindowMicros(cluster.wallMicros() - job.readyWallMicros)
         if (windowMicros <= 0 || max <= 0) return 0
         val ending = cycle.machines.feasibleFor(job)
--- a/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -18,7 +18,7 @@
         /** Whether other job classes need such machines more; spot machines are needed only by those that may use them. */
         val isScarce: Boolean,
         /** Whether the task could not be preempted for those that need the machine: it must not be placed there. */
-        val isClosed: Boolean,
+        val isExcluded: Boolean,
         /** The types that serve those that need such machines. */
         val neededTypes: Set<String>,
     )
@@ -27,7 +27,7 @@
 
     /** Learns from the present jobs' [specs], and forgets job classes that have not been seen for long. */
     fun learn(specs: List<JobSpec>, types: Collection<MachineType>, nowMicros: Long) {
-        demands.values.removeIf { nowMicros - it.lastSeenMicros > MEMORY_MICROS }
+        demands.values.removeIf { nowMicros - it.lastSeenMicros > RETENTION_MICROS }
         for (spec in specs) {
             val known = demands[spec.jobClass]
             if (known == null) {
@@ -50,13 +50,13 @@
         val others = demandsOfOthers(type, spot, spec)
         return Scarcity(
             isScarce = others.isNotEmpty(),
-            isClosed = others.any { it.spec.priority >= spec.priority },
+            isExcluded = others.any { it.spec.priority >= spec.priority },
             neededTypes = others.firstOrNull()?.typeNames ?: emptySet(),
         )
     }
 
     /** Whether no task of [spec] is ever placed on machines of [type], although it would fit. */
-    fun isClosedTo(type: MachineType, spot: Boolean, spec: JobSpec): Boolean =
+    fun isTypeExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean =
         demandsOfOthers(type, spot, spec).any { it.spec.priority >= spec.priority }
 
     private fun demandsOfOthers(type: MachineType, spot: Boolean, spec: JobSpec): List<Demand> {
@@ -66,6 +66,6 @@
 
     private companion object {
         /** A job class that was not seen for this long is forgotten. */
-        const val MEMORY_MICROS = 900_000_000L
+        const val RETENTION_MICROS = 900_000_000L
     }
 }
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -21,7 +21,7 @@
     private val machineReadiness = MachineReadiness(cluster, settings.workers.heartbeatIntervalMicros)
 
     private val timing = PreemptionTiming(settings)
-    private val estimates = CompletionEstimates(cluster.times)
+    private val estimates = CompletionEstimates(cluster.runTimeEstimates)
     private val taskPreemption = TaskPreemption(cluster, timing.gracePeriodMicros)
     private val reservation = GangReservation(cluster, estimates)
     private val gangPreemption = GangPreemption(cluster, timing, estimates, taskPreemption, reservation)
@@ -30,18 +30,18 @@
     private val gangs = GangPlacement(cluster, gangPreemption, pendingReasons)
     private val starvationGuard = StarvationGuard(cluster, roundRobin, arrays, gangs, reservation)
 
-    /** See [ScarceTypes.isClosedTo]. */
-    fun isClosedTo(type: MachineType, spot: Boolean, spec: JobSpec): Boolean = scarceTypes.isClosedTo(type, spot, spec)
+    /** See [ScarceTypes.isTypeExcluded]. */
+    fun isTypeExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean = scarceTypes.isTypeExcluded(type, spot, spec)
 
-    /** See [MachineReadiness.isFresh]. */
-    fun isFresh(machine: Machine, nowMicros: Long): Boolean = machineReadiness.isFresh(machine, nowMicros)
+    /** See [MachineReadiness.hasRecentHeartbeat]. */
+    fun hasRecentHeartbeat(machine: Machine, nowMicros: Long): Boolean = machineReadiness.hasRecentHeartbeat(machine, nowMicros)
 
     /** See [JobReadiness.isStartable]. */
     fun isStartable(job: Job, nowMicros: Long): Boolean = jobReadiness.isStartable(job, nowMicros)
 
     /** Assigns what can be assigned now, and preempts tasks where that is needed and allowed. */
     fun runCycle(nowMicros: Long) {
-        cluster.dropAssignments()
+        cluster.removeAssignments()
         cluster.dirty = false
         val ranked = rankJobs(nowMicros)
         val jobs = ranked.map { it.job }
@@ -95,7 +95,7 @@
         val preemption = QuotaPreemption(cycle, cluster, timing, estimates, taskPreemption)
         for (job in ready) {
             if (!job.withinQuota || job.spec.isGang || job.pendingCount == 0) continue
-            preemption.preemptFor(job, minOf(job.pendingCount, cycle.headroom.tasksOf(job)))
+            preemption.preemptFor(job, minOf(job.pendingCount, cycle.headroom.remainingTasksOf(job)))
         }
     }
 }
--- a/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -21,14 +21,14 @@
     /** Assigns task [index] of [job] to [machine]; the start leaves with the response to the machine's next heartbeat. */
     fun assign(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
         val placement = cluster.assign(machine, job, index, attempt)
-        machines.assigned(placement)
+        machines.recordAssigned(placement)
         return placement
     }
 
     /** Drops an assignment whose start has not left. */
     fun unassign(placement: Placement) {
         cluster.remove(placement)
-        machines.unassigned(placement)
+        machines.recordUnassigned(placement)
     }
 
     /** Whether [machine] is left to another job, whose image is there, for now. */
--- a/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -31,7 +31,7 @@
                 continue
             }
             gangs.place(job, cycle)
-            if (mayReserve && isReservationOfUse(job) && reservation.reserve(job, cycle)) mayReserve = false
+            if (mayReserve && needsReservation(job) && reservation.reserve(job, cycle)) mayReserve = false
         }
     }
 
@@ -73,7 +73,7 @@
         if (job.placements.isNotEmpty()) roundRobin?.recordServed(job)
     }
 
-    private fun isReservationOfUse(gang: Job): Boolean = gang.placements.isEmpty() && gang.pendingReason != PendingReason.QuotaLimit
+    private fun needsReservation(gang: Job): Boolean = gang.placements.isEmpty() && gang.pendingReason != PendingReason.QuotaLimit
 
     private companion object {
         /** How many tasks of a starving array are placed first. */
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -20,8 +20,8 @@
         return Command.Stop(placement.task, placement.attempt, 0)
     }
 
-    /** The commands for the response to a heartbeat of [machine]; starts only if [mayStart]. */
-    fun commandsFor(machine: Machine, mayStart: Boolean, nowMicros: Long): List<Command> {
+    /** The commands for the response to a heartbeat of [machine]; starts only if [startsAllowed]. */
+    fun commandsFor(machine: Machine, startsAllowed: Boolean, nowMicros: Long): List<Command> {
         val commands = ArrayList<Command>()
         for (task in machine.ended.values) {
             if (mayAcknowledge(machine, task, nowMicros)) commands += Command.Acknowledge(task.task, task.attempt)
@@ -29,21 +29,21 @@
         cluster.recovery?.count(ReconciliationStatistics.Command.ACKNOWLEDGE, commands.size)
         for (placement in machine.placements.values.toList()) {
             if (commands.size >= MAX_COMMANDS) break
-            val command = if (placement.isAssigned) start(placement, mayStart, nowMicros) else stop(placement, nowMicros)
+            val command = if (placement.isAssigned) start(placement, startsAllowed, nowMicros) else stop(placement, nowMicros)
             if (command != null) commands += command
         }
         return commands
     }
 
     /** The start of an assigned task; null if it may not leave, which drops the assignment. */
-    private fun start(placement: Placement, mayStart: Boolean, nowMicros: Long): Command? {
-        if (!mayStart || !mayStart(placement, nowMicros) || !isWithinStartRate(placement, nowMicros)) {
+    private fun start(placement: Placement, startsAllowed: Boolean, nowMicros: Long): Command? {
+        if (!startsAllowed || !mayStart(placement, nowMicros) || !isWithinStartRate(placement, nowMicros)) {
             cluster.remove(placement)
             return null
         }
         placement.phase = Placement.Phase.SENT
         placement.sentMicros = nowMicros
-        cluster.startSent(placement)
+        cluster.recordStartSent(placement)
         placement.job?.gangAttempt?.isStartSent = true
         cluster.recovery?.count(ReconciliationStatistics.Command.START)
         return Command.Start(placement.task, placement.attempt)
@@ -78,13 +78,13 @@
 
     /** The starts of a gang leave together: one that comes late would hold the machines of all others. */
     private fun isWithinStartRate(placement: Placement, nowMicros: Long): Boolean =
-        placement.job?.spec?.isGang == true || mayCommand(nowMicros)
+        placement.job?.spec?.isGang == true || isWithinCommandRate(nowMicros)
 
-    private fun mayCommand(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
+    private fun isWithinCommandRate(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
 
     private fun shouldStop(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job
-        if (job == null && !(mayDiscard(placement.task.job, nowMicros) && mayCommand(nowMicros))) return false
+        if (job == null && !(mayDiscard(placement.task.job, nowMicros) && isWithinCommandRate(nowMicros))) return false
         if (job == null || isObsolete(placement, job)) {
             placement.stopGracePeriodMicros = 0
             return true
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -14,19 +14,19 @@
     private val log = LoggerFactory.getLogger(TaskEndings::class.java)
 
     /** [task] has ended on [machine]; [placement] is null if its end was taken before, or if the leader did not know of it. */
-    fun ended(machine: Machine, task: TaskStatus, placement: Placement?, nowMicros: Long) {
+    fun recordEnd(machine: Machine, task: TaskStatus, placement: Placement?, nowMicros: Long) {
         if (placement != null) cluster.remove(placement)
         val job = cluster.jobs[task.task.job]
         if (job == null) cluster.recovery?.countUnknown(task.key)
         if (job == null || task.task.index >= job.spec.taskCount) return
         when (task.cause) {
-            EndCause.DONE -> completed(machine, job, task, placement, nowMicros)
-            EndCause.FAILED -> failed(machine, job, nowMicros)
+            EndCause.DONE -> recordCompletion(machine, job, task, placement, nowMicros)
+            EndCause.FAILED -> recordFailure(machine, job, nowMicros)
             else -> if (placement != null) log.debug("{}: ended on {}: {}", task.task, machine.name, task.cause)
         }
     }
 
-    private fun completed(machine: Machine, job: Job, task: TaskStatus, placement: Placement?, nowMicros: Long) {
+    private fun recordCompletion(machine: Machine, job: Job, task: TaskStatus, placement: Placement?, nowMicros: Long) {
         machine.failedJobs.clear()
         job.failureBackOff.recordSuccess()
         if (placement != null) measureRunTime(job, placement, nowMicros)
@@ -45,10 +45,10 @@
         if (placement.runningSinceMicros == 0L || job.spec.isGang) return
         val runMicros = nowMicros - placement.runningSinceMicros
         job.runTimes.add(runMicros)
-        cluster.times.recordFinished(job.spec, runMicros)
+        cluster.runTimeEstimates.recordFinished(job.spec, runMicros)
     }
 
-    private fun failed(machine: Machine, job: Job, nowMicros: Long) {
+    private fun recordFailure(machine: Machine, job: Job, nowMicros: Long) {
         // The same failure is reported until its end is acknowledged; it counts once.
         if (!job.failedOn.add(machine.name) && !machine.failedJobs.add(job.id)) return
         machine.failedJobs += job.id
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -23,12 +23,12 @@
             val placement = machine.placements[task.key]
             if (task.state == TaskState.ENDED) {
                 machine.ended[task.key] = task
-                taskEndings.ended(machine, task, placement, nowMicros)
+                taskEndings.recordEnd(machine, task, placement, nowMicros)
             } else {
-                advance(placement ?: adopt(machine, task, nowMicros), task, nowMicros)
+                updatePhase(placement ?: adopt(machine, task, nowMicros), task, nowMicros)
             }
         }
-        machine.placements.values.filter { isLost(it, reported, nowMicros) }.forEach(::lost)
+        machine.placements.values.filter { isLost(it, reported, nowMicros) }.forEach(::removeLost)
         if (machine.placements.isNotEmpty() || machine.idleSinceMicros == 0L) machine.idleSinceMicros = nowMicros
     }
 
@@ -49,7 +49,7 @@
         if (job == null) recovery.countUnknown(attempt) else recovery.count(ReconciliationStatistics.Difference.ADOPTED)
     }
 
-    private fun advance(placement: Placement, task: TaskStatus, nowMicros: Long) {
+    private fun updatePhase(placement: Placement, task: TaskStatus, nowMicros: Long) {
         placement.phase = when (task.state) {
             TaskState.FETCHING -> Placement.Phase.FETCHING
             TaskState.WAITING_FOR_GANG -> Placement.Phase.WAITING_FOR_GANG
@@ -69,7 +69,7 @@
         return !placement.machine.heartbeats.isAmbiguous || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
     }
 
-    private fun lost(placement: Placement) {
+    private fun removeLost(placement: Placement) {
         cluster.recovery?.count(ReconciliationStatistics.Difference.LOST)
         if (placement.phase != Placement.Phase.SENT) {
             log.info("{} on {}: not reported any more", placement.task, placement.machine.name)
--- a/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
+++ b/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
@@ -15,7 +15,8 @@
      * A worker that got no response sends its next heartbeat after its timeout and a pause; one that sends it sooner than
      * this got the response before.
      */
-    val acknowledgedIntervalMicros = maxOf(UNACKNOWLEDGED_INTERVAL_MICROS, workers.heartbeatIntervalMicros * 5 / 4 + HEARTBEAT_SLACK_MICROS)
+    val acknowledgedIntervalMicros =
+        maxOf(MIN_ACKNOWLEDGED_INTERVAL_MICROS, workers.heartbeatIntervalMicros * 5 / 4 + HEARTBEAT_SLACK_MICROS)
 
     /** A worker without a heartbeat for this long does not get through. */
     val missingHeartbeatMicros = workers.heartbeatIntervalMicros * 3 / 2 + 2 * HEARTBEAT_SLACK_MICROS
@@ -25,7 +26,7 @@
 
     private companion object {
         const val LEASE_MARGIN_MICROS = 300_000L
-        const val UNACKNOWLEDGED_INTERVAL_MICROS = 4_700_000L
+        const val MIN_ACKNOWLEDGED_INTERVAL_MICROS = 4_700_000L
         const val HEARTBEAT_SLACK_MICROS = 1_000_000L
         const val FAILOVER_MARGIN_MICROS = 3_000_000L
     }
--- a/src/main/kotlin/linemast/scheduling/SpreadConstraint.kt
+++ b/src/main/kotlin/linemast/scheduling/ZoneConstraint.kt
@@ -3,7 +3,7 @@
 import linemast.domain.Job
 
 /** Tells in which zones one more task of a job may be placed: in one zone alone, or spread over several, if it asks for that. */
-internal class SpreadConstraint(private val job: Job) {
+internal class ZoneConstraint(private val job: Job) {
     private val tasksByZone = HashMap<String, Int>()
 
     init {
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -56,7 +56,7 @@
         assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves it")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
         coordinator.changed(KeyChange(JobKeys.waiting("req-2"), null, 9))
-        fixture.pass(2_000_000)
+        fixture.advance(2_000_000)
         coordinator.step()
         assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
         assertNull(other.requiredEndWallMicros)
@@ -93,7 +93,12 @@
     }
 
     private fun TestScope.coordinator(store: KeyValueStore, fixture: ClusterFixture) = DependencyCoordinator(
-        testTerm(store, backgroundScope, Clock { fixture.now }, StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = 8_192, txnOps = 5)),
+        testTerm(
+            store,
+            backgroundScope,
+            Clock { fixture.nowMicros },
+            StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = 8_192, txnOps = 5),
+        ),
         fixture.cluster,
     )
 }
--- a/src/test/kotlin/linemast/scheduling/CancellationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CancellationTest.kt
@@ -18,19 +18,19 @@
         assertEquals(4, worker.tasks.size)
         val running = worker.tasks.keys.first { it.first.job == "req-1" }
         fixture.cluster.cancel(fixture.cluster.jobs.getValue("req-1"))
-        val cancelledMicros = fixture.now
-        var answeredMicros = 0L
+        val cancelledMicros = fixture.nowMicros
+        var lastResponseMicros = 0L
         repeat(40) {
-            fixture.pass(1_000_000)
-            val commands = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.now)
+            fixture.advance(1_000_000)
+            val commands = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros)
             if (commands != null) {
-                answeredMicros = fixture.now
+                lastResponseMicros = fixture.nowMicros
                 assertTrue(commands.any { it is Command.Stop && it.task == running.first }, "the stop is repeated")
             }
         }
         val workers = fixture.workers
-        assertTrue(answeredMicros > cancelledMicros + 5_000_000)
-        assertTrue(answeredMicros + workers.leaseMicros < cancelledMicros + workers.cancelMicros)
+        assertTrue(lastResponseMicros > cancelledMicros + 5_000_000)
+        assertTrue(lastResponseMicros + workers.leaseMicros < cancelledMicros + workers.cancelMicros)
     }
 
     @Test
@@ -42,13 +42,13 @@
         worker.heartbeatFor(4)
         fixture.cluster.cancel(fixture.cluster.jobs.getValue("req-1"))
         fixture.submit("req-3", 2)
-        fixture.pass(1_000_000)
-        val commands = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.now, CommandPermission.NO_COMMANDS).orEmpty()
+        fixture.advance(1_000_000)
+        val commands = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros, CommandPermission.CANCELLATIONS_ONLY).orEmpty()
         assertEquals(setOf("req-1/0", "req-1/1"), commands.map { (it as Command.Stop).task.toString() }.toSet())
-        fixture.pass(1_000_000)
-        val next = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.now, CommandPermission.NO_STARTS).orEmpty()
+        fixture.advance(1_000_000)
+        val next = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros, CommandPermission.NO_STARTS).orEmpty()
         assertTrue(next.none { it is Command.Start }, "cancellations may be unknown")
-        fixture.pass(1_000_000)
+        fixture.advance(1_000_000)
         assertEquals(2, fixture.heartbeat(worker.nextHeartbeat()).count { it is Command.Start })
     }
 
@@ -60,7 +60,7 @@
         fixture.submit("req-1", 1)
         worker.heartbeatFor(4)
         assertEquals(1, worker.tasks.size)
-        fixture.cluster.dropJob("req-1")
+        fixture.cluster.applyJobDeletion("req-1")
         assertEquals(listOf("req-1/0"), worker.heartbeatFor(1).map { (it as Command.Stop).task.toString() })
         worker.heartbeatFor(2)
         assertEquals(emptySet<String>(), fixture.cluster.jobs.keys)
--- a/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -45,7 +45,7 @@
                 val machine = expected.randomOrNull(random) ?: continue
                 val placement = Placement(machine, TaskId(job.id, job.nextPending(0)), 1, job)
                 machine.put(placement)
-                candidateMachines.assigned(placement)
+                candidateMachines.recordAssigned(placement)
                 for (other in machines) {
                     val expectedWithheld = isWithheldByDefinition(job.spec, other, machines, scarceTypes)
                     assertEquals(expectedWithheld, candidateMachines.isWithheld(job.spec, other))
@@ -75,7 +75,7 @@
 
     private fun isWithheldByDefinition(spec: JobSpec, machine: Machine, machines: List<Machine>, scarceTypes: ScarceTypes): Boolean {
         val scarcity = scarceTypes.scarcityOf(machine.type, machine.spot, spec)
-        if (!scarcity.isScarce || scarcity.isClosed) return scarcity.isClosed
+        if (!scarcity.isScarce || scarcity.isExcluded) return scarcity.isExcluded
         return machine.placements.isEmpty() && machines.count { it.type.name in scarcity.neededTypes && it.placements.isEmpty() } <= 1
     }
 
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -21,31 +21,31 @@
 internal class ClusterFixture(
     val fencingToken: Long = 5,
     teams: String = TEAM,
-    recorded: List<String> = emptyList(),
-    open: List<JobRecord> = emptyList(),
+    registered: List<String> = emptyList(),
+    openJobs: List<JobRecord> = emptyList(),
 ) {
-    var now = 1_000_000L
-    val droppedMachines = ArrayList<String>()
+    var nowMicros = 1_000_000L
+    val unregisteredMachines = ArrayList<String>()
     private val settings = testSettings(teams)
     val workers get() = settings.workers
     private val times = RunTimeEstimates()
     private val effects = object : ClusterEffects {
-        override fun storeActivation(job: Job) {
+        override fun persistActivation(job: Job) {
             job.activation = Job.Activation.ACTIVE
         }
 
-        override fun storeDone(job: Job) {
+        override fun persistProgress(job: Job) {
             job.storedProgress.dirtyParts.clear()
             if (job.isDone) cluster.finish(job)
         }
 
-        override fun storeMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
+        override fun registerMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
 
-        override fun dropMachines(names: List<String>) {
-            droppedMachines += names
+        override fun unregisterMachines(names: List<String>) {
+            unregisteredMachines += names
         }
 
-        override fun dropCancelled(job: Job) = Unit
+        override fun deleteCancelled(job: Job) = Unit
     }
     val cluster: Cluster =
         Cluster(
@@ -54,27 +54,27 @@
             effects,
             times,
             Planner(settings, Policy(), times),
-            LeaderClocks({ now }, { now }),
+            LeaderClocks({ nowMicros }, { nowMicros }),
         )
 
     init {
         cluster.types = mapOf(TYPE.name to TYPE)
-        cluster.load(open.map { StoredJobRecord(it, revision = 1) }, recorded.map { Machine(it, TYPE, "z", false) }, now)
+        cluster.load(openJobs.map { StoredJobRecord(it, revision = 1) }, registered.map { Machine(it, TYPE, "z", false) }, nowMicros)
     }
 
     fun submit(id: String, taskCount: Int, gang: Boolean = false, vcpus: Double = 1.0, team: String = "team"): Job {
-        cluster.putJob(JobRecord(spec(id, taskCount, gang, vcpus, team), now, activated = false, cancelled = false), 1)
+        cluster.applyJobRecord(JobRecord(spec(id, taskCount, gang, vcpus, team), nowMicros, activated = false, cancelled = false), 1)
         return cluster.jobs.getValue(id)
     }
 
-    fun heartbeat(heartbeat: Heartbeat): List<Command> = cluster.heartbeat(heartbeat, now).orEmpty()
+    fun heartbeat(heartbeat: Heartbeat): List<Command> = cluster.heartbeat(heartbeat, nowMicros).orEmpty()
 
     /** Time passes, with the leader's regular work. */
-    fun pass(micros: Long) {
-        val end = now + micros
-        while (now < end) {
-            now = minOf(end, now + 250_000)
-            cluster.tick(now)
+    fun advance(micros: Long) {
+        val end = nowMicros + micros
+        while (nowMicros < end) {
+            nowMicros = minOf(end, nowMicros + 250_000)
+            cluster.tick(nowMicros)
         }
     }
 
@@ -121,13 +121,13 @@
         },
     )
 
-    fun heartbeat(answered: Boolean = true): List<Command> {
+    fun heartbeat(responseReceived: Boolean = true): List<Command> {
         val commands = fixture.heartbeat(nextHeartbeat())
-        if (!answered) return commands
+        if (!responseReceived) return commands
         fencingToken = fixture.fencingToken
-        for (order in commands) {
-            val key = order.task to order.attempt
-            when (order) {
+        for (command in commands) {
+            val key = command.task to command.attempt
+            when (command) {
                 is Command.Start -> tasks[key] = TaskState.RUNNING
                 is Command.Stop -> if (key in tasks) tasks[key] = TaskState.ENDED
                 is Command.Acknowledge -> tasks.remove(key)
@@ -137,8 +137,8 @@
     }
 
     /** Reports once a second for [seconds]. */
-    fun heartbeatFor(seconds: Int, answered: Boolean = true): List<Command> = (1..seconds).flatMap {
-        fixture.pass(1_000_000)
-        heartbeat(answered)
+    fun heartbeatFor(seconds: Int, responseReceived: Boolean = true): List<Command> = (1..seconds).flatMap {
+        fixture.advance(1_000_000)
+        heartbeat(responseReceived)
     }
 }
--- a/src/test/kotlin/linemast/scheduling/FailoverReconciliationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/FailoverReconciliationTest.kt
@@ -14,14 +14,14 @@
     @Test
     fun `after a failover activated jobs wait for machines that can hold their tasks, and a late copy does not end the wait`() {
         val activated = JobRecord(ClusterFixture.spec("req-1", 4), 0, activated = true, cancelled = false)
-        val fixture = ClusterFixture(recorded = listOf("host-000001", "host-000002"), open = listOf(activated))
+        val fixture = ClusterFixture(registered = listOf("host-000001", "host-000002"), openJobs = listOf(activated))
         val reporting = FakeWorker(fixture, "host-000001")
         val missing = FakeWorker(fixture, "host-000002").apply { fencingToken = 4 }
         reporting.heartbeatFor(2)
         fixture.heartbeat(missing.nextHeartbeat())
         reporting.heartbeatFor(3)
         assertEquals(0, reporting.tasks.size)
-        fixture.pass(ClusterFixture.DEGRADED_MODE_MICROS)
+        fixture.advance(ClusterFixture.DEGRADED_MODE_MICROS)
         reporting.heartbeatFor(3)
         assertEquals(0, reporting.tasks.size, "the lease may have been renewed to the end of the degraded mode")
         reporting.heartbeatFor(12)
@@ -33,17 +33,17 @@
     fun `a machine missing in a zone that mostly reports ends the wait once it is confirmed gone`() {
         val activated = JobRecord(ClusterFixture.spec("req-1", 4), 0, activated = true, cancelled = false)
         val names = List(5) { "host-00000$it" }
-        val fixture = ClusterFixture(recorded = names, open = listOf(activated))
+        val fixture = ClusterFixture(registered = names, openJobs = listOf(activated))
         val workers = names.take(4).map { FakeWorker(fixture, it) }
-        fun heartbeat(seconds: Int, who: List<FakeWorker>) = repeat(seconds) {
-            fixture.pass(1_000_000)
-            who.forEach { it.heartbeat() }
+        fun heartbeat(seconds: Int, senders: List<FakeWorker>) = repeat(seconds) {
+            fixture.advance(1_000_000)
+            senders.forEach { it.heartbeat() }
         }
         heartbeat(5, workers.take(2))
         assertEquals(emptySet<String>(), fixture.cluster.failover.zonesMostlyReporting(), "a zone may be cut off")
         heartbeat(2, workers)
         assertEquals(setOf("z"), fixture.cluster.failover.zonesMostlyReporting())
-        assertEquals(listOf("host-000004"), fixture.cluster.failover.missingMachines(fixture.now).map { it.name })
+        assertEquals(listOf("host-000004"), fixture.cluster.failover.missingMachines(fixture.nowMicros).map { it.name })
         assertFalse(fixture.cluster.isReconciled)
         fixture.cluster.markTerminated(listOf("host-000004"))
         heartbeat(2, workers)
@@ -56,7 +56,7 @@
     fun `an unconfirmed task of a gang that is done counts against the quota limit of its team`() {
         val open = JobRecord(ClusterFixture.spec("req-1", 2, gang = true, vcpus = 6.0), 0, activated = true, cancelled = false)
         val team = """{ name = "team", cpus = 8, cpus_max = 8, gpus = 0, gpus_max = 0 }"""
-        val fixture = ClusterFixture(teams = team, recorded = listOf("host-000001", "host-000002"), open = listOf(open))
+        val fixture = ClusterFixture(teams = team, registered = listOf("host-000001", "host-000002"), openJobs = listOf(open))
         val worker = FakeWorker(fixture, "host-000001")
         worker.tasks[TaskId("req-1", 0) to 1L] = TaskState.ENDED
         worker.heartbeatFor(4)
--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -23,7 +23,7 @@
         fixture.submit("req-1", 40)
         val sent = ArrayList<Heartbeat>()
         repeat(40) {
-            fixture.pass(1_000_000)
+            fixture.advance(1_000_000)
             if (random.nextInt(3) == 0) worker.tasks.keys.randomOrNull(random)?.let { worker.tasks[it] = TaskState.ENDED }
             worker.heartbeat()
             sent += worker.nextHeartbeat().also { worker.sequenceNumber-- }
@@ -67,13 +67,13 @@
         worker.heartbeatFor(6)
         assertEquals(4, worker.tasks.size)
         val machine = fixture.cluster.machines.getValue(worker.name)
-        val old = worker.nextHeartbeat().also(fixture::heartbeat)
+        val delayed = worker.nextHeartbeat().also(fixture::heartbeat)
         worker.sequenceNumber = 0
         worker.tasks.clear()
         worker.heartbeatFor(2)
         assertEquals(4, machine.placements.size, "within the lease the earlier worker may still run them")
-        fixture.pass(12_000_000)
-        fixture.heartbeat(old)
+        fixture.advance(12_000_000)
+        fixture.heartbeat(delayed)
         worker.heartbeatFor(5)
         assertEquals(4, worker.tasks.size)
     }
@@ -84,9 +84,9 @@
      */
     @Test
     fun `a late copy from before a restart does not end tasks started since`() {
-        for (incarnations in listOf(1L, 3L)) {
+        for (previousIncarnation in listOf(1L, 3L)) {
             val fixture = ClusterFixture()
-            val worker = FakeWorker(fixture, "host-000001").apply { incarnation = incarnations }
+            val worker = FakeWorker(fixture, "host-000001").apply { incarnation = previousIncarnation }
             worker.heartbeatFor(60)
             val copy = worker.nextHeartbeat()
             worker.incarnation = 1
@@ -97,7 +97,7 @@
             worker.heartbeatFor(5)
             assertEquals(8, worker.tasks.size)
             val machine = fixture.cluster.machines.getValue(worker.name)
-            assertNull(fixture.cluster.heartbeat(copy, fixture.now))
+            assertNull(fixture.cluster.heartbeat(copy, fixture.nowMicros))
             assertEquals(8, machine.placements.size)
             worker.heartbeatFor(2)
             assertEquals(8, machine.placements.size)
@@ -111,13 +111,13 @@
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(6)
         worker.sequenceNumber = 0
-        assertNull(fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.now))
+        assertNull(fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros))
     }
 
     /** After a restart a copy from before may count just as the next report would, and list nothing. */
     @Test
     fun `a late copy with the next sequence number ends neither reported tasks nor a start on its way`() {
-        for (seen in listOf(true, false)) {
+        for (areTasksReported in listOf(true, false)) {
             val fixture = ClusterFixture()
             val worker = FakeWorker(fixture, "host-000001")
             worker.heartbeatFor(60)
@@ -126,9 +126,9 @@
             worker.fencingToken = 0
             worker.heartbeatFor(30)
             val job = fixture.submit("req-1", 8)
-            worker.heartbeatFor(if (seen) 5 else 2)
+            worker.heartbeatFor(if (areTasksReported) 5 else 2)
             assertEquals(8, worker.tasks.size)
-            fixture.pass(1_000_000)
+            fixture.advance(1_000_000)
             val before = job.placements.map { it.key }.toSet()
             val copy =
                 Heartbeat(
@@ -143,7 +143,7 @@
                     null,
                     emptyList(),
                 )
-            fixture.cluster.heartbeat(copy, fixture.now)
+            fixture.cluster.heartbeat(copy, fixture.nowMicros)
             assertEquals(before, job.placements.map { it.key }.toSet())
             worker.sequenceNumber++
             worker.heartbeatFor(3)
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -26,10 +26,10 @@
     private fun rank(job: Job, dueSeconds: Long, withinQuota: Boolean = false, missed: Int = 0) =
         RankedJob(job, withinQuota, missed, dueSeconds * 1_000_000)
 
-    private val lacking = job("req-1", "other")
+    private val jobWithoutImage = job("req-1", "other")
 
-    private fun isLeftTo(holder: RankedJob, hasQuotaHeadroom: Boolean = true): Boolean =
-        ImageAffinity(listOf(rank(lacking, 100), holder)) { hasQuotaHeadroom }.prefersAnother(lacking, machine)
+    private fun isLeftTo(other: RankedJob, hasQuotaHeadroom: Boolean = true): Boolean =
+        ImageAffinity(listOf(rank(jobWithoutImage, 100), other)) { hasQuotaHeadroom }.prefersAnother(jobWithoutImage, machine)
 
     @Test
     fun `a machine is left to a job whose image is there and whose deadline is about as soon`() {
@@ -50,12 +50,12 @@
 
     @Test
     fun `a job within its quota or a starving job takes any machine`() {
-        val holder = rank(job("req-2", "held"), 100)
-        lacking.withinQuota = true
-        assertFalse(isLeftTo(holder))
-        lacking.withinQuota = false
-        lacking.isStarving = true
-        assertFalse(isLeftTo(holder))
+        val jobWithImage = rank(job("req-2", "held"), 100)
+        jobWithoutImage.withinQuota = true
+        assertFalse(isLeftTo(jobWithImage))
+        jobWithoutImage.withinQuota = false
+        jobWithoutImage.isStarving = true
+        assertFalse(isLeftTo(jobWithImage))
     }
 
     @Test
--- a/src/test/kotlin/linemast/scheduling/ResponseAcknowledgementTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ResponseAcknowledgementTest.kt
@@ -13,16 +13,16 @@
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         fixture.submit("req-1", 4)
-        worker.heartbeatFor(5, answered = false)
+        worker.heartbeatFor(5, responseReceived = false)
         assertEquals(0, worker.tasks.size)
         worker.fencingToken = fixture.fencingToken
-        fixture.pass(10_000_000)
+        fixture.advance(10_000_000)
         // The first heartbeat after a gap may come from a worker that no response reaches.
         assertEquals(emptyList<Command>(), worker.heartbeat())
         assertEquals(4, worker.heartbeatFor(2).count { it is Command.Start })
         // Assigned while responses reached it, but not sent before its heartbeats stopped.
         fixture.submit("req-2", 4)
-        fixture.pass(6_000_000)
+        fixture.advance(6_000_000)
         assertEquals(0, worker.heartbeat().count { it is Command.Start })
     }
 
@@ -37,13 +37,13 @@
         // Its heartbeats get through every five seconds, no response does: its lease expires and it begins a new incarnation.
         repeat(2) {
             other.heartbeatFor(5)
-            assertFalse(unreachable.heartbeat(answered = false).any { it is Command.Start })
+            assertFalse(unreachable.heartbeat(responseReceived = false).any { it is Command.Start })
             assertEquals(0, other.tasks.size, "they may still run on the first machine")
         }
         unreachable.incarnation++
         unreachable.tasks.clear()
         other.heartbeatFor(1)
-        assertFalse(unreachable.heartbeat(answered = false).any { it is Command.Start })
+        assertFalse(unreachable.heartbeat(responseReceived = false).any { it is Command.Start })
         other.heartbeatFor(3)
         assertEquals(8, other.tasks.size)
         assertTrue(fixture.cluster.machines.getValue(unreachable.name).unacknowledgedSinceMicros > 0)
@@ -57,11 +57,11 @@
         worker.heartbeatFor(3)
         val machine = fixture.cluster.machines.getValue(worker.name)
         assertTrue(machine.isRegistered)
-        fixture.pass(10_000_000)
+        fixture.advance(10_000_000)
         assertTrue(machine.isRegistered, "its lease may not have expired")
-        fixture.pass(2_000_000)
+        fixture.advance(2_000_000)
         assertFalse(machine.isRegistered)
-        assertEquals(listOf(worker.name), fixture.droppedMachines)
+        assertEquals(listOf(worker.name), fixture.unregisteredMachines)
         fixture.submit("req-1", 4)
         worker.incarnation++
         worker.heartbeatFor(2)
--- a/src/test/kotlin/linemast/scheduling/StarvationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/StarvationTest.kt
@@ -32,7 +32,7 @@
         var seconds = 0
         val gangs = listOf("req-2", "req-3").map { fixture.submit(it, 2, gang = true, vcpus = 8.0) }
         while (gangs.any { it.doneCount == 0 } && seconds < 300) {
-            fixture.pass(1_000_000)
+            fixture.advance(1_000_000)
             seconds++
             workers.forEach { worker ->
                 worker.heartbeat()
@@ -40,14 +40,15 @@
                 val ends = worker.tasks.keys.filterIndexed { at, key ->
                     worker.tasks[key] == TaskState.RUNNING && (at + seconds) % 9 == 0
                 }
-                ends.filter { key -> gangs.none { it.id == key.first.job } || bothHold(workers, key.first.job) }
+                ends.filter { key -> gangs.none { it.id == key.first.job } || allRunTasksOf(workers, key.first.job) }
                     .forEach { worker.tasks[it] = TaskState.ENDED }
             }
         }
         assertTrue(gangs.all { it.doneCount == 2 }, "gangs done after $seconds s: ${gangs.map { it.doneCount }}")
     }
 
-    private fun bothHold(workers: List<FakeWorker>, job: String) = workers.all { worker -> worker.tasks.keys.any { it.first.job == job } }
+    private fun allRunTasksOf(workers: List<FakeWorker>, job: String) =
+        workers.all { worker -> worker.tasks.keys.any { it.first.job == job } }
 
     /** With more gangs than capacity, the longest waiting first once made every one of them late. */
     @Test
@@ -55,7 +56,7 @@
         val fixture = ClusterFixture()
         val workers = List(2) { FakeWorker(fixture, "host-00000$it") }
         fun heartbeat(seconds: Int) = repeat(seconds) {
-            fixture.pass(1_000_000)
+            fixture.advance(1_000_000)
             workers.forEach { it.heartbeat() }
         }
         fun end() = workers.forEach { worker -> worker.tasks.keys.forEach { worker.tasks[it] = TaskState.ENDED } }
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -53,14 +53,14 @@
     val heartbeatIntervalMicros = settings.workers.heartbeatIntervalMicros
 
     private val effects = object : ClusterEffects {
-        override fun storeActivation(job: Job) {
+        override fun persistActivation(job: Job) {
             at(20_000) {
                 job.activation = Job.Activation.ACTIVE
                 cluster.dirty = true
             }
         }
 
-        override fun storeDone(job: Job) {
+        override fun persistProgress(job: Job) {
             if (job.isDone) {
                 doneJobs[job.id] = now
                 job.finished = true
@@ -69,11 +69,11 @@
             job.storedProgress.dirtyParts.clear()
         }
 
-        override fun storeMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
+        override fun registerMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
 
-        override fun dropMachines(names: List<String>) = Unit
+        override fun unregisterMachines(names: List<String>) = Unit
 
-        override fun dropCancelled(job: Job) = Unit
+        override fun deleteCancelled(job: Job) = Unit
     }
 
     /** All that a leader holds in memory; a take-over begins with another one. */
@@ -129,7 +129,7 @@
 
     fun submit(spec: JobSpec, runMicros: Long) {
         jobs[spec.id] = ScenarioJob(spec, runMicros)
-        cluster.putJob(JobRecord(spec, now, activated = false, cancelled = false), 1)
+        cluster.applyJobRecord(JobRecord(spec, now, activated = false, cancelled = false), 1)
     }
 
     /** A running task has ended without being done. */
