--- a/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/ArrayPlacement.kt
@@ -4,13 +4,13 @@
 import linemast.domain.Machine
 import linemast.domain.PendingReason
 
-/** Places tasks of arrays, each on its own wherever one fits. */
+/** Assigns pending tasks of arrays to machines; each task is placed independently of the others. */
 internal class ArrayPlacement(private val cluster: Cluster, private val pendingReasons: PendingReasonLog) {
     /**
-     * Assigns pending tasks of [job] to machines, in the order of the candidates, as far as the quota limit of its team allows.
+     * Assigns at most [maxTasks] pending tasks of [job] to machines, in the order of the candidates, within its team's quota limit.
      *
-     * At most [maxTasks] of them; and so many that at most [maxOnBaseline] tasks of the job run on static machines, if that
-     * is not null.
+     * If [maxOnBaseline] is not null, baseline machines get new tasks only as long as they hold fewer than that many tasks of
+     * the job.
      */
     fun place(job: Job, cycle: SchedulingCycle, maxOnBaseline: Int? = null, maxTasks: Int = Int.MAX_VALUE) {
         var left = minOf(cycle.headroom.remainingTasksOf(job), job.pendingCount, maxTasks)
@@ -37,7 +37,7 @@
     private fun reasonNotPlaced(job: Job, cycle: SchedulingCycle): PendingReason =
         if (cycle.machines.feasibleFor(job).none()) PendingReason.NoFeasibleMachine else PendingReason.NoFreeCapacity
 
-    /** Assigns up to [maxTasks] tasks to [machine] while they fit; returns how many. */
+    /** Assigns up to [maxTasks] tasks of [job] to [machine] while they fit, and returns how many it assigned. */
     private fun pack(machine: Machine, job: Job, maxTasks: Int, zoneConstraint: ZoneConstraint, cycle: SchedulingCycle): Int {
         var placed = 0
         var index = job.nextPending(0)
--- a/src/main/kotlin/linemast/scheduling/AttemptNumbers.kt
+++ b/src/main/kotlin/linemast/scheduling/AttemptNumbers.kt
@@ -1,36 +1,40 @@
 package linemast.scheduling
 
 /**
- * The attempt numbers of one leader, which no other leader uses: they begin with its fencing token.
+ * Allocates the attempt numbers of one leader. The fencing token is their high-order part, so that no other leader uses them.
  *
- * A scheduling cycle numbers all its assignments, and the next cycle makes most of them anew. So numbers that never left
- * this process are given out again; otherwise thousands of machines would exhaust them within hours.
+ * A scheduling cycle numbers all its assignments, and the next cycle replaces most of them. Numbers that were never sent to a
+ * worker are therefore reused; otherwise a fleet of thousands of machines would exhaust them within hours.
  */
 internal class AttemptNumbers(fencingToken: Long, private val max: Long = PER_TOKEN) {
     private val base = fencingToken * PER_TOKEN
     private var latest = 0L
     private var latestUsed = 0L
 
-    /** Whether the numbers are nearly exhausted: a leader with the next fencing token has to go on. */
+    /** Whether the numbers are nearly exhausted, so that this leader has to step down in favor of one with a higher fencing token. */
     val isNearlyExhausted: Boolean get() = latestUsed >= max - max / RESERVED_DIVISOR
 
-    /** A number that no command has carried. */
+    /** Returns a number that no command has carried. */
     fun next(): Long = base + ++latest
 
-    /** [attempt] leaves in a command, or is kept for one: it is never given out again. */
+    /** Marks [attempt] as sent in a command or reserved for one; it is never reused. */
     fun markUsed(attempt: Long) {
         latestUsed = maxOf(latestUsed, attempt - base)
     }
 
-    /** All assignments whose start has not left were dropped: their numbers are free again. */
+    /** Makes all numbers above the latest used one available again, after the assignments whose start was not sent were removed. */
     fun releaseUnused() {
         latest = latestUsed
     }
 
     companion object {
+        /** How many attempt numbers each fencing token has. */
         const val PER_TOKEN = 1L shl 24
 
-        /** One part in this many, a million, is more than a cycle can assign before the leader has stepped down. */
+        /**
+         * One in this many numbers is held in reserve. That is a million, more than a scheduling cycle can assign before the leader has
+         * stepped down.
+         */
         private const val RESERVED_DIVISOR = 16
     }
 }
--- a/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/CandidateMachines.kt
@@ -7,18 +7,18 @@
 import linemast.domain.Placement
 
 /**
- * The machines that one scheduling cycle may use, by kind and by free capacity.
+ * Indexes the machines that one scheduling cycle may use, by kind and by free capacity.
  *
- * A cycle asks for machines once for each pending job. Searching the whole fleet each time would cost the product of both; the
- * pools give only the machines that a task fits on, in the same order as such a search.
+ * A cycle looks for machines once for each pending job. Searching the whole fleet each time would cost the number of jobs times
+ * the number of machines. The pools return only the machines that a task fits on, in the same order as a search of the fleet.
  */
 internal class CandidateMachines(
     machines: Collection<Machine>,
     private val scarceTypes: ScarceTypes,
-    /** How soon a machine's next heartbeat, and with it a start, can be expected: the smaller the sooner. */
+    /** Sort key for the time of a machine's next heartbeat, in whose response a start is sent; a smaller key means sooner. */
     private val nextHeartbeatOrder: (Machine) -> Int = { 0 },
 ) {
-    /** What tells apart jobs that the same machines are withheld from. */
+    /** Key of [scarcities]: jobs with the same class and priority are withheld from the same machine pools. */
     private data class ScarcityKey(val jobClass: String, val priority: JobPriority, val pool: MachinePool)
 
     private val pools: List<MachinePool>
@@ -27,7 +27,7 @@
     private val idleByType = HashMap<String, Int>()
     private val scarcities = HashMap<ScarcityKey, ScarceTypes.Scarcity>()
 
-    /** Machines reserved for gangs, as they are when candidates are first asked for. */
+    /** Machines reserved for gangs, by gang, as of the first call of [candidates]. */
     private val reservedMachines: Map<Job, List<Machine>> by lazy {
         pools.asSequence().flatMap { it.machines }
             .filter { it.reservedFor != null }
@@ -48,21 +48,21 @@
         pools = byKind.values.sortedWith(CHEAPEST_FIRST)
     }
 
-    /** All machines that tasks of [job] may run on, whatever is free there. */
+    /** Returns all machines that tasks of [job] may run on, regardless of their free capacity. */
     fun feasibleFor(job: Job): Sequence<Machine> = poolsFor(job).asSequence().flatMap { it.machines }.filter { it.isFeasibleFor(job) }
 
-    /** The zones in which there are machines that tasks of [job] may run on. */
+    /** Returns the zones with machines that tasks of [job] may run on. */
     fun feasibleZones(job: Job): List<String> =
         poolsFor(job).flatMap { it.zones }.distinct().filter { job.spec.zone == null || job.spec.zone == it }
 
     private fun poolsFor(job: Job): List<MachinePool> = pools.filter { it.kind.canHost(job) }
 
     /**
-     * Machines that a task of [job] fits on, the best first: those reserved for it, then those that no other job class needs more.
-     * For a job within its quota those that have its image come next, since there is no time to fetch it, and of them those
-     * whose next heartbeat is due soonest.
+     * Returns the machines that a task of [job] fits on, the best first: machines reserved for the job, then machines that no
+     * other job class needs more, then the rest. In the last two groups, a job within its quota gets the machines that have its
+     * image first, since there is no time to fetch it, and among them those whose next heartbeat is due soonest.
      *
-     * What is placed while the sequence is read shows in the next call.
+     * Tasks that are placed while the sequence is being read affect only the next call.
      */
     fun candidates(job: Job): Sequence<Machine> = sequence {
         val poolsByScarcity = poolsFor(job).groupBy { scarcity(job.spec, it).isScarce }
@@ -85,8 +85,8 @@
         machinesByPool.asSequence().flatten().sortedBy(nextHeartbeatOrder)
 
     /**
-     * Whether [machine] is withheld from tasks of [spec]: other job classes need its type, and too few machines of the types that
-     * serve them would be left idle.
+     * Whether [machine] is withheld from tasks of [spec]: either its type is excluded for them, or other job classes need the
+     * type and too few machines of the types that serve these classes would be left idle.
      */
     fun isWithheld(spec: JobSpec, machine: Machine): Boolean {
         val scarcity = scarcity(spec, poolOf.getValue(machine))
@@ -95,7 +95,7 @@
         return scarcity.neededTypes.sumOf { idleByType[it] ?: 0 } <= MIN_IDLE_MACHINES
     }
 
-    /** Whether capacity that frees up on [machine] is of use to [job]. */
+    /** Whether [job] could use capacity that is freed on [machine]. */
     fun isEligible(machine: Machine, job: Job): Boolean = machine in poolOf && machine.isFeasibleFor(job) && !isWithheld(job.spec, machine)
 
     private fun scarcity(spec: JobSpec, pool: MachinePool): ScarceTypes.Scarcity =
@@ -103,7 +103,7 @@
             scarceTypes.scarcityOf(pool.kind.type, pool.kind.spot, spec)
         }
 
-    /** [placement] was assigned to its machine. */
+    /** Updates the pools after [placement] was assigned to its machine. */
     fun recordAssigned(placement: Placement) {
         val machine = placement.machine
         val pool = poolOf[machine] ?: return
@@ -111,7 +111,7 @@
         if (machine.placements.size == 1) idleByType.merge(machine.type.name, -1, Int::plus)
     }
 
-    /** [placement] was removed from its machine. */
+    /** Updates the pools after [placement] was removed from its machine. */
     fun recordUnassigned(placement: Placement) {
         val machine = placement.machine
         val pool = poolOf[machine] ?: return
@@ -120,13 +120,13 @@
     }
 
     private companion object {
-        /** How many vcpus a gpu counts for in the order of machine sizes. */
+        /** How many vcpus one gpu counts as when machines are ordered by size. */
         const val GPU_WEIGHT = 16.0
 
-        /** How many machines of scarce types stay idle for the job classes that need them. */
+        /** How many machines of scarce types are kept idle for the job classes that need them. */
         const val MIN_IDLE_MACHINES = 1
 
-        /** Static machines first; then cheap machines fill up, so that expensive ones become idle and can be scaled in. */
+        /** Baseline machines first, then the cheapest, so that expensive machines become idle and can be scaled in. */
         val CHEAPEST_FIRST = compareBy<MachinePool>(
             { !it.kind.baseline },
             { if (it.kind.baseline) 0.0 else it.machines.first().pricePerVcpu },
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -19,20 +19,21 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's whole state: jobs, machines, and which task may be on which machine.
+ * The leader's state: jobs, machines, and which task may be on which machine.
  *
- * Pure: events and the time go in, commands and [ClusterEffects] come out. It is owned by one coroutine.
+ * The class does no I/O: it receives events and the time, returns commands and requests writes through [ClusterEffects]. One
+ * coroutine owns it.
  *
- * That no task runs twice rests on one invariant: a placement is only removed when its task is surely not on the
- * machine, and a task with a placement is never started. Placements end in [Cluster.remove] alone.
+ * No task runs twice because of one invariant: a placement is removed only when its task cannot be on the machine any more, and
+ * a task with a placement is never started. Only [Cluster.remove] removes placements.
  */
 class Cluster(
     settings: Settings,
     term: ClusterTerm,
     private val effects: ClusterEffects,
-    /** Run times of tasks, as estimated by owners and corrected by measurement. */
+    /** Run times of tasks, as estimated by the jobs' owners and corrected by measurement. */
     val runTimeEstimates: RunTimeEstimates,
-    /** Plans capacity for the jobs; its objectives and deadlines also rank them. */
+    /** Plans capacity for the jobs; its objectives and deadlines also determine their rank. */
     val planner: Planner,
     private val clocks: LeaderClocks,
     private val cancellationFreshness: CancellationFreshness = CancellationFreshness(settings.workers),
@@ -43,13 +44,13 @@
     /** The fencing token of this leader's term. */
     val fencingToken = term.fencingToken
 
-    /** The reconciliation after an outage; null if it is not enabled. */
+    /** Reconciles the state after an outage; null if the feature is not enabled. */
     internal val recovery: StateReconciliation? = policies.recovery
 
     /** Open jobs by id, in the order in which they became known. */
     val jobs = LinkedHashMap<String, Job>()
 
-    /** Machines, and what the cloud says of them. */
+    /** The machines, and what the cloud has reported about them. */
     internal val knownMachines = KnownMachines(this)
 
     /** Known machines by name. */
@@ -58,24 +59,24 @@
     /** Machine types by name. */
     var types: Map<String, MachineType> = emptyMap()
 
-    /** Placements that were assigned to a machine and whose start has not left. */
+    /** Placements whose start has not been sent. */
     private val unsentAssignments = LinkedHashSet<Placement>()
 
-    /** Placements that are being stopped to free their resources, or before the cloud preempts their machine. */
+    /** Placements that are being stopped to free their resources, or because the cloud is about to preempt their machine. */
     val stopping = LinkedHashSet<Placement>()
 
     internal val attemptNumbers = AttemptNumbers(fencingToken)
 
-    /** What teams use of their quotas. */
+    /** Resources that each team uses, compared with its quota. */
     val quota = QuotaUsage(settings.teams)
 
-    /** How many tasks of a job the plan runs side by side on baseline machines. */
+    /** Returns how many tasks of a job the plan runs at the same time on baseline machines. */
     var plannedBaselineTasks: (Job) -> Int = { 0 }
 
-    /** Jobs blocked by dependencies whose ends can be predicted: they are planned ahead, and nothing else. */
+    /** Jobs that are blocked by dependencies whose ends can be predicted. Capacity is planned for them, but they are not scheduled. */
     var waitingStages: List<WaitingStage> = emptyList()
 
-    /** Whether something changed that may let the scheduler place more tasks. */
+    /** Whether the state has changed since the last scheduling cycle in a way that may let the scheduler place more tasks. */
     var dirty = true
 
     private val timing = WorkerTiming(settings.workers)
@@ -93,13 +94,13 @@
         cancellationFreshness,
     )
 
-    /** Whether every task that a previous leader started has been seen or has surely ended. */
+    /** Whether every task that a previous leader started has been reported to this leader or has certainly ended. */
     val isReconciled: Boolean get() = failover.isReconciled
 
-    /** The time of day in microseconds. */
+    /** Returns the wall time in microseconds. */
     fun wallMicros(): Long = clocks.wallMicros()
 
-    /** Takes what the store held; heartbeats count from [nowMicros] on. */
+    /** Initializes the state with the records and machines read from the store; heartbeats are processed from [nowMicros] on. */
     fun load(records: List<StoredJobRecord>, registered: List<Machine>, nowMicros: Long) {
         for (stored in records) add(stored.record, stored.revision, inherited = stored.record.activated)
         for (machine in registered) machines[machine.name] = machine
@@ -114,11 +115,11 @@
     fun heartbeat(heartbeat: Heartbeat, nowMicros: Long, permission: CommandPermission = CommandPermission.ALL): List<Command>? =
         heartbeatHandler.handle(heartbeat, nowMicros, permission)
 
-    /** Takes a job's record as the store holds it at [revision]. */
+    /** Applies a job's record as stored at [revision]. */
     fun applyJobRecord(record: JobRecord, revision: Long) {
         val job = jobs[record.spec.id]
         if (job == null) {
-            // Whatever a previous leader activated was there to be loaded.
+            // Not inherited: jobs that a previous leader activated were in the store when the state was loaded.
             add(record, revision, inherited = false)
         } else {
             job.revision = maxOf(job.revision, revision)
@@ -133,7 +134,7 @@
         jobs[job.id] = job
     }
 
-    /** The open record is gone: the job is over. It is kept while a task of it may still be on a machine, to be stopped there. */
+    /** Applies the deletion of a job's open record: the job is finished, and stays in memory until none of its tasks is on a machine. */
     fun applyJobDeletion(id: String) {
         val job = jobs[id] ?: return
         job.finished = true
@@ -142,7 +143,7 @@
         dirty = true
     }
 
-    /** The store says that all tasks of the job are done. */
+    /** Marks [job] as finished and removes it, after the store has recorded that all its tasks are completed. */
     fun finish(job: Job) {
         job.finished = true
         jobs.remove(job.id)
@@ -150,11 +151,11 @@
         dirty = true
     }
 
-    /** Stops [job] for good; the cancellation was confirmed to its user. */
+    /** Cancels [job] irrevocably: its user has received the confirmation of the cancellation. */
     fun cancel(job: Job) {
         if (job.cancelled) return
         job.cancelled = true
-        // Confirmed after the last complete read, or that would have shown it.
+        // The cancellation was confirmed after the last complete read of the store; an earlier one would have appeared in that read.
         job.cancelledSinceMicros = cancellationFreshness.freshAsOfMicros ?: clocks.monotonic.nowMicros()
         log.info("{}: cancelled by its user, {} tasks to stop", job.id, job.placements.count { !it.isAssigned })
         removeAssignmentsOf(job)
@@ -163,14 +164,14 @@
 
     private fun removeAssignmentsOf(job: Job) = job.placements.filter { it.isAssigned }.forEach(::remove)
 
-    /** Assigns a task to [machine]; its start leaves with the response to the machine's next heartbeat. */
+    /** Assigns a task to [machine]; its start is sent in the response to the machine's next heartbeat. */
     fun assign(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
         val placement = Placement(machine, TaskId(job.id, index), attempt, job)
         put(placement)
         return placement
     }
 
-    /** Adds a placement and counts its resources. */
+    /** Adds a placement and counts its resources as used. */
     internal fun put(placement: Placement) {
         if (placement.isAssigned) unsentAssignments += placement
         placement.machine.put(placement)
@@ -178,26 +179,26 @@
         placement.job?.let { quota.add(it.spec) }
     }
 
-    /** The start of [placement] has left in a response. */
+    /** Records that the start of [placement] has been sent in a response. */
     internal fun recordStartSent(placement: Placement) {
         unsentAssignments -= placement
         attemptNumbers.markUsed(placement.attempt)
     }
 
-    /** Drops all assignments whose start has not left, so that the scheduler makes them anew. */
+    /** Removes all assignments whose start has not been sent, so that the next scheduling cycle can replace them. */
     fun removeAssignments() {
         unsentAssignments.toList().forEach(::remove)
         attemptNumbers.releaseUnused()
     }
 
-    /** Has a task stopped with the response to its machine's next heartbeat. */
+    /** Marks a task to be stopped in the response to its machine's next heartbeat. */
     fun stop(placement: Placement, reason: StopReason, gracePeriodMicros: Long) {
         placement.stopReason = reason
         placement.stopGracePeriodMicros = gracePeriodMicros
         stopping += placement
     }
 
-    /** Removes a placement: its task is surely not on the machine any more. */
+    /** Removes a placement whose task is certainly not on the machine any more. */
     fun remove(placement: Placement) {
         unsentAssignments -= placement
         stopping -= placement
@@ -209,11 +210,11 @@
         dirty = true
     }
 
-    /** Regular work: expires leases and reservations, follows up on jobs, places what can be placed. */
+    /** Does the periodic work: expires leases and reservations, persists progress of jobs, and runs a scheduling cycle if one is due. */
     fun tick(nowMicros: Long) {
         leaseExpiry.expireLeases(nowMicros)
         expireReservations(nowMicros)
-        // What was assigned to a machine whose heartbeat is missing since is assigned anew.
+        // Tasks assigned to a machine whose heartbeat is overdue have to be assigned to another one.
         if (!dirty) dirty = unsentAssignments.any { !scheduler.hasRecentHeartbeat(it.machine, nowMicros) }
         failover.reconcile(nowMicros)
         leaseExpiry.registerReportingMachines(nowMicros)
@@ -221,35 +222,38 @@
         runCycleIfDue(nowMicros)
     }
 
-    /** Ends reservations that have expired or whose job needs no more machines. */
+    /** Removes reservations that have expired or whose job needs no more machines. */
     private fun expireReservations(nowMicros: Long) {
         for (machine in machines.values) {
             val reservation = machine.reservation ?: continue
             val job = reservation.job
             if (nowMicros < reservation.untilMicros && jobs[job.id] === job && !job.cancelled && job.pendingCount > 0) continue
             machine.reservation = null
-            // Nothing else would make the scheduler look at the machine again.
+            // No other event would trigger a scheduling cycle that considers the machine again.
             dirty = true
         }
     }
 
-    /** Runs a scheduling cycle if something changed and the pause after the last cycle is over. */
+    /** Runs a scheduling cycle if the state is dirty and the pause after the last cycle is over. */
     internal fun runCycleIfDue(nowMicros: Long) {
         if (dirty && cycleTimer.isDue(nowMicros)) cycleTimer.run(nowMicros) { scheduler.runCycle(nowMicros) }
     }
 
-    /** Has it stored that tasks of [job] may have been started, before the first start leaves. */
+    /** Requests the write that tasks of [job] may have been started, which must be complete before the first start is sent. */
     fun activate(job: Job) {
         if (job.activation != Job.Activation.INACTIVE) return
         job.activation = Job.Activation.STORING
         effects.persistActivation(job)
     }
 
-    /** Whether heartbeats of most workers that reached this leader are missing at once. */
+    /** Whether most of the workers that have sent heartbeats to this leader are overdue at the same time. */
     fun areMostHeartbeatsMissing(nowMicros: Long): Boolean =
         knownMachines.areMostHeartbeatsMissing(nowMicros, timing.missingHeartbeatMicros)
 
-    /** Whether machines of this kind are kept from [job] although it fits: they count neither as free nor as worth renting for it. */
+    /**
+     * Whether machines of this kind are excluded for [job] although its tasks would fit on them. For this job they count neither
+     * as free capacity nor as machines to scale out.
+     */
     fun isTypeExcluded(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isTypeExcluded(type, spot, job.spec)
 
     internal fun isStartable(job: Job, nowMicros: Long): Boolean = scheduler.isStartable(job, nowMicros)
--- a/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
+++ b/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
@@ -4,23 +4,23 @@
 import linemast.domain.Machine
 
 /**
- * Writes to the store that the cluster state asks for.
+ * Writes to the store that the cluster state requests.
  *
- * Calls return at once. The outcome of a write is taken back into the state by the coroutine that owns it.
+ * Calls return at once. The coroutine that owns the cluster state applies the outcome of each write to it.
  */
 interface ClusterEffects {
-    /** Store that tasks of [job] may be started from now on. */
+    /** Persists that tasks of [job] may be started from now on. */
     fun persistActivation(job: Job)
 
-    /** Store the dirty parts of the job's set of completed tasks, or its end when it is done. */
+    /** Persists the dirty parts of the set of completed tasks of [job], or the end of [job] once all its tasks are completed. */
     fun persistProgress(job: Job)
 
-    /** Register [machines] as ones that may run tasks. */
+    /** Registers [machines] in the store as machines that may run tasks. */
     fun registerMachines(machines: List<Machine>)
 
-    /** Unregister the machines [names], which run nothing any more. */
+    /** Unregisters the machines [names], which run no tasks any more. */
     fun unregisterMachines(names: List<String>)
 
-    /** Delete the open record of [job], which is cancelled and has no task left on any machine. */
+    /** Deletes the open record of [job], which is cancelled and has no task left on any machine. */
     fun deleteCancelled(job: Job)
 }
--- a/src/main/kotlin/linemast/scheduling/ClusterTerm.kt
+++ b/src/main/kotlin/linemast/scheduling/ClusterTerm.kt
@@ -1,9 +1,9 @@
 package linemast.scheduling
 
-/** What distinguishes one leader's term from others. */
+/** The parameters of one leader's term. */
 class ClusterTerm(
-    /** Grows with each term; commands and attempts of lower ones are obsolete. */
+    /** Increases with each term; commands and attempts with a lower fencing token are obsolete. */
     val fencingToken: Long,
-    /** How long a leader without its store goes on answering heartbeats. */
+    /** How long a leader that cannot reach the store goes on responding to heartbeats. */
     val degradedModeMicros: Long,
 )
--- a/src/main/kotlin/linemast/scheduling/CommandPermission.kt
+++ b/src/main/kotlin/linemast/scheduling/CommandPermission.kt
@@ -2,12 +2,12 @@
 
 /** Which commands the response to a heartbeat may carry. */
 enum class CommandPermission {
-    /** All commands: the leader knows every confirmed cancellation, and its term goes on. */
+    /** All commands. The leader knows every confirmed cancellation, and its term is in progress. */
     ALL,
 
-    /** A cancellation may be unknown to this leader: nothing may be started. */
+    /** All commands except starts. A confirmed cancellation may be unknown to this leader. */
     NO_STARTS,
 
-    /** This leader's term may be over: nothing but stops of tasks that are known to be cancelled. */
+    /** Only stops of tasks that are known to be cancelled. This leader's term may be over. */
     CANCELLATIONS_ONLY,
 }
--- a/src/main/kotlin/linemast/scheduling/CycleTimer.kt
+++ b/src/main/kotlin/linemast/scheduling/CycleTimer.kt
@@ -3,8 +3,8 @@
 import linemast.time.Clock
 
 /**
- * Spaces scheduling cycles, so that they take a bounded share of the time however large the fleet is: heartbeats are
- * handled in the pause that follows a long cycle.
+ * Limits scheduling cycles to a bounded share of the time, however large the fleet is. Each cycle is followed by a pause in
+ * proportion to its duration, in which heartbeats are handled.
  */
 internal class CycleTimer(private val clock: Clock) {
     private var nextCycleMicros = 0L
@@ -12,7 +12,7 @@
     /** Whether the pause after the last cycle is over. */
     fun isDue(nowMicros: Long): Boolean = nowMicros >= nextCycleMicros
 
-    /** Runs [cycle] and begins the pause that follows it. */
+    /** Runs [cycle] and starts the pause that follows it. */
     fun run(nowMicros: Long, cycle: () -> Unit) {
         val startMicros = clock.nowMicros()
         cycle()
@@ -23,7 +23,7 @@
     private companion object {
         const val MIN_PAUSE_MICROS = 100_000L
 
-        /** A cycle is followed by a pause of this many times its own duration. */
+        /** Length of the pause after a cycle, as a multiple of the duration of the cycle. */
         const val PAUSE_PER_DURATION = 8
     }
 }
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -7,11 +7,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Accounts, after a failover, for tasks that a previous leader may have started and that this one has not seen.
+ * Tracks, after a failover, the tasks that a previous leader may have started and that no worker has reported to this leader yet.
  *
- * The machines that may hold such tasks are registered in the store. Each is unconfirmed until it has shown this leader's
- * fencing token, so that it ignores older commands, or until its lease has surely expired. Times are readings of the
- * leader's clock.
+ * The machines that may hold such tasks are registered in the store. A machine is unconfirmed until its worker has shown this
+ * leader's fencing token, and thus ignores commands of previous leaders, or until its lease has certainly expired. Times are
+ * monotonic times of the leader's process.
  */
 internal class FailoverReconciliation(
     private val cluster: Cluster,
@@ -20,33 +20,33 @@
 ) {
     private val log = LoggerFactory.getLogger(FailoverReconciliation::class.java)
 
-    /** Machines that may still hold unseen tasks of a previous leader. */
+    /** Machines that may still hold tasks of a previous leader that were not reported to this one. */
     private val unconfirmedMachines = LinkedHashSet<Machine>()
 
-    /** Whether [unconfirmedMachines] changed since the jobs were last compared with it. */
+    /** Whether [unconfirmedMachines] has changed since [Job.unconfirmed] was last updated. */
     private var haveMachinesChanged = false
 
-    /** Gangs that were done while machines that may hold tasks of theirs were unconfirmed. */
+    /** Gangs that finished while machines that may hold some of their tasks were unconfirmed. */
     private val finishedUnconfirmedGangs = ArrayList<Job>()
 
-    /** When the store had been read and heartbeats began to count. */
+    /** When the state had been loaded from the store, and heartbeats began to be processed. */
     private var loadedMicros = 0L
 
-    /** Until when a previous leader in degraded mode may answer heartbeats. */
+    /** Until when a previous leader in degraded mode may respond to heartbeats. */
     private var previousLeaderUntilMicros = 0L
 
-    /** Whether every task that a previous leader started has been seen or has surely ended. */
+    /** Whether every task that a previous leader started has been reported to this leader or has certainly ended. */
     var isReconciled = false
         private set
 
-    /** Begins with the machines that the store names; heartbeats count from [nowMicros] on. */
+    /** Marks the machines that are registered in the store as unconfirmed; heartbeats are processed from [nowMicros] on. */
     fun begin(registered: List<Machine>, nowMicros: Long) {
         loadedMicros = nowMicros
         previousLeaderUntilMicros = nowMicros + degradedModeMicros + LeaderLease.driftMicros(degradedModeMicros)
         for (machine in registered) {
             machine.isRegistered = true
             machine.inherited = true
-            // Until then a previous leader in degraded mode may renew the worker's lease.
+            // A previous leader in degraded mode may renew the worker's lease until previousLeaderUntilMicros.
             machine.leaseEndMicros = previousLeaderUntilMicros + timing.maxLeaseMicros
             unconfirmedMachines += machine
         }
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Every other controller has shown that it knows this fencing token, which ended any lower term of its own: from now
-     * on no previous leader answers a heartbeat.
+     * Records that no previous leader responds to heartbeats any more: every other controller has observed this leader's fencing
+     * token, which ended any earlier term of that controller.
      */
     fun recordPreviousLeadersEnded(nowMicros: Long) {
         if (nowMicros >= previousLeaderUntilMicros) return
@@ -64,23 +64,23 @@
         cluster.machines.values.forEach { it.leaseEndMicros = minOf(it.leaseEndMicros, latest) }
     }
 
-    /** Until when some leader may answer a worker whose heartbeat came at [nowMicros] and showed [fencingToken]. */
+    /** Returns the latest time at which any leader may respond to a worker whose heartbeat at [nowMicros] showed [fencingToken]. */
     fun latestResponseMicros(fencingToken: Long, nowMicros: Long): Long =
         if (fencingToken >= cluster.fencingToken) nowMicros else maxOf(nowMicros, previousLeaderUntilMicros)
 
-    /** A heartbeat of [machine] was accepted: it is confirmed if it has shown this leader's fencing token. */
+    /** Confirms [machine], of which a heartbeat was accepted, if its worker has shown this leader's fencing token. */
     fun confirmIfTokenShown(machine: Machine, nowMicros: Long) {
         if (isReconciled || machine.fencingToken < cluster.fencingToken || !unconfirmedMachines.remove(machine)) return
         haveMachinesChanged = true
         if (unconfirmedMachines.isEmpty()) reconcile(nowMicros)
     }
 
-    /** A gang is done with the first of its tasks that says so; others of its tasks may be on unconfirmed machines. */
+    /** Records the gang [job] as finished. One completed task finishes a gang, so its other tasks may be on unconfirmed machines. */
     fun recordFinishedGang(job: Job) {
         if (!isReconciledFor(job)) finishedUnconfirmedGangs += job
     }
 
-    /** Drops machines that need no confirmation any more, and updates which jobs may have tasks on the others. */
+    /** Removes machines that need no confirmation any more, and updates which jobs may have tasks on the remaining ones. */
     fun reconcile(nowMicros: Long) {
         if (isReconciled) return
         if (unconfirmedMachines.removeIf { isConfirmed(it, nowMicros) }) haveMachinesChanged = true
@@ -106,21 +106,21 @@
         log.info("reconciled {} ms after loading: {} machines, {} jobs", tookMillis, cluster.machines.size, cluster.jobs.size)
     }
 
-    /** Machines that are unconfirmed although their workers can have found the new leader. */
+    /** Returns the machines that are unconfirmed although their workers have had time to find the new leader. */
     fun missingMachines(nowMicros: Long): List<Machine> =
         if (!isReconciled && nowMicros >= loadedMicros + timing.failoverMicros) unconfirmedMachines.toList() else emptyList()
 
-    /** Zones where most registered machines are confirmed: a machine that is missing there is not cut off with its zone. */
+    /** Returns the zones where most registered machines are confirmed; a machine missing there is not in a partitioned zone. */
     fun zonesMostlyReporting(): Set<String> {
         val unconfirmed = unconfirmedMachines.groupingBy { it.zone }.eachCount()
         val registered = cluster.machines.values.filter { it.inherited }.groupingBy { it.zone }.eachCount()
         return registered.filter { (zone, count) -> (unconfirmed[zone] ?: 0) * MAX_MISSING_DIVISOR <= count }.keys
     }
 
-    /** Whether no unseen task of [job] can be on a machine: unconfirmed machines that cannot hold one do not matter. */
+    /** Whether no unreported task of [job] can be on a machine; unconfirmed machines that cannot host the job are ignored. */
     fun isReconciledFor(job: Job): Boolean = isReconciled || !job.unconfirmed
 
-    /** Amounts that unseen tasks of previous leaders may use, by team: they count in full against the team's quota limit. */
+    /** Returns the [amount] that unreported tasks of previous leaders may use in [team]; all of it counts against the quota limit. */
     fun unconfirmedAmount(team: String, amount: (Job) -> Double): Double {
         if (isReconciled) return 0.0
         val ofOpenJobs = cluster.jobs.values.filter { it.spec.team == team && !isReconciledFor(it) }.sumOf { it.pendingCount * amount(it) }
@@ -130,7 +130,7 @@
     }
 
     private companion object {
-        /** A zone mostly reports if no more than one machine in this many is missing. */
+        /** Most machines of a zone are confirmed if at most one in this many is missing. */
         const val MAX_MISSING_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/linemast/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPlacement.kt
@@ -5,18 +5,18 @@
 import linemast.domain.PendingReason
 import linemast.domain.Placement
 
-/** Places gangs: all missing tasks of one at once, or none. */
+/** Places gangs: either all missing tasks of a gang are assigned in the same cycle, or none. */
 internal class GangPlacement(
     private val cluster: Cluster,
     private val preemption: GangPreemption,
     private val pendingReasons: PendingReasonLog,
 ) {
-    /** Assigns all missing tasks of [gang] to machines; if that is not possible, preempts other tasks as far as allowed. */
+    /** Assigns all missing tasks of [gang] to machines; if that is not possible, preempts other tasks as far as it is allowed. */
     fun place(gang: Job, cycle: SchedulingCycle) {
         if (!prepareAttempt(gang)) return
         val missing = gang.pendingCount
         val headroom = cycle.headroom.remainingTasksOf(gang)
-        // Zones of all feasible machines, not only of those with free capacity: preemption can free the others.
+        // Zones of all feasible machines, not only of those with free capacity, because preemption can free capacity on the others.
         val zones = if (gang.spec.sameZone && gang.spec.taskCount > 1) cycle.machines.feasibleZones(gang) else listOf(null)
         if (headroom >= missing) {
             placeWithinQuotaLimit(gang, zones, missing, cycle)
@@ -32,7 +32,7 @@
     }
 
     private fun preemptAtQuotaLimit(gang: Job, zones: List<String?>, missing: Int, headroom: Int, cycle: SchedulingCycle) {
-        // Nothing is preempted for the quota limit before there is capacity to use it.
+        // Tasks are preempted for the quota limit only if there is free capacity for the gang.
         val hasCapacity = zones.any { zone -> candidates(gang, zone, cycle).sumOf { it.freeSlots(gang.spec) } >= missing }
         if (hasCapacity) {
             preemption.preemptAtQuotaLimit(gang, missing, headroom, cycle)
@@ -42,20 +42,26 @@
         pendingReasons.record(gang, PendingReason.QuotaLimit)
     }
 
-    /** Preempts for the missing tasks in the first zone where that is enough; returns whether there is one. */
+    /** Preempts tasks in the first zone where that frees enough capacity for the missing tasks; returns whether there is one. */
     private fun preemptInOneZone(gang: Job, zones: List<String?>, missing: Int, cycle: SchedulingCycle): Boolean =
         zones.any { zone -> preemption.preemptForCapacity(gang, zone, missing, cycle) }
 
-    /** Machines of [zone], or of all zones if it is null. One that acknowledged a task of this attempt must not get it again. */
+    /**
+     * Returns the machines of [zone], or of all zones if it is null, that may run tasks of the present attempt of [gang]. A machine
+     * whose worker got the acknowledgement of a task of this attempt must not get such a task again.
+     */
     private fun candidates(gang: Job, zone: String?, cycle: SchedulingCycle): Sequence<Machine> =
         cycle.machines.candidates(gang).filter { (zone == null || it.zone == zone) && !gang.gangAttempt.isAcknowledgedOn(it) }
 
-    /** Chooses an attempt number for a gang without placements; false if the present attempt cannot be completed any more. */
+    /**
+     * Begins a new attempt if [gang] has no placements and the number of its last attempt was sent in a start. Returns false if the
+     * present attempt cannot be completed any more.
+     */
     private fun prepareAttempt(gang: Job): Boolean {
         if (gang.placements.isNotEmpty()) return !gang.gangAttempt.hasRun && gang.placements.all { it.attempt == gang.gangAttempt.number }
         gang.gangAttempt.hasRun = false
         if (gang.gangAttempt.isUsed) {
-            // The number is used for all cycles until the gang can start as a whole.
+            // All cycles use this number until the gang can start as a whole.
             gang.gangAttempt.begin(cluster.attemptNumbers.next().also(cluster.attemptNumbers::markUsed))
         }
         return true
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -5,7 +5,7 @@
 import linemast.domain.Placement
 import linemast.domain.StopReason
 
-/** Preempts less urgent tasks for gangs, which start as a whole or not at all. */
+/** Preempts less urgent tasks for gangs, whose tasks start all together or not at all. */
 internal class GangPreemption(
     private val cluster: Cluster,
     private val timing: PreemptionTiming,
@@ -17,9 +17,10 @@
     private data class Preemption(val machine: Machine, val victims: List<Placement>)
 
     /**
-     * Preempts tasks of the gang's own team, the latest started first, when only the team's quota limit stands against [gang].
+     * Preempts tasks of the gang's own team, the latest started first, when only the team's quota limit prevents [gang] from
+     * starting.
      *
-     * [missing] tasks are to start, of which [withinLimit] fit within the limit as it is.
+     * The gang has [missing] tasks to start, of which [withinLimit] fit within the quota limit without preemption.
      */
     fun preemptAtQuotaLimit(gang: Job, missing: Int, withinLimit: Int, cycle: SchedulingCycle) {
         val team = gang.spec.team
@@ -39,11 +40,11 @@
     }
 
     /**
-     * Preempts tasks in [zone], or in any if it is null, so that the [missing] tasks of [gang] fit soon, and reserves their
-     * machines for it. Returns whether the gang can expect its capacity; nothing is preempted otherwise.
+     * Preempts tasks in [zone], or in any zone if it is null, so that the [missing] tasks of [gang] fit soon, and reserves the
+     * machines for the gang. Returns whether the gang will get enough capacity; if not, no task is preempted.
      */
     fun preemptForCapacity(gang: Job, zone: String?, missing: Int, cycle: SchedulingCycle): Boolean {
-        // The reserved machines become free by themselves; preempting more would only withhold capacity from other jobs.
+        // The reserved machines become free without preemption; preempting tasks would only withhold capacity from other jobs.
         if (gang === reservation.gang) return true
         val machines = cycle.machines.feasibleFor(gang).filter { zone == null || it.zone == zone }
         val reservedCount = machines.count { it.reservedFor === gang }
@@ -62,7 +63,7 @@
     private fun execute(preemption: Preemption, gang: Job, windowMicros: Long, cycle: SchedulingCycle) {
         preemption.machine.reserveFor(gang, cycle.nowMicros + windowMicros + GangReservation.RESERVATION_MICROS)
         for (victim in preemption.victims) {
-            // A task whose start has not left need not be started and stopped again.
+            // A task whose start has not been sent is unassigned, so that it is not started just to be stopped.
             if (victim.isAssigned) {
                 cycle.unassign(victim)
             } else if (victim.stopReason == null) {
@@ -71,13 +72,13 @@
         }
     }
 
-    /** Unlike [isPreemptible], this includes tasks that are only assigned or already being stopped: their capacity counts as well. */
+    /** Whether [placement] counts as capacity for [gang]; unlike [isPreemptible], true also for assigned tasks and tasks being stopped. */
     private fun isLessUrgent(placement: Placement, gang: Job): Boolean {
         val job = placement.job ?: return false
         return job.priority > gang.priority && !job.spec.isGang && !placement.exemptFromPreemption
     }
 
-    /** Whether preempting all less urgent tasks of [machine] frees enough: a cheap check that rules out most machines. */
+    /** Whether [machine] has enough vcpus once all its less urgent tasks are preempted: a cheap check that rules out most machines. */
     private fun canFitAfterPreemption(gang: Job, machine: Machine): Boolean {
         var vcpus = machine.freeVcpus + ROUNDING_TOLERANCE
         if (vcpus >= gang.spec.vcpus) return true
@@ -90,9 +91,9 @@
     }
 
     /**
-     * The tasks to preempt on [machine] so that one of [gang] fits; null if preempting all that is allowed is not enough.
+     * Returns the tasks to preempt on [machine] so that one task of [gang] fits; null if preempting all permitted tasks is not enough.
      *
-     * Tasks that end by themselves within [windowMicros] are not preempted: they would lose the most work.
+     * Tasks that are expected to complete within [windowMicros] are not preempted, because they would lose the most work.
      */
     private fun victimsOn(machine: Machine, gang: Job, windowMicros: Long, nowMicros: Long): List<Placement>? {
         var vcpus = machine.freeVcpus
@@ -106,7 +107,7 @@
         return if (vcpus + ROUNDING_TOLERANCE >= gang.spec.vcpus) victims else null
     }
 
-    /** Work that a preemption loses, in microseconds of one vcpu: all since the start, or the time to save a checkpoint. */
+    /** Returns the work that a preemption loses, in vcpu microseconds: all since the start, or the time of writing a checkpoint. */
     private fun lostVcpuMicros(placement: Placement, nowMicros: Long): Double {
         val spec = placement.job?.spec ?: return 0.0
         return if (spec.neverCheckpoints) (nowMicros - placement.sentMicros) * spec.vcpus else spec.checkpointMicros * spec.vcpus
--- a/src/main/kotlin/linemast/scheduling/GangReservation.kt
+++ b/src/main/kotlin/linemast/scheduling/GangReservation.kt
@@ -5,18 +5,18 @@
 import linemast.domain.Reservation
 
 /**
- * The machines reserved for one starving gang.
+ * Reserves machines for one starving gang.
  *
- * One gang at a time: two that each hold half of the machines that both need would wait forever.
+ * Only one gang has a reservation at a time: two gangs that each hold half of the machines that both need would deadlock.
  */
 internal class GangReservation(private val cluster: Cluster, private val estimates: CompletionEstimates) {
     private data class AvailableMachine(val machine: Machine, val freeAfterMicros: Long)
 
-    /** The gang that machines were reserved for last. */
+    /** The gang that machines were last reserved for. */
     var gang: Job? = null
         private set
 
-    /** Reserves for all pending tasks of [gang] the machines that become free first; false if there are too few. */
+    /** Reserves the machines that become free first for all pending tasks of [gang]; returns false if there are too few. */
     fun reserve(gang: Job, cycle: SchedulingCycle): Boolean {
         switchTo(gang)
         val available = availableMachines(gang, cycle)
@@ -26,7 +26,7 @@
         return true
     }
 
-    /** Releases the machines of the previous gang. */
+    /** Releases the machines of the previous gang if [next] is another one. */
     private fun switchTo(next: Job) {
         val previous = gang
         if (previous === next) return
@@ -42,7 +42,7 @@
         .sortedBy { it.freeAfterMicros }
         .toList()
 
-    /** A machine for each pending task, in one zone if the gang asks for that; null if there are too few. */
+    /** Returns a machine for each pending task, in one zone if the gang requires that; null if there are too few machines. */
     private fun soonestFree(gang: Job, available: List<AvailableMachine>): Set<Machine>? {
         val groups = if (gang.spec.sameZone) available.groupBy { it.machine.zone }.values else listOf(available)
         return groups.map { it.take(gang.pendingCount) }
@@ -52,7 +52,7 @@
     }
 
     companion object {
-        /** A reservation that is not renewed ends after this time. */
+        /** A reservation that is not renewed expires after this time. */
         const val RESERVATION_MICROS = 15_000_000L
     }
 }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
@@ -5,13 +5,15 @@
 import linemast.domain.Machine
 import org.slf4j.LoggerFactory
 
-/** Decides which heartbeats count, and records their order, their sender's incarnation and its lease. */
+/**
+ * Accepts or rejects heartbeats, and records the sequence number, the worker's incarnation and its lease of those accepted.
+ */
 internal class HeartbeatAcceptance(private val cluster: Cluster, private val timing: WorkerTiming) {
     private val log = LoggerFactory.getLogger(HeartbeatAcceptance::class.java)
 
-    /** Records [heartbeat] as the newest one of its machine; null if it does not count. */
+    /** Records [heartbeat] as the newest one of its machine, and returns the machine; returns null if the heartbeat is rejected. */
     fun accept(heartbeat: Heartbeat, nowMicros: Long): Machine? {
-        // The cloud has confirmed that the machine is gone: a delayed copy must not bring it back.
+        // A delayed heartbeat must not add a machine again whose termination the cloud has confirmed.
         if (cluster.knownMachines.isTerminated(heartbeat.machineName)) return null
         val machine = machineOf(heartbeat) ?: return null
         val heartbeats = machine.heartbeats
@@ -30,7 +32,7 @@
     private fun mayReceiveStarts(machine: Machine, fencingToken: Long): Boolean =
         machine.acknowledgesResponses && fencingToken >= cluster.fencingToken
 
-    /** The machine of [heartbeat], added if it is new; null if its type is unknown. */
+    /** Returns the machine of [heartbeat], which is added if it is new; null if the machine type is unknown. */
     private fun machineOf(heartbeat: Heartbeat): Machine? {
         cluster.machines[heartbeat.machineName]?.let { return it }
         val type = cluster.types[heartbeat.machineType] ?: return null
@@ -40,9 +42,10 @@
     }
 
     /**
-     * Whether [heartbeat] is of the present incarnation and lacks a task that this incarnation has reported and not ended.
-     * A worker lists its tasks until their ends are acknowledged: such a heartbeat is a delayed copy from before a restart,
-     * whatever its sequence number.
+     * Whether [heartbeat] is of the present incarnation and lacks a task that this incarnation has reported as not ended.
+     *
+     * A worker lists each task until the end of the task is acknowledged. Such a heartbeat is therefore a delayed duplicate from
+     * before a restart of the worker, whatever its sequence number.
      */
     private fun contradictsReportedTasks(machine: Machine, heartbeat: Heartbeat): Boolean {
         if (heartbeat.incarnation != machine.heartbeats.incarnation) return false
@@ -50,7 +53,7 @@
         return machine.placements.values.any { it.isReported && it.key !in listed }
     }
 
-    /** The worker has begun a new incarnation: all tasks of the earlier one have ended. */
+    /** Removes the tasks of the previous incarnation of the worker, all of which have ended. */
     private fun endIncarnation(machine: Machine) {
         if (machine.placements.isNotEmpty()) log.info("{}: new incarnation, {} tasks lost", machine.name, machine.placements.size)
         machine.placements.values.toList().forEach { if (!it.isAssigned) cluster.remove(it) }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -9,9 +9,7 @@
 import linemast.settings.WorkerSettings
 import org.slf4j.LoggerFactory
 
-/**
- * Handles workers' heartbeats: takes their content into the cluster state, and chooses the commands of the response.
- */
+/** Handles workers' heartbeats: applies their content to the cluster state, and chooses the commands of the response. */
 internal class HeartbeatHandler(
     private val cluster: Cluster,
     private val workers: WorkerSettings,
@@ -23,11 +21,11 @@
     private val log = LoggerFactory.getLogger(HeartbeatHandler::class.java)
 
     /**
-     * Takes a heartbeat and returns the commands for its response; null if there must be no response that renews the
-     * worker's lease.
+     * Processes a heartbeat and returns the commands for its response; null if there must be no response, since a response
+     * renews the worker's lease.
      *
-     * Only a heartbeat that counts in the leader's records may be answered. Otherwise a worker could keep tasks, response
-     * by response, that the leader's records give up at the end of its lease.
+     * Only an accepted heartbeat gets a response. Otherwise a worker could keep renewing its lease and running tasks, while the
+     * leader removes these tasks when the lease as recorded here expires.
      */
     fun handle(heartbeat: Heartbeat, nowMicros: Long, permission: CommandPermission): List<Command>? {
         val machine = acceptance.accept(heartbeat, nowMicros) ?: return null
@@ -39,7 +37,7 @@
         cluster.failover.confirmIfTokenShown(machine, nowMicros)
         cluster.recovery?.heartbeatReceived(machine.name)
         cluster.runCycleIfDue(nowMicros)
-        // A worker that does not show this fencing token has got no response of this leader yet, and may never get one.
+        // A worker that does not show this fencing token has received no response of this leader yet, and may never receive one.
         val startsAllowed = permission == CommandPermission.ALL &&
             machine.acknowledgesResponses &&
             heartbeat.fencingToken >= cluster.fencingToken
@@ -55,8 +53,8 @@
     }
 
     /**
-     * Tasks that can write a checkpoint do so before the cloud takes the machine; the others go on, since they may end
-     * first. A gang writes its checkpoint only if all its tasks are stopped together.
+     * Stops the tasks that can write a checkpoint before the cloud preempts [machine]. The other tasks go on, since they may
+     * complete before the preemption. A gang writes its checkpoint only if all its tasks are stopped together.
      */
     private fun checkpointBeforePreemption(machine: Machine) {
         for (placement in machine.placements.values) {
@@ -69,8 +67,8 @@
     }
 
     /**
-     * Whether a cancelled task is still reported although its worker was told to stop it, for so long that only the
-     * expiry of the worker's lease ends it in time.
+     * Whether a cancelled task is still reported although a stop was sent, and the cancellation is so old that only the expiry of
+     * the worker's lease ends the task in time.
      */
     private fun outlivesCancellation(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job ?: return false
--- a/src/main/kotlin/linemast/scheduling/ImageAffinity.kt
+++ b/src/main/kotlin/linemast/scheduling/ImageAffinity.kt
@@ -4,10 +4,10 @@
 import linemast.domain.Machine
 
 /**
- * Tells which machines should be left to another job whose image they have already.
+ * Determines which machines should be left to another job whose image they already have.
  *
- * On a machine without its image a task holds capacity for the whole fetch. So among arrays of about the same rank, each
- * takes the machines that have its image first; what is still free after that goes by rank alone.
+ * A task on a machine without its image occupies capacity while the image is fetched. Among arrays of about the same rank, each
+ * therefore first gets the machines that have its image; the remaining capacity is assigned by rank alone.
  */
 internal class ImageAffinity(jobs: List<RankedJob>, private val hasQuotaHeadroom: (Job) -> Boolean) {
     private val ranks = jobs.associateBy { it.job }
@@ -15,7 +15,7 @@
 
     /** Whether [machine] should be left to another job than [job]. */
     fun prefersAnother(job: Job, machine: Machine): Boolean {
-        // Within its quota, and when it is starving, a job takes what it gets.
+        // A job that is within its quota or starving may use any machine.
         if (job.withinQuota || job.isStarving || job.spec.image in machine.images) return false
         val rank = ranks[job] ?: return false
         return machine.images.any { image ->
@@ -31,7 +31,7 @@
     private fun mayRunOn(machine: Machine, job: Job): Boolean = machine.canPlace(job) && hasQuotaHeadroom(job)
 
     private companion object {
-        /** Jobs whose deadlines are closer to each other than this may precede each other. */
+        /** A job may precede another one whose deadline is earlier by at most this. */
         const val MAX_DEADLINE_DIFFERENCE_MICROS = 60_000_000L
     }
 }
--- a/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
+++ b/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
@@ -2,9 +2,9 @@
 
 import linemast.domain.Job
 
-/** Follows up on jobs: has their progress stored, and closes those that are cancelled or finished. */
+/** Persists the progress of jobs, deletes the records of cancelled jobs, and removes finished ones from memory. */
 internal class JobFollowUp(private val cluster: Cluster, private val effects: ClusterEffects) {
-    /** Has stored what is due for [job], and forgets it once it is over and has no task on any machine. */
+    /** Requests the writes that are due for [job]; removes a finished job from memory once it has no task on any machine. */
     fun followUp(job: Job, nowMicros: Long) {
         val progress = job.storedProgress
         if (job.finished) {
@@ -12,7 +12,7 @@
         } else if (job.cancelled) {
             if (cluster.failover.isReconciledFor(job) && job.placements.isEmpty() && !progress.isWriting) effects.deleteCancelled(job)
         } else if (!progress.isWriting && !progress.dirtyParts.isEmpty) {
-            // Progress is stored at intervals: each write takes from what submissions and ends of jobs need.
+            // Progress is written at intervals, since each write takes store capacity that submissions and ends of jobs need.
             if (!job.isDone && nowMicros < progress.writtenMicros + PROGRESS_INTERVAL_MICROS) return
             progress.writtenMicros = nowMicros
             effects.persistProgress(job)
--- a/src/main/kotlin/linemast/scheduling/JobRanking.kt
+++ b/src/main/kotlin/linemast/scheduling/JobRanking.kt
@@ -3,22 +3,22 @@
 import linemast.domain.Job
 import linemast.planning.Planner
 
-/** A job with what its rank follows from. */
+/** A job with the properties that determine its rank. */
 data class RankedJob(
-    /** The job that is ranked. */
+    /** The ranked job. */
     val job: Job,
     /** Whether the job fits within its team's quota, together with the team's earlier jobs. */
     val withinQuota: Boolean,
-    /** How many service-level objectives it has missed. */
+    /** How many service-level objectives it can no longer meet. */
     val missedObjectives: Int,
-    /** Wall time by which it should end. */
+    /** Wall time by which it should complete. */
     val deadlineMicros: Long,
 ) {
-    /** Whether some tasks of the gang are placed, so that the others hold them up. */
+    /** Whether the job is a gang of which some tasks are placed and wait for the others. */
     val isPartlyPlacedGang = job.spec.isGang && job.placements.isNotEmpty()
 }
 
-/** The order in which jobs get free capacity. */
+/** Sorts jobs in the order in which they get free capacity. */
 object JobRanking {
     private val order = compareBy<RankedJob>(
         { !it.isPartlyPlacedGang },
@@ -28,7 +28,10 @@
         { it.deadlineMicros },
     )
 
-    /** The unfinished ones of [jobs], by rank; at the same rank, the one that has been ready for longer goes first. */
+    /**
+     * Returns those of [jobs] that are neither cancelled nor finished, by rank. Of jobs with equal rank, the one that was ready first
+     * comes first.
+     */
     fun sorted(jobs: Collection<Job>, quota: QuotaUsage, planner: Planner, wallMicros: Long): List<RankedJob> {
         val requestedVcpus = HashMap<String, Double>()
         return jobs.filter { !it.cancelled && !it.finished }
--- a/src/main/kotlin/linemast/scheduling/JobReadiness.kt
+++ b/src/main/kotlin/linemast/scheduling/JobReadiness.kt
@@ -3,7 +3,7 @@
 import linemast.domain.Job
 import linemast.domain.PendingReason
 
-/** Tells which jobs may be scheduled now. */
+/** Determines which jobs may be scheduled now. */
 internal class JobReadiness(private val cluster: Cluster, private val pendingReasons: PendingReasonLog) {
     /** Whether a start of one of the tasks of [job] may be sent. */
     fun isStartable(job: Job, nowMicros: Long): Boolean = job.activation == Job.Activation.ACTIVE &&
@@ -12,10 +12,13 @@
         nowMicros >= job.failureBackOff.untilMicros &&
         cluster.failover.isReconciledFor(job)
 
-    /** Whether [job] takes part in a scheduling cycle; if not, has done what is needed for that, and records why it is pending. */
+    /**
+     * Whether [job] takes part in this scheduling cycle. If not, requests what later cycles need to include the job, and records why
+     * it is pending.
+     */
     fun prepare(job: Job, nowMicros: Long): Boolean {
         if (job.activation == Job.Activation.INACTIVE) cluster.activate(job)
-        // Nothing else would trigger the cycle in which the back-off is over.
+        // No other event would trigger a scheduling cycle once the back-off is over.
         if (nowMicros < job.failureBackOff.untilMicros) cluster.dirty = true
         if (isStartable(job, nowMicros)) return true
         pendingReasons.record(job, reasonNotReady(job, nowMicros))
--- a/src/main/kotlin/linemast/scheduling/KnownMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/KnownMachines.kt
@@ -3,8 +3,8 @@
 import linemast.domain.Machine
 
 /**
- * The machines that the leader knows, and what the cloud says of them: which belong to the baseline fleet, are being
- * scaled in, or are gone.
+ * The machines that the leader knows, and their state in the cloud: whether they belong to the baseline fleet, are being scaled
+ * in, or are terminated.
  */
 internal class KnownMachines(private val cluster: Cluster) {
     /** Known machines by name. */
@@ -13,13 +13,13 @@
     /** Names of the machines of the baseline fleet. */
     private var baseline: Set<String> = emptySet()
 
-    /** Machines of which the cloud has confirmed that they are gone; names are never used again. */
+    /** Names of machines whose termination the cloud has confirmed; the cloud never reuses a name. */
     private val terminated = LinkedHashSet<String>()
 
-    /** Machines that may be scaled in at any moment: they get no work. */
+    /** Names of machines that may be scaled in at any moment and therefore get no tasks. */
     private val scalingIn = HashSet<String>()
 
-    /** Adds a machine whose first heartbeat has come. */
+    /** Adds a machine whose first heartbeat has arrived. */
     fun add(machine: Machine) {
         machine.baseline = machine.name in baseline
         machine.draining = machine.name in scalingIn
@@ -27,10 +27,10 @@
         cluster.dirty = true
     }
 
-    /** Whether the cloud has confirmed that the machine is gone. */
+    /** Whether the cloud has confirmed the termination of the machine. */
     fun isTerminated(machineName: String): Boolean = machineName in terminated
 
-    /** A previous leader has decided to scale these in: they get no work any more. */
+    /** Marks machines that a previous leader has decided to scale in: they get no tasks any more. */
     fun markScalingIn(names: Collection<String>) {
         scalingIn += names
         names.forEach { machines[it]?.draining = true }
@@ -42,7 +42,7 @@
         machines.values.forEach { it.baseline = it.name in names }
     }
 
-    /** The cloud has confirmed that these are gone. */
+    /** Removes machines whose termination the cloud has confirmed, with their tasks. */
     fun markTerminated(names: Collection<String>) {
         for (name in names) {
             terminated += name
@@ -54,7 +54,7 @@
         cluster.dirty = true
     }
 
-    /** Removes machines that the cloud does not list and whose leases expired long ago; the names of the registered ones. */
+    /** Removes machines that the cloud does not list and whose leases expired long ago; returns the names of the registered ones. */
     fun removeUnlisted(listed: Set<String>, nowMicros: Long): List<String> {
         val unlisted = machines.values.filter {
             it.name !in listed && it.placements.isEmpty() && nowMicros > it.leaseEndMicros + UNLISTED_RETENTION_MICROS
@@ -63,10 +63,10 @@
         return unlisted.filter { it.isRegistered }.map { it.name }
     }
 
-    /** Whether no task can be on the machine, as far as that can be known. */
+    /** Whether no task can be on the machine; false until the tasks of previous leaders are reconciled. */
     fun isFree(machineName: String): Boolean = cluster.isReconciled && machines[machineName]?.placements.isNullOrEmpty()
 
-    /** Whether heartbeats of most workers that reached this leader are missing at once. */
+    /** Whether most of the workers that have sent heartbeats to this leader are overdue at the same time. */
     fun areMostHeartbeatsMissing(nowMicros: Long, missingHeartbeatMicros: Long): Boolean {
         var known = 0
         var reporting = 0
@@ -79,13 +79,13 @@
     }
 
     private companion object {
-        /** With fewer workers nothing follows from missing heartbeats. */
+        /** With fewer workers than this, missing heartbeats allow no conclusion. */
         const val MIN_WORKERS = 3
 
-        /** Most workers are lost if less than one in this many reports. */
+        /** Most heartbeats are missing if fewer than one worker in this many reports. */
         const val MIN_REPORTING_DIVISOR = 4
 
-        /** Delayed copies come minutes late at most; this is four times the machines of the largest fleet. */
+        /** Four times the machines of the largest fleet; delayed heartbeats of a terminated machine arrive at most minutes late. */
         const val MAX_TERMINATED = 24_000
         const val UNLISTED_RETENTION_MICROS = 30_000_000L
     }
--- a/src/main/kotlin/linemast/scheduling/LeaderClocks.kt
+++ b/src/main/kotlin/linemast/scheduling/LeaderClocks.kt
@@ -4,8 +4,8 @@
 
 /** The clocks of the leader's process. */
 class LeaderClocks(
-    /** For intervals; its readings mean nothing to other processes. */
+    /** Monotonic clock for intervals; its times are meaningless in other processes. */
     val monotonic: Clock,
-    /** Time of day in microseconds, for deadlines and ages of jobs. */
+    /** Returns the wall time in microseconds, for deadlines and ages of jobs. */
     val wallMicros: () -> Long,
 )
--- a/src/main/kotlin/linemast/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/linemast/scheduling/LeaseExpiry.kt
@@ -4,15 +4,15 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Keeps the stored set of registered machines in line with workers' leases.
+ * Removes the tasks of workers whose leases have expired, and registers and unregisters machines in the store by their leases.
  *
- * A machine is registered before its first start, and until its lease has expired, so that the next leader knows from
- * the store alone which machines may run tasks.
+ * A machine is registered before its first start is sent and stays registered until its lease has expired, so that the next
+ * leader can read from the store which machines may run tasks.
  */
 internal class LeaseExpiry(private val cluster: Cluster, private val effects: ClusterEffects) {
     private val log = LoggerFactory.getLogger(LeaseExpiry::class.java)
 
-    /** Gives up the tasks of machines whose leases have expired, and unregisters these machines. */
+    /** Removes the tasks of machines whose leases have expired, and unregisters these machines. */
     fun expireLeases(nowMicros: Long) {
         val unregistered = ArrayList<String>()
         for (machine in cluster.machines.values) {
@@ -31,7 +31,7 @@
         machine.ended.clear()
     }
 
-    /** Has machines stored that hold a lease and are not registered. */
+    /** Registers machines that have sent a heartbeat and hold a lease, but are not registered yet. */
     fun registerReportingMachines(nowMicros: Long) {
         val machines = cluster.machines.values.filter { !it.isRegistered && it.hasReported && nowMicros < it.leaseEndMicros }
         if (machines.isNotEmpty()) effects.registerMachines(machines)
--- a/src/main/kotlin/linemast/scheduling/MachinePool.kt
+++ b/src/main/kotlin/linemast/scheduling/MachinePool.kt
@@ -4,7 +4,7 @@
 import linemast.domain.Machine
 import linemast.domain.MachineType
 
-/** What machines that are candidates at the same place in the order have in common. */
+/** The properties that machines at the same position in the order of candidates have in common. */
 internal data class MachineKind(val type: MachineType, val spot: Boolean, val baseline: Boolean) {
     /** Whether tasks of [job] may run on machines of this kind. */
     fun canHost(job: Job): Boolean = type.canHost(job.spec) && (job.spec.spot || !spot)
@@ -12,34 +12,34 @@
 
 /** The machines of one kind, searchable by free vcpus. */
 internal class MachinePool(val kind: MachineKind) {
-    /** A machine and its [position] in the fleet, which decides between machines with the same free capacity. */
+    /** A machine and its [position] in the fleet, which orders machines with the same free capacity. */
     class Entry(val machine: Machine, val position: Int)
 
     private val entries = ArrayList<Entry>()
     private val zonesInOrder = LinkedHashSet<String>()
 
-    /** A copy of [entries]; it is sorted again only after the free capacity of a machine has changed. */
+    /** A copy of [entries] in the order of their free vcpus; null before the first search. Sorted again only after a change of capacity. */
     private var byFreeVcpus: ArrayList<Entry>? = null
     private var sorted = false
 
-    /** All machines, in the order in which they were added. */
+    /** All machines, in insertion order. */
     val machines: Sequence<Machine> get() = entries.asSequence().map { it.machine }
 
-    /** The zones of the machines, in the order of their first machines. */
+    /** The zones of the machines, in the insertion order of the first machine of each zone. */
     val zones: Set<String> get() = zonesInOrder
 
-    /** Adds a machine, before the first search. */
+    /** Adds a machine; must not be called after the first search. */
     fun add(machine: Machine, position: Int) {
         entries += Entry(machine, position)
         zonesInOrder += machine.zone
     }
 
-    /** The free capacity of one of the machines has changed. */
+    /** Invalidates the order of the machines after the free capacity of one of them has changed. */
     fun invalidateOrder() {
         sorted = false
     }
 
-    /** The machines with at least [vcpus] free, the fullest first. */
+    /** Returns the machines with at least [vcpus] free, those with the fewest free vcpus first. */
     fun withFreeVcpus(vcpus: Double): List<Entry> {
         val sortedEntries = sortedEntries()
         var low = 0
--- a/src/main/kotlin/linemast/scheduling/OptionalPolicies.kt
+++ b/src/main/kotlin/linemast/scheduling/OptionalPolicies.kt
@@ -3,10 +3,10 @@
 import linemast.admission.FlowRoundRobin
 import linemast.recovery.StateReconciliation
 
-/** Behaviour of the cluster state that options enable. */
+/** Features of the cluster state that are enabled by options. */
 class OptionalPolicies(
-    /** Whose turn it is among starving jobs; null lets all of them go first. */
+    /** Round robin that selects the starving arrays to place first; null places all of them first. */
     val roundRobin: FlowRoundRobin? = null,
-    /** The reconciliation after an outage; null if it is not enabled. */
+    /** Reconciles the state after an outage; null if the feature is not enabled. */
     val recovery: StateReconciliation? = null,
 )
--- a/src/main/kotlin/linemast/scheduling/PendingReasonLog.kt
+++ b/src/main/kotlin/linemast/scheduling/PendingReasonLog.kt
@@ -8,7 +8,7 @@
 internal class PendingReasonLog {
     private val log = LoggerFactory.getLogger(PendingReasonLog::class.java)
 
-    /** Notes that nothing of [job] could be placed, because of [reason]. */
+    /** Records [reason] as the reason why no further task of [job] could be placed. */
     fun record(job: Job, reason: PendingReason) {
         if (job.pendingReason == reason) return
         job.pendingReason = reason
--- a/src/main/kotlin/linemast/scheduling/QuotaHeadroom.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaHeadroom.kt
@@ -3,7 +3,7 @@
 import linemast.domain.Job
 import linemast.domain.PendingReason
 
-/** What each team may still start within its quota limit, in one scheduling cycle. */
+/** Computes, in one scheduling cycle, how many tasks each team may still start within its quota limit. */
 internal class QuotaHeadroom(jobs: List<Job>, private val cluster: Cluster, private val expectedGangs: ExpectedGangs) {
     private val pendingGangsByTeam: Map<String, List<Job>> =
         jobs.filter { it.spec.isGang && it.pendingCount > 0 }.groupBy { it.spec.team }
@@ -11,12 +11,12 @@
     private val unconfirmedByTeam = HashMap<String, Resources>()
 
     /**
-     * How many more tasks of [job] its team's quota limit allows, besides unconfirmed tasks of previous leaders and what is
-     * reserved for more urgent gangs of the team: those that are pending only because of the limit, and the next one expected.
+     * Returns how many more tasks of [job] its team's quota limit allows, after deducting unconfirmed tasks of previous leaders and
+     * the reservation for more urgent gangs of the team: those that are pending only because of the limit, and the expected next gang.
      */
     fun remainingTasksOf(job: Job): Int = remainingTasksOf(job, if (job.isStarving) null else expectedGangs.reservedAgainst(job.spec))
 
-    /** Whether the limit allows one more task of [job], if the next gang expected is left out of account. */
+    /** Whether the quota limit allows one more task of [job] if nothing is reserved for the expected next gang of the team. */
     fun allowsTaskOf(job: Job): Boolean = remainingTasksOf(job, null) > 0
 
     private fun remainingTasksOf(job: Job, expectedGang: Resources?): Int {
--- a/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
@@ -7,8 +7,8 @@
 /**
  * Preempts tasks, in one scheduling cycle, for jobs that are within their team's quota.
  *
- * Victims are tasks of other teams that are less urgent or run beyond their team's quota. No team is brought below its
- * quota for that, and jobs that are within theirs are exempt.
+ * Victims are tasks of other teams that are less urgent or run beyond their team's quota. Jobs that are within their own team's
+ * quota are exempt, and no team is brought below its quota.
  */
 internal class QuotaPreemption(
     private val cycle: SchedulingCycle,
@@ -17,13 +17,13 @@
     private val estimates: CompletionEstimates,
     private val taskPreemption: TaskPreemption,
 ) {
-    /** Vcpus that each team uses beyond its quota, without those that are being stopped. */
+    /** Vcpus that each team uses beyond its quota, excluding tasks that are being stopped. */
     private val excessVcpus = HashMap<String, Double>()
 
-    /** Tasks that are expected to end soon enough for some job: each counts for one job only. */
+    /** Tasks that are expected to complete soon enough for a job; each is claimed by one job only. */
     private val endingSoon = HashSet<Placement>()
 
-    /** Arrays that run beyond their teams' quotas. */
+    /** Arrays with placements that are beyond their team's quota. */
     private val borrowingJobs: List<Job> by lazy {
         cycle.jobs.filter { !it.withinQuota && !it.job.spec.isGang && it.job.placements.isNotEmpty() }.map { it.job }
     }
@@ -31,7 +31,7 @@
     /** How many tasks are being stopped for each job. */
     private val stoppingFor: Map<Job?, Int> by lazy { cluster.stopping.groupingBy { it.preemptedFor }.eachCount() }
 
-    /** Preempts as many tasks as [job] needs to start [missing] of its own, beside what frees up by itself in time. */
+    /** Preempts as many tasks as [job] needs to start [missing] of its own, after deducting tasks that complete in time. */
     fun preemptFor(job: Job, missing: Int) {
         var left = missing - (stoppingFor[job] ?: 0)
         left -= claimEndingSoon(job, left)
@@ -39,7 +39,7 @@
         for (victim in victimsFor(job)) {
             if (left <= 0) return
             val victimJob = victim.job ?: continue
-            // Each preemption takes from the excess of the victim's team.
+            // Each preemption reduces the excess of the victim's team, so the check is repeated for each victim.
             if (!mayPreempt(victimJob, job)) continue
             excessVcpus[victimJob.spec.team] = excessVcpusOf(victimJob.spec.team) - victimJob.spec.vcpus
             taskPreemption.preempt(victim, StopReason.PreemptedForQuota(job.spec.team))
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Tasks that may be preempted for [job], the latest started first. */
+    /** Returns the tasks that may be preempted for [job], the latest started first. */
     private fun victimsFor(job: Job): List<Placement> = borrowingJobs.filter { mayPreempt(it, job) }
         .flatMap { it.placements }
         .filter { it.isPreemptible && it.machine.reservedFor == null && cycle.machines.isEligible(it.machine, job) }
@@ -61,7 +61,10 @@
     private fun excessVcpusOf(team: String): Double =
         excessVcpus.getOrPut(team) { cluster.quota.excessVcpus(team) - taskPreemption.stoppingVcpus(team) }
 
-    /** Up to [max] tasks that end by themselves soon enough: a job within its quota is the first to get their capacity. */
+    /**
+     * Claims for [job] up to [max] tasks that are expected to complete soon enough, and returns how many it claimed. A job within its
+     * quota is the first to get the capacity that they free.
+     */
     private fun claimEndingSoon(job: Job, max: Int): Int {
         val windowMicros = timing.quotaWindowMicros(cluster.wallMicros() - job.readyWallMicros)
         if (windowMicros <= 0 || max <= 0) return 0
--- a/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaUsage.kt
@@ -3,7 +3,7 @@
 import linemast.domain.JobSpec
 import linemast.settings.Team
 
-/** What the tasks of each team may be using now, against the team's quota and its quota limit. */
+/** Tracks the resources that the tasks of each team may be using, and compares them with the team's quota and quota limit. */
 class QuotaUsage(teams: List<Team>) {
     private class Usage(val team: Team) {
         var vcpus = 0.0
@@ -12,13 +12,13 @@
 
     private val usageByTeam = teams.associate { it.name to Usage(it) }
 
-    /** The settings of team [name]; null if there is no such team. */
+    /** Returns the settings of team [name]; null if there is no such team. */
     fun team(name: String): Team? = usageByTeam[name]?.team
 
     /** Counts one more task of [spec]. */
     fun add(spec: JobSpec) = count(spec, 1)
 
-    /** Counts one task of [spec] less. */
+    /** Counts one fewer task of [spec]. */
     fun remove(spec: JobSpec) = count(spec, -1)
 
     private fun count(spec: JobSpec, sign: Int) {
@@ -27,7 +27,7 @@
         usage.gpus += sign * spec.gpus
     }
 
-    /** How many more tasks of [spec] its team's quota limit allows besides [reserved]. */
+    /** Returns how many more tasks of [spec] its team's quota limit allows after deducting [reserved]. */
     internal fun headroom(spec: JobSpec, reserved: Resources): Int {
         val usage = usageByTeam[spec.team] ?: return 0
         val byVcpus = tasksWithin(usage.team.maxVcpus - usage.vcpus - reserved.vcpus, spec.vcpus)
@@ -35,7 +35,7 @@
         return minOf(byVcpus, byGpus).coerceAtLeast(0)
     }
 
-    /** How many vcpus team [name] uses beyond its quota; negative while it uses less. */
+    /** Returns how many vcpus team [name] uses beyond its quota; negative while it uses less than its quota. */
     fun excessVcpus(name: String): Double = usageByTeam[name]?.let { it.vcpus - it.team.guaranteedVcpus } ?: 0.0
 
     private fun tasksWithin(free: Double, perTask: Double): Int =
--- a/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -4,28 +4,31 @@
 import linemast.domain.MachineType
 
 /**
- * Tells which machine types are scarce: some job classes fit no smaller type, so tasks that fit elsewhere should leave
+ * Determines which machine types are scarce: some job classes fit no smaller type, so tasks that fit on other types should leave
  * these machines to them.
  *
- * Learned from the jobs seen lately.
+ * The demand of job classes is derived from recent jobs.
  */
 internal class ScarceTypes {
-    /** A job class, by one of its jobs, that fits only on the types [typeNames], while there are smaller ones. */
+    /** A job class, represented by the [spec] of one of its jobs, that fits only on the types [typeNames] although smaller types exist. */
     private class Demand(val spec: JobSpec, val typeNames: Set<String>, var lastSeenMicros: Long)
 
-    /** What stands against placing a task on machines of one type. */
+    /** The reasons against placing a task on machines of one type. */
     data class Scarcity(
-        /** Whether other job classes need such machines more; spot machines are needed only by those that may use them. */
+        /** Whether other job classes need such machines more; spot machines only by job classes that may run on spot machines. */
         val isScarce: Boolean,
-        /** Whether the task could not be preempted for those that need the machine: it must not be placed there. */
+        /**
+         * Whether the task must not be placed on such machines, because it could not be preempted for a job class that needs the
+         * machine.
+         */
         val isExcluded: Boolean,
-        /** The types that serve those that need such machines. */
+        /** The types that fit a job class that needs such machines. */
         val neededTypes: Set<String>,
     )
 
     private val demands = HashMap<String, Demand>()
 
-    /** Learns from the present jobs' [specs], and forgets job classes that have not been seen for long. */
+    /** Updates the demand from the [specs] of the present jobs, and removes job classes without a recent job. */
     fun learn(specs: List<JobSpec>, types: Collection<MachineType>, nowMicros: Long) {
         demands.values.removeIf { nowMicros - it.lastSeenMicros > RETENTION_MICROS }
         for (spec in specs) {
@@ -45,7 +48,7 @@
         return Demand(spec, fitting.mapTo(HashSet()) { it.name }, nowMicros)
     }
 
-    /** How scarce machines of [type], spot or not, are for tasks of [spec]. */
+    /** Returns how scarce machines of [type] are for tasks of [spec]: spot machines if [spot], on-demand machines otherwise. */
     fun scarcityOf(type: MachineType, spot: Boolean, spec: JobSpec): Scarcity {
         val others = demandsOfOthers(type, spot, spec)
         return Scarcity(
@@ -55,7 +58,10 @@
         )
     }
 
-    /** Whether no task of [spec] is ever placed on machines of [type], although it would fit. */
+    /**
+     * Whether tasks of [spec] are never placed on machines of [type] although they would fit: spot machines if [spot], on-demand
+     * machines otherwise.
+     */
     fun isTypeExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean =
         demandsOfOthers(type, spot, spec).any { it.spec.priority >= spec.priority }
 
@@ -65,7 +71,7 @@
     }
 
     private companion object {
-        /** A job class that was not seen for this long is forgotten. */
+        /** The demand of a job class is removed when it had no job for this long. */
         const val RETENTION_MICROS = 900_000_000L
     }
 }
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -10,8 +10,8 @@
 /**
  * Assigns pending tasks to machines.
  *
- * Each cycle drops all assignments whose start has not left and makes them anew, by rank: within quota first, then by
- * priority, then by deadline, then by age. A start leaves with the response to the machine's next heartbeat.
+ * Each cycle removes all assignments whose start has not been sent and assigns the tasks again by rank: jobs within their quota
+ * first, then by priority, then by deadline, then by age. A start is sent in the response to the machine's next heartbeat.
  */
 internal class Scheduler(private val cluster: Cluster, settings: Settings, roundRobin: FlowRoundRobin? = null) {
     private val scarceTypes = ScarceTypes()
@@ -39,7 +39,7 @@
     /** See [JobReadiness.isStartable]. */
     fun isStartable(job: Job, nowMicros: Long): Boolean = jobReadiness.isStartable(job, nowMicros)
 
-    /** Assigns what can be assigned now, and preempts tasks where that is needed and allowed. */
+    /** Assigns all pending tasks that can be assigned now, and preempts tasks where that is needed and allowed. */
     fun runCycle(nowMicros: Long) {
         cluster.removeAssignments()
         cluster.dirty = false
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Arrays beyond their quota get at most their bookings on static machines. Those within their quota have no such limit, or
-     * other bookings would take the capacity that tasks were preempted for.
+     * Places the [ready] jobs by rank. Arrays beyond their quota run at most their planned number of tasks on baseline machines.
+     * Arrays within their quota have no such limit; otherwise jobs with planned tasks would take the capacity for which tasks were
+     * preempted.
      */
     private fun placeByRank(ready: List<Job>, cycle: SchedulingCycle) {
         for (job in ready) {
@@ -83,7 +84,10 @@
         }
     }
 
-    /** Arrays take free capacity beyond their bookings: first on machines without the image of another job, then on any. */
+    /**
+     * Places arrays on the remaining free capacity, beyond their planned tasks on baseline machines: first on machines that are not
+     * left to a job whose image they have, then on any machine.
+     */
     private fun placeRemainingArrays(ready: List<Job>, cycle: SchedulingCycle) {
         val arrayJobs = ready.filter { !it.spec.isGang }
         for (job in arrayJobs) if (job.pendingCount > 0) arrays.place(job, cycle)
--- a/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -15,22 +15,22 @@
 ) {
     private val imageAffinity = ImageAffinity(jobs, headroom::allowsTaskOf)
 
-    /** Whether arrays leave machines to other jobs whose image is there. */
+    /** Whether arrays leave machines to other jobs whose image these machines have. */
     var respectsImageAffinity = true
 
-    /** Assigns task [index] of [job] to [machine]; the start leaves with the response to the machine's next heartbeat. */
+    /** Assigns task [index] of [job] to [machine]; the start is sent in the response to the machine's next heartbeat. */
     fun assign(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
         val placement = cluster.assign(machine, job, index, attempt)
         machines.recordAssigned(placement)
         return placement
     }
 
-    /** Drops an assignment whose start has not left. */
+    /** Removes an assignment whose start has not been sent. */
     fun unassign(placement: Placement) {
         cluster.remove(placement)
         machines.recordUnassigned(placement)
     }
 
-    /** Whether [machine] is left to another job, whose image is there, for now. */
+    /** Whether [machine] is currently reserved from [job] for another job whose image the machine has. */
     fun isLeftToAnother(job: Job, machine: Machine): Boolean = respectsImageAffinity && imageAffinity.prefersAnother(job, machine)
 }
--- a/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -5,26 +5,27 @@
 import linemast.domain.PendingReason
 
 /**
- * Places jobs first that have waited for long without a start: no priority or quota limit may starve one.
+ * Places starving jobs before all others, so that no job is kept from starting for ever by priorities or quota limits. A job
+ * starves if it has waited for long and none of its tasks was started.
  *
- * Arrays start with a few tasks, gangs have machines reserved for them. Among each other starving jobs keep their rank, so
- * that those that have missed their objectives do not make the next ones miss theirs as well.
+ * Of a starving array a few tasks are placed first; for a starving gang machines are reserved. Starving jobs keep their rank among
+ * each other, so that those that have missed their objectives do not make the next ones miss theirs as well.
  */
 internal class StarvationGuard(
     private val cluster: Cluster,
-    /** Round robin among the flows of starving arrays; null places all of them. */
+    /** Round robin among the flows of starving arrays; null places all starving arrays. */
     private val roundRobin: FlowRoundRobin?,
     private val arrays: ArrayPlacement,
     private val gangs: GangPlacement,
     private val reservation: GangReservation,
 ) {
-    /** Marks which of the [ready] jobs are starving, and places these. */
+    /** Determines which of the [ready] jobs are starving, and places them. */
     fun placeStarving(ready: List<Job>, cycle: SchedulingCycle) {
         val wallMicros = cluster.wallMicros()
         for (job in ready) job.isStarving = isStarving(job, wallMicros)
         val selected = selectArrays(ready.filter { it.isStarving })
         var mayReserve = true
-        // The gang that holds the reservation stays the first until it is placed.
+        // The gang that holds the reservation stays first until it is placed.
         for (job in selected.sortedBy { it !== reservation.gang }) {
             if (!job.spec.isGang) {
                 placeFirstTasks(job, cycle)
@@ -43,18 +44,20 @@
     }
 
     /**
-     * When more gangs arrive than there is capacity for, placing the longest waiting first would make all of them late. So those
-     * that have missed their objective already let the others go first, and have precedence again after a much longer time.
+     * Whether a gang that has been ready for [ageMicros] is starving. When more gangs arrive than there is capacity for, placing the
+     * longest-waiting gang first would make all of them late. Gangs that have already missed their objective therefore lose
+     * precedence, and get it back after a much longer time.
      */
     private fun isGangStarving(job: Job, ageMicros: Long): Boolean {
-        // A gang of one task needs no reservation, and with precedence it would only take another one's place.
+        // A gang of one task needs no reservation; precedence would only let it displace another gang.
         if (job.spec.taskCount == 1) return false
         return ageMicros in GANG_STARVING_MICROS..GANG_LATE_MICROS || ageMicros > LATE_GANG_STARVING_MICROS
     }
 
     /**
-     * Selects arrays by round robin among their flows, so that a flood of one flow does not keep out all others. They share the
-     * positions of all arrays in [starving]; gangs keep theirs. Arrays that are not selected do not count as starving.
+     * Selects arrays by round robin among their flows, so that one flow with many jobs does not block all others. In the returned
+     * list the selected arrays take the first positions that arrays have in [starving], and gangs keep their positions. Arrays that
+     * are not selected do not count as starving.
      */
     private fun selectArrays(starving: List<Job>): List<Job> {
         if (roundRobin == null) return starving
@@ -76,11 +79,11 @@
     private fun needsReservation(gang: Job): Boolean = gang.placements.isEmpty() && gang.pendingReason != PendingReason.QuotaLimit
 
     private companion object {
-        /** How many tasks of a starving array are placed first. */
+        /** How many tasks of a starving array are placed before those of other jobs. */
         const val FIRST_TASKS = 2
         const val ARRAY_STARVING_MICROS = 60_000_000L
 
-        /** Later than for arrays: machines reserved for a gang stand idle until the last of them is free. */
+        /** Longer than for arrays, because machines that are reserved for a gang are idle until the last of them is free. */
         const val GANG_STARVING_MICROS = 150_000_000L
         const val GANG_LATE_MICROS = 240_000_000L
         const val LATE_GANG_STARVING_MICROS = 600_000_000L
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -11,7 +11,7 @@
 
 /** Chooses the commands of the response to a worker's heartbeat. */
 internal class TaskCommands(private val cluster: Cluster) {
-    /** Stops of cancelled tasks alone. A cancellation is final, so that a previous leader too may act on it. */
+    /** Returns only the stops of cancelled tasks. A cancellation is final, so even a leader whose term is over may act on it. */
     fun stopsOfCancelled(machine: Machine): List<Command> =
         machine.placements.values.filter { it.job?.cancelled == true && !it.isAssigned }.map(::stopAtOnce)
 
@@ -20,7 +20,7 @@
         return Command.Stop(placement.task, placement.attempt, 0)
     }
 
-    /** The commands for the response to a heartbeat of [machine]; starts only if [startsAllowed]. */
+    /** Returns the commands for the response to a heartbeat of [machine], with starts only if [startsAllowed]. */
     fun commandsFor(machine: Machine, startsAllowed: Boolean, nowMicros: Long): List<Command> {
         val commands = ArrayList<Command>()
         for (task in machine.ended.values) {
@@ -35,7 +35,7 @@
         return commands
     }
 
-    /** The start of an assigned task; null if it may not leave, which drops the assignment. */
+    /** Returns the start of an assigned task; if it may not be sent, removes the assignment and returns null. */
     private fun start(placement: Placement, startsAllowed: Boolean, nowMicros: Long): Command? {
         if (!startsAllowed || !mayStart(placement, nowMicros) || !isWithinStartRate(placement, nowMicros)) {
             cluster.remove(placement)
@@ -49,7 +49,7 @@
         return Command.Start(placement.task, placement.attempt)
     }
 
-    /** The stop of a task that may be on the machine; null if it is to go on. */
+    /** Returns the stop of a task that may be on the machine; null if the task is to go on. */
     private fun stop(placement: Placement, nowMicros: Long): Command? {
         if (!shouldStop(placement, nowMicros)) return null
         if (!placement.isStopSent) cluster.recovery?.count(ReconciliationStatistics.Command.STOP)
@@ -57,7 +57,7 @@
         return Command.Stop(placement.task, placement.attempt, placement.stopGracePeriodMicros)
     }
 
-    /** The worker may forget a result only once the store has it. */
+    /** Whether the end of [task] may be acknowledged: the worker deletes the result then, so the store must have it already. */
     private fun mayAcknowledge(machine: Machine, task: TaskStatus, nowMicros: Long): Boolean {
         val job = cluster.jobs[task.task.job] ?: return mayDiscard(task.task.job, nowMicros)
         if (job.cancelled || job.finished) return true
@@ -73,10 +73,16 @@
         return !placement.machine.draining && placement.machine.isRegistered && cluster.isStartable(job, nowMicros)
     }
 
-    /** Without a record of its job a task, or its result, is not to be ended before the store has been asked. */
+    /**
+     * Whether a task of the unknown [job] may be stopped and its result discarded. With reconciliation after outages, not before the
+     * record of the job was looked up in the store.
+     */
     private fun mayDiscard(job: String, nowMicros: Long): Boolean = cluster.recovery?.mayDiscard(job, nowMicros) ?: true
 
-    /** The starts of a gang leave together: one that comes late would hold the machines of all others. */
+    /**
+     * Whether the rate limit of commands allows the start of [placement]. Starts of gangs are exempt, so that all of a gang are sent
+     * together: a delayed one would keep the machines of all others occupied.
+     */
     private fun isWithinStartRate(placement: Placement, nowMicros: Long): Boolean =
         placement.job?.spec?.isGang == true || isWithinCommandRate(nowMicros)
 
@@ -92,7 +98,7 @@
         return placement.stopReason != null
     }
 
-    /** Whether nothing that the task could still do is of use. */
+    /** Whether the result of the task is not needed any more. */
     private fun isObsolete(placement: Placement, job: Job): Boolean = job.cancelled ||
         job.finished ||
         job.done.get(placement.task.index) ||
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -9,11 +9,14 @@
 import linemast.recovery.ReconciliationStatistics
 import org.slf4j.LoggerFactory
 
-/** Takes the ends of tasks: counts completed ones, delays jobs that keep failing, and quarantines faulty machines. */
+/** Records the ends of tasks: counts completed ones, delays jobs whose tasks keep failing, and quarantines faulty machines. */
 internal class TaskEndings(private val cluster: Cluster) {
     private val log = LoggerFactory.getLogger(TaskEndings::class.java)
 
-    /** [task] has ended on [machine]; [placement] is null if its end was taken before, or if the leader did not know of it. */
+    /**
+     * Records that [task] has ended on [machine]. [placement] is null if the end was recorded before, or if the leader did not know
+     * the task.
+     */
     fun recordEnd(machine: Machine, task: TaskStatus, placement: Placement?, nowMicros: Long) {
         if (placement != null) cluster.remove(placement)
         val job = cluster.jobs[task.task.job]
@@ -31,7 +34,7 @@
         job.failureBackOff.recordSuccess()
         if (placement != null) measureRunTime(job, placement, nowMicros)
         if (job.finished || job.cancelled) return
-        // A gang completes together: the end of one of its tasks is the end of all.
+        // A gang completes as a whole: the completion of one of its tasks is the completion of all.
         val indices = if (job.spec.isGang) 0 until job.spec.taskCount else task.task.index..task.task.index
         for (index in indices) {
             if (!job.markDone(index)) continue
@@ -49,7 +52,7 @@
     }
 
     private fun recordFailure(machine: Machine, job: Job, nowMicros: Long) {
-        // The same failure is reported until its end is acknowledged; it counts once.
+        // A failure is reported in each heartbeat until the end of the task is acknowledged, but counts only once.
         if (!job.failedOn.add(machine.name) && !machine.failedJobs.add(job.id)) return
         machine.failedJobs += job.id
         job.failureBackOff.recordFailure(nowMicros)
@@ -58,7 +61,7 @@
         cluster.dirty = true
     }
 
-    /** A machine where several jobs fail and none completes is faulty. */
+    /** Quarantines [machine]: a machine on which tasks of several jobs fail and none completes is considered faulty. */
     private fun quarantine(machine: Machine) {
         log.info("{}: {} jobs failed here with none completed, quarantined", machine.name, machine.failedJobs.size)
         machine.draining = true
--- a/src/main/kotlin/linemast/scheduling/TaskPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskPreemption.kt
@@ -4,11 +4,11 @@
 import linemast.domain.StopReason
 import org.slf4j.LoggerFactory
 
-/** Stops tasks for other work; each gets the time that it needs to save a checkpoint. */
+/** Stops tasks to free capacity for other jobs; each task gets the time that it needs to write a checkpoint. */
 internal class TaskPreemption(private val cluster: Cluster, private val gracePeriodMicros: Long) {
     private val log = LoggerFactory.getLogger(TaskPreemption::class.java)
 
-    /** Has the task of [placement] stopped. */
+    /** Stops the task of [placement] because of [reason]. */
     fun preempt(placement: Placement, reason: StopReason) {
         cluster.stop(placement, reason, gracePeriodMicrosOf(placement))
         log.debug("{} on {}: {}", placement.task, placement.machine.name, reason.description)
@@ -19,7 +19,7 @@
         return if (spec == null || spec.neverCheckpoints) 0 else spec.checkpointMicros + gracePeriodMicros
     }
 
-    /** Vcpus of the tasks of [team] that are being stopped. */
+    /** Returns the vcpus of the tasks of [team] that are being stopped. */
     fun stoppingVcpus(team: String): Double =
         cluster.stopping.sumOf { placement -> placement.job?.spec?.takeIf { it.team == team }?.vcpus ?: 0.0 }
 }
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -14,7 +14,7 @@
 internal class TaskReconciliation(private val cluster: Cluster, private val timing: WorkerTiming, private val taskEndings: TaskEndings) {
     private val log = LoggerFactory.getLogger(TaskReconciliation::class.java)
 
-    /** Takes all tasks of an accepted heartbeat: found ones are adopted, missing ones are lost. */
+    /** Applies the task list of an accepted heartbeat: adopts unknown tasks, and removes placements of lost tasks. */
     fun reconcile(machine: Machine, heartbeat: Heartbeat, nowMicros: Long) {
         val reported = HashSet<TaskAttempt>()
         machine.ended.clear()
@@ -32,7 +32,7 @@
         if (machine.placements.isNotEmpty() || machine.idleSinceMicros == 0L) machine.idleSinceMicros = nowMicros
     }
 
-    /** A placement for a task that this leader has not started. */
+    /** Adds a placement for a task that this leader has not started. */
     private fun adopt(machine: Machine, task: TaskStatus, nowMicros: Long): Placement {
         val job = cluster.jobs[task.task.job]?.takeIf { task.task.index < it.spec.taskCount }
         val placement = Placement(machine, task.task, task.attempt, job)
@@ -63,7 +63,10 @@
         if (placement.phase != Placement.Phase.FETCHING) placement.job?.let { placement.machine.images += it.spec.image }
     }
 
-    /** Where a delayed copy looks like a heartbeat, a start is not taken for lost before heartbeats had time to show it. */
+    /**
+     * Whether the task of [placement] is lost, since the heartbeat does not list it. If delayed duplicates cannot be told from
+     * heartbeats of this worker, a task counts as lost only after its start had time to appear in a heartbeat.
+     */
     private fun isLost(placement: Placement, reported: Set<TaskAttempt>, nowMicros: Long): Boolean {
         if (placement.key in reported || placement.isAssigned) return false
         return !placement.machine.heartbeats.isAmbiguous || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
--- a/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
+++ b/src/main/kotlin/linemast/scheduling/WorkerTiming.kt
@@ -5,23 +5,23 @@
 
 /** Durations that follow from workers' heartbeat interval and lease, with margins for clock drift. */
 internal class WorkerTiming(workers: WorkerSettings) {
-    /** Leases that some leader could have renewed have expired after this long, on any clock. */
+    /** Upper bound of a lease on any clock: a lease that was not renewed for this long by any leader has expired. */
     val maxLeaseMicros = workers.leaseMicros.let { it + 2 * LeaderLease.driftMicros(it) + LEASE_MARGIN_MICROS }
 
-    /** A lease that a worker has just been given lasts at least this long, on any clock. */
+    /** Lower bound of a lease on any clock: a lease that was just renewed lasts at least this long. */
     val minLeaseMicros = workers.leaseMicros.let { it - 2 * LeaderLease.driftMicros(it) }
 
     /**
-     * A worker that got no response sends its next heartbeat after its timeout and a pause; one that sends it sooner than
-     * this got the response before.
+     * Longest interval between two heartbeats of which the second one acknowledges the response to the first. A worker that got no
+     * response sends its next heartbeat later than this, after its timeout and a pause.
      */
     val acknowledgedIntervalMicros =
         maxOf(MIN_ACKNOWLEDGED_INTERVAL_MICROS, workers.heartbeatIntervalMicros * 5 / 4 + HEARTBEAT_SLACK_MICROS)
 
-    /** A worker without a heartbeat for this long does not get through. */
+    /** A worker that has sent no heartbeat for this long is overdue: its heartbeats do not reach this leader. */
     val missingHeartbeatMicros = workers.heartbeatIntervalMicros * 3 / 2 + 2 * HEARTBEAT_SLACK_MICROS
 
-    /** Workers can have found a new leader within this time. */
+    /** Time within which workers find a new leader. */
     val failoverMicros = workers.heartbeatIntervalMicros * 5 / 4 + FAILOVER_MARGIN_MICROS
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/ZoneConstraint.kt
+++ b/src/main/kotlin/linemast/scheduling/ZoneConstraint.kt
@@ -2,7 +2,7 @@
 
 import linemast.domain.Job
 
-/** Tells in which zones one more task of a job may be placed: in one zone alone, or spread over several, if it asks for that. */
+/** Determines in which zones one more task of [job] may be placed, if the job requires a single zone or a spread over zones. */
 internal class ZoneConstraint(private val job: Job) {
     private val tasksByZone = HashMap<String, Int>()
 
--- a/src/test/kotlin/linemast/scheduling/CancellationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CancellationTest.kt
@@ -5,11 +5,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Cancelled and finished jobs are stopped wherever their tasks are. */
+/** Guards against tasks of cancelled or finished jobs that go on running because no stop is sent, or because a worker ignores stops. */
 class CancellationTest {
-    /** A worker that renews its lease with each response and does not stop what it was told to stop. */
+    /** The worker ignores stops, and would keep its lease if the leader went on responding. */
     @Test
-    fun `a cancelled task that does not end makes its machine lose the lease in time`() {
+    fun `a worker that does not stop a cancelled task gets no more responses, so that its lease expires in time`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         fixture.submit("req-1", 2)
@@ -25,7 +25,7 @@
             val commands = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros)
             if (commands != null) {
                 lastResponseMicros = fixture.nowMicros
-                assertTrue(commands.any { it is Command.Stop && it.task == running.first }, "the stop is repeated")
+                assertTrue(commands.any { it is Command.Stop && it.task == running.first }, "each response repeats the stop")
             }
         }
         val workers = fixture.workers
@@ -34,7 +34,7 @@
     }
 
     @Test
-    fun `without the leadership only cancelled tasks are stopped`() {
+    fun `a leader whose term may be over sends only stops of cancelled tasks, and no starts while cancellations may be unknown`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         fixture.submit("req-1", 2)
@@ -47,14 +47,14 @@
         assertEquals(setOf("req-1/0", "req-1/1"), commands.map { (it as Command.Stop).task.toString() }.toSet())
         fixture.advance(1_000_000)
         val next = fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros, CommandPermission.NO_STARTS).orEmpty()
-        assertTrue(next.none { it is Command.Start }, "cancellations may be unknown")
+        assertTrue(next.none { it is Command.Start }, "no start is sent while a cancellation may be unknown to the leader")
         fixture.advance(1_000_000)
         assertEquals(2, fixture.heartbeat(worker.nextHeartbeat()).count { it is Command.Start })
     }
 
-    /** Its end was committed without a response, and the watch of the store showed it first. */
+    /** The write of the job's end was committed without a response, and the leader learns of it from the watch of the store. */
     @Test
-    fun `a job whose record is gone is stopped where it still runs, and then forgotten`() {
+    fun `a job whose record was deleted is stopped on the machines that still run it, and then removed`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         fixture.submit("req-1", 1)
--- a/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** By kind and free capacity, a job finds the same machines as by an exhaustive search of the fleet. */
+/** Guards against an index by kind and free capacity that finds other machines for a job than an exhaustive search of the fleet. */
 class CandidateMachinesTest {
     private val types = listOf(
         MachineType("small", 4.0, 0.0, 16.0, 10.0, 1.0, 0.4, 0.1, 30_000_000, listOf("a", "b")),
@@ -41,7 +41,7 @@
                     "${job.spec.jobClass} ${job.spec.vcpus}",
                 )
                 compared += expected.size
-                // What is placed shows in the next search, by the free capacity and by the machines left idle.
+                // The next search must reflect the placed task, in the free capacity and in the number of idle machines.
                 val machine = expected.randomOrNull(random) ?: continue
                 val placement = Placement(machine, TaskId(job.id, job.nextPending(0)), 1, job)
                 machine.put(placement)
@@ -52,7 +52,7 @@
                 }
             }
         }
-        assertTrue(compared > 10_000, "only $compared machines were compared")
+        assertTrue(compared > 10_000, "only $compared candidates were compared, too few for the test to be meaningful")
     }
 
     private fun nextHeartbeatOrder(machine: Machine) = machine.name.hashCode() and 3
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -17,7 +17,7 @@
 import linemast.testSettings
 import linemast.testSpec
 
-/** A leader's cluster state with workers played by hand; the store takes everything at once. */
+/** A leader's cluster state for tests: time advances by calls, workers are [FakeWorker]s, and all writes to the store succeed at once. */
 internal class ClusterFixture(
     val fencingToken: Long = 5,
     teams: String = TEAM,
@@ -69,7 +69,7 @@
 
     fun heartbeat(heartbeat: Heartbeat): List<Command> = cluster.heartbeat(heartbeat, nowMicros).orEmpty()
 
-    /** Time passes, with the leader's regular work. */
+    /** Advances the time by [micros], with the leader's periodic work every 250 ms. */
     fun advance(micros: Long) {
         val end = nowMicros + micros
         while (nowMicros < end) {
@@ -95,7 +95,7 @@
     }
 }
 
-/** A worker that does what it is told, if the answer reaches it. */
+/** A worker that executes the commands of each response that it receives. */
 internal class FakeWorker(private val fixture: ClusterFixture, val name: String) {
     var incarnation = 1L
     var sequenceNumber = 0L
@@ -136,7 +136,7 @@
         return commands
     }
 
-    /** Reports once a second for [seconds]. */
+    /** Sends a heartbeat once a second for [seconds], and returns the commands of all responses. */
     fun heartbeatFor(seconds: Int, responseReceived: Boolean = true): List<Command> = (1..seconds).flatMap {
         fixture.advance(1_000_000)
         heartbeat(responseReceived)
--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -11,12 +11,15 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** Which heartbeats count, when copies come late or a worker restarts. */
+/**
+ * Guards against a leader that accepts a delayed duplicate of a heartbeat and thereby removes tasks that are still running, and
+ * against one that keeps rejecting the heartbeats of a restarted worker.
+ */
 class HeartbeatOrderTest {
-    /** Copies of a worker's heartbeats come again, up to several leases late. */
+    /** Duplicates of a worker's heartbeats arrive with delays of up to several leases. */
     @ParameterizedTest
     @ValueSource(ints = [11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30])
-    fun `late copies of heartbeats change nothing`(seed: Int) {
+    fun `delayed duplicates of heartbeats change nothing`(seed: Int) {
         val random = Random(seed)
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
@@ -49,7 +52,7 @@
     } to fixture.cluster.jobs.values.map { it.doneCount to it.pendingCount }
 
     @Test
-    fun `a late copy does not bring a terminated machine back`() {
+    fun `a delayed heartbeat does not add a terminated machine again`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(3)
@@ -60,7 +63,7 @@
     }
 
     @Test
-    fun `a restarted worker is accepted once its lease has expired, a single late copy is not`() {
+    fun `a restarted worker is accepted once its lease has expired, a single delayed heartbeat is not`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         fixture.submit("req-1", 4)
@@ -71,7 +74,7 @@
         worker.sequenceNumber = 0
         worker.tasks.clear()
         worker.heartbeatFor(2)
-        assertEquals(4, machine.placements.size, "within the lease the earlier worker may still run them")
+        assertEquals(4, machine.placements.size, "until the lease expires, the earlier worker may still run the tasks")
         fixture.advance(12_000_000)
         fixture.heartbeat(delayed)
         worker.heartbeatFor(5)
@@ -79,11 +82,12 @@
     }
 
     /**
-     * A machine was back at once: its worker counts from the start, and takes up work again. A copy of a heartbeat from
-     * before, which counts further, must not make the leader believe that this work is gone.
+     * A machine restarts at once: its worker starts again with the first incarnation and sequence number, and gets new tasks. A
+     * delayed heartbeat from before the restart has a higher incarnation or sequence number, and must not make the leader remove
+     * these tasks.
      */
     @Test
-    fun `a late copy from before a restart does not end tasks started since`() {
+    fun `a delayed heartbeat from before a restart does not remove tasks that were started after it`() {
         for (previousIncarnation in listOf(1L, 3L)) {
             val fixture = ClusterFixture()
             val worker = FakeWorker(fixture, "host-000001").apply { incarnation = previousIncarnation }
@@ -104,9 +108,9 @@
         }
     }
 
-    /** A worker that looks like an older one may hold tasks: a response would renew a lease that the leader's records do not count. */
+    /** A worker with lower sequence numbers may hold tasks. A response would renew its lease without the leader recording that. */
     @Test
-    fun `a heartbeat that does not count gets no response`() {
+    fun `a heartbeat that is not accepted gets no response`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(6)
@@ -114,9 +118,9 @@
         assertNull(fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros))
     }
 
-    /** After a restart a copy from before may count just as the next report would, and list nothing. */
+    /** A delayed heartbeat from before a restart may have the sequence number of the next heartbeat, and list no tasks. */
     @Test
-    fun `a late copy with the next sequence number ends neither reported tasks nor a start on its way`() {
+    fun `a delayed heartbeat with the next sequence number removes neither reported tasks nor starts in flight`() {
         for (areTasksReported in listOf(true, false)) {
             val fixture = ClusterFixture()
             val worker = FakeWorker(fixture, "host-000001")
--- a/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
+++ b/src/test/kotlin/linemast/scheduling/ImageAffinityTest.kt
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** A machine is left to a job whose image is there, as long as that job is of about the same rank. */
+/**
+ * Guards against a job that takes a machine with the image of another job of about the same rank, so that both have to fetch their
+ * images, and against machines that are left to a job of another rank or to one that cannot use them.
+ */
 class ImageAffinityTest {
     private val type = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, listOf("z"))
     private val machine = Machine("host-000001", type, "z", false).also { it.images += "held" }
@@ -32,14 +35,14 @@
         ImageAffinity(listOf(rank(jobWithoutImage, 100), other)) { hasQuotaHeadroom }.prefersAnother(jobWithoutImage, machine)
 
     @Test
-    fun `a machine is left to a job whose image is there and whose deadline is about as soon`() {
+    fun `a machine is left to a job whose image it has and whose deadline is at most 60 seconds later`() {
         assertTrue(isLeftTo(rank(job("req-2", "held"), 160)))
         assertFalse(isLeftTo(rank(job("req-2", "held"), 161)))
         assertFalse(isLeftTo(rank(job("req-2", "third"), 90)))
     }
 
     @Test
-    fun `a machine is not left to a job of another priority, with more misses, or without pending tasks or headroom`() {
+    fun `a machine is not left to a job of another priority, with more missed objectives, or without pending tasks or quota headroom`() {
         assertFalse(isLeftTo(rank(job("req-2", "held", priority = "idle"), 100)))
         assertFalse(isLeftTo(rank(job("req-2", "held"), 100, missed = 1)))
         assertFalse(isLeftTo(rank(job("req-2", "held"), 100), hasQuotaHeadroom = false))
@@ -49,7 +52,7 @@
     }
 
     @Test
-    fun `a job within its quota or a starving job takes any machine`() {
+    fun `a job that is within its quota or starving may use any machine`() {
         val jobWithImage = rank(job("req-2", "held"), 100)
         jobWithoutImage.withinQuota = true
         assertFalse(isLeftTo(jobWithImage))
@@ -59,7 +62,7 @@
     }
 
     @Test
-    fun `a machine whose image no job needs goes to any job in the same cycle`() {
+    fun `a machine whose image no job needs gets tasks of any job in the same cycle`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(3)
--- a/src/test/kotlin/linemast/scheduling/StarvationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/StarvationTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Jobs that have waited for long get their first tasks, whatever else is pending. */
+/** Guards against jobs that never start because other jobs, which are larger or ranked before them, get all free capacity. */
 class StarvationTest {
     @Test
     fun `a job behind a large one of its team starts within 160 seconds`() {
@@ -19,12 +19,12 @@
             worker.heartbeatFor(20)
             worker.tasks.keys.filter { worker.tasks[it] == TaskState.RUNNING }.forEach { worker.tasks[it] = TaskState.ENDED }
         }
-        assertTrue(second.doneCount > 0 || second.placements.isNotEmpty(), "not started after 160 s")
+        assertTrue(second.doneCount > 0 || second.placements.isNotEmpty(), "a starving array starts: no task after 160 s")
     }
 
-    /** Two gangs that need both machines whole, while small work keeps coming: each gets them in turn. */
+    /** Two gangs each need all of both machines, while small tasks fill any free capacity: each gang has to get the machines in turn. */
     @Test
-    fun `machines are reserved for one gang at a time`() {
+    fun `machines are reserved for one gang at a time, so that both gangs complete`() {
         val fixture = ClusterFixture()
         val workers = List(2) { FakeWorker(fixture, "host-00000$it") }
         workers.forEach { it.heartbeatFor(2) }
@@ -36,7 +36,7 @@
             seconds++
             workers.forEach { worker ->
                 worker.heartbeat()
-                // Staggered ends: never both machines free by chance.
+                // Tasks end at different times, so that both machines are never free at once by chance.
                 val ends = worker.tasks.keys.filterIndexed { at, key ->
                     worker.tasks[key] == TaskState.RUNNING && (at + seconds) % 9 == 0
                 }
@@ -44,15 +44,15 @@
                     .forEach { worker.tasks[it] = TaskState.ENDED }
             }
         }
-        assertTrue(gangs.all { it.doneCount == 2 }, "gangs done after $seconds s: ${gangs.map { it.doneCount }}")
+        assertTrue(gangs.all { it.doneCount == 2 }, "both gangs complete; after $seconds s: ${gangs.map { it.doneCount }} tasks")
     }
 
     private fun allRunTasksOf(workers: List<FakeWorker>, job: String) =
         workers.all { worker -> worker.tasks.keys.any { it.first.job == job } }
 
-    /** With more gangs than capacity, the longest waiting first once made every one of them late. */
+    /** With more gangs than capacity, placing the longest-waiting gang first made every gang late. */
     @Test
-    fun `a gang that can start in time goes before a late one, and the late one goes first before it starves`() {
+    fun `a gang that can start in time goes before a late one, until the late one has waited for over 600 seconds`() {
         val fixture = ClusterFixture()
         val workers = List(2) { FakeWorker(fixture, "host-00000$it") }
         fun heartbeat(seconds: Int) = repeat(seconds) {
@@ -71,12 +71,12 @@
         assertEquals(setOf("req-1"), running())
         end()
         heartbeat(5)
-        assertEquals(setOf("req-3"), running(), "300 s and 160 s old")
+        assertEquals(setOf("req-3"), running(), "a gang that waited 160 s, still in time, goes before a late one that waited 300 s")
         heartbeat(300)
         fixture.submit("req-4", 2, gang = true, vcpus = 8.0)
         heartbeat(20)
         end()
         heartbeat(5)
-        assertEquals(setOf("req-2"), running(), "over 600 s old")
+        assertEquals(setOf("req-2"), running(), "a late gang that waited over 600 s goes first")
     }
 }
