--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -24,7 +24,7 @@
     private val planning = JobPlanning(cluster, planner)
     private val missingMachines = MissingMachines(cluster, fleet)
     private val demand = DemandMonitor()
-    private val constraints = ScaleOutConstraints(::maxSlots, cluster::isTypeExcluded)
+    private val constraints = ScaleOutConstraints(::maxSlots, cluster::isExcluded)
     private val fullPlanTimer = IntervalTimer(policy.longIntervalMicros)
     private val newJobsTimer = IntervalTimer(NEW_JOBS_MICROS)
     private val scalingTimer = IntervalTimer(policy.shortIntervalMicros)
@@ -65,7 +65,7 @@
 
     private fun scale(jobs: List<Job>, nowMicros: Long): ScalingActions {
         val demands = planner.scaleOutDemands(jobs, { it.baseline }, nowMicros)
-        val scaleOuts = fleet.planScaleOut(demands, cluster.types.values, cluster.machines, constraints, nowMicros)
+        val scaleOuts = fleet.planScaleOut(demands, cluster.machineTypes.values, cluster.machines, constraints, nowMicros)
         val scalingOut = demands.filter { it.slots >= 1.0 }.map { it.job }
         val scaleIns = fleet.planScaleIn(cluster.machines, neededBy(scalingOut, jobs), demand.hasCeased(), nowMicros)
         logScaleIns(scaleIns)
@@ -93,7 +93,7 @@
     }
 
     private fun hasPendingTasksFor(shape: MachineShape, jobs: List<Job>): Boolean =
-        jobs.any { it.pendingCount > 0 && shape.allows(it.spec) && !cluster.isTypeExcluded(shape.type, shape.spot, it) }
+        jobs.any { it.pendingCount > 0 && shape.allows(it.spec) && !cluster.isExcluded(shape.type, shape.spot, it) }
 
     /** No machines are requested for a job beyond what its team's quota lets it use at once. */
     private fun maxSlots(job: Job): Double {
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -38,7 +38,7 @@
                 jobs,
                 stages = waitingStages,
                 baselineMachines = baseline,
-                isClosed = cluster::isTypeExcluded,
+                isClosed = cluster::isExcluded,
                 ScaleOutEstimates(estimates::startupMicros, estimates::pricePerVcpu),
                 replanAll = isFull,
                 wallMicros,
@@ -49,7 +49,7 @@
         jobs.forEach { plannedIds += it.id }
         planner.retainPlans(plannedIds + waitingIds)
         cluster.plannedBaselineTasks = { job -> baselineSlots(job, nowMicros) }
-        cluster.dirty = true
+        cluster.needsScheduling = true
         if (isFull) logPlans(jobs)
     }
 
--- a/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
+++ b/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
@@ -19,7 +19,7 @@
     private fun pricePerVcpu(type: MachineType, job: Job): Double =
         (if (job.spec.spot) minOf(type.price, type.spotPrice) else type.price) / type.vcpus
 
-    private fun typesFor(job: Job): List<MachineType> = cluster.types.values.filter { it.canHost(job.spec) }
+    private fun typesFor(job: Job): List<MachineType> = cluster.machineTypes.values.filter { it.canHost(job.spec) }
 
     private companion object {
         const val SCALE_OUT_LEAD_PERCENT = 150
--- a/src/main/kotlin/linemast/control/BlockedJobStore.kt
+++ b/src/main/kotlin/linemast/control/BlockedJobStore.kt
@@ -28,7 +28,7 @@
     /** Moves the record of [job] to the open jobs; it can be scheduled from then on. */
     fun release(job: BlockedJob) {
         term.scope.launch {
-            val record = job.record.released(term.wallMicros()).withKnownMachineTypes(cluster.types.values)
+            val record = job.record.released(term.wallMicros()).withKnownMachineTypes(cluster.machineTypes.values)
             val key = JobKeys.waiting(job.id)
             val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Delete(key))
             val preconditions = listOf(Precondition(key, job.revision))
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -61,9 +61,9 @@
         if (result == ScaleOutResult.Unknown) return fleet.scaleOutAbandoned(request)
         val granted = (result as? ScaleOutResult.Granted)?.names
         if (granted == null) {
-            fleet.scaleOutRefused(request, cluster.types, now)
+            fleet.scaleOutRefused(request, cluster.machineTypes, now)
         } else {
-            fleet.scaleOutGranted(request, granted, cluster.types, now)
+            fleet.scaleOutGranted(request, granted, cluster.machineTypes, now)
         }
         if ((granted?.size ?: 0) < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
     }
--- a/src/main/kotlin/linemast/control/JobActivationStore.kt
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -27,7 +27,7 @@
             when (storeResultOrNull(log) { commitActivation(job) } ?: TermCommitResult.NoResult) {
                 is TermCommitResult.Applied -> return term.loop.run {
                     job.activation = Job.Activation.ACTIVE
-                    cluster.dirty = true
+                    cluster.needsScheduling = true
                 }
                 TermCommitResult.LeadershipLost -> return term.lease.end()
                 is TermCommitResult.Conflict, TermCommitResult.NoResult -> Unit
@@ -42,7 +42,7 @@
         val entry = term.store.get(JobKeys.open(job.id), RequestPriority.HIGH) ?: return TermCommitResult.NoResult
         val record = JobRecordCodec.decode(entry.value)
         if (record.cancelled) return TermCommitResult.NoResult
-        val activated = record.with(activated = true).withKnownMachineTypes(cluster.types.values)
+        val activated = record.with(activated = true).withKnownMachineTypes(cluster.machineTypes.values)
         return term.commit(
             listOf(Precondition(entry.key, entry.revision)),
             listOf(Write.Put(entry.key, JobRecordCodec.encode(activated))),
--- a/src/main/kotlin/linemast/control/MachineListWatcher.kt
+++ b/src/main/kotlin/linemast/control/MachineListWatcher.kt
@@ -49,7 +49,7 @@
 
     private fun apply(machines: List<ListedMachine>) {
         val now = term.clock.nowMicros()
-        fleet.updateFromList(machines, cluster.types, now)
+        fleet.updateFromList(machines, cluster.machineTypes, now)
         val absent = cluster.removeUnlisted(fleet.machines.keys, now)
         if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
     }
--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -20,7 +20,7 @@
     private var isAdding = false
 
     /** The machines that the store holds; those of unknown types are left out. */
-    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.PREFIX).entries, cluster.types)
+    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.PREFIX).entries, cluster.machineTypes)
 
     /** Stores [machines] and calls [onStored] in the leader's event loop; does nothing while an earlier call is under way. */
     fun add(machines: List<Machine>, onStored: () -> Unit) {
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -29,7 +29,7 @@
     /** Reads until it succeeds; the result says from where on changes have to be watched. */
     suspend fun load(): JobRevisions = RETRY.untilResult(log, "reading the store") {
         types()?.let { known ->
-            cluster.types = known.associateBy { it.name }
+            cluster.machineTypes = known.associateBy { it.name }
             read()
         }
     }
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -29,11 +29,11 @@
 
     override fun persistProgress(job: Job) = jobs.storeProgress(job)
 
-    override fun deleteCancelled(job: Job) = jobs.deleteCancelled(job)
+    override fun deleteCancelledJob(job: Job) = jobs.deleteCancelled(job)
 
     override fun registerMachines(machines: List<Machine>) = machineRegistry.add(machines) {
         machines.forEach { it.isRegistered = true }
-        cluster.dirty = true
+        cluster.needsScheduling = true
     }
 
     override fun unregisterMachines(names: List<String>) = machineRegistry.remove(names)
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -57,7 +57,7 @@
     val machines: MutableMap<String, Machine> get() = knownMachines.machines
 
     /** Machine types by name. */
-    var types: Map<String, MachineType> = emptyMap()
+    var machineTypes: Map<String, MachineType> = emptyMap()
 
     /** Placements whose start has not been sent. */
     private val unsentAssignments = LinkedHashSet<Placement>()
@@ -77,7 +77,7 @@
     var waitingStages: List<WaitingStage> = emptyList()
 
     /** Whether the state has changed since the last scheduling cycle in a way that may let the scheduler place more tasks. */
-    var dirty = true
+    var needsScheduling = true
 
     private val timing = WorkerTiming(settings.workers)
     private val scheduler = Scheduler(this, settings, policies.roundRobin)
@@ -125,7 +125,7 @@
             job.revision = maxOf(job.revision, revision)
             if (record.cancelled) cancel(job)
         }
-        dirty = true
+        needsScheduling = true
     }
 
     private fun add(record: JobRecord, revision: Long, inherited: Boolean) {
@@ -140,7 +140,7 @@
         job.finished = true
         removeAssignmentsOf(job)
         if (job.placements.isEmpty()) jobs.remove(id)
-        dirty = true
+        needsScheduling = true
     }
 
     /** Marks [job] as finished and removes it, after the store has recorded that all its tasks are completed. */
@@ -148,7 +148,7 @@
         job.finished = true
         jobs.remove(job.id)
         if (job.spec.isGang) failover.recordFinishedGang(job)
-        dirty = true
+        needsScheduling = true
     }
 
     /** Cancels [job] irrevocably: its user has received the confirmation of the cancellation. */
@@ -159,7 +159,7 @@
         job.cancelledSinceMicros = cancellationFreshness.freshAsOfMicros ?: clocks.monotonic.nowMicros()
         log.info("{}: cancelled by its user, {} tasks to stop", job.id, job.placements.count { !it.isAssigned })
         removeAssignmentsOf(job)
-        dirty = true
+        needsScheduling = true
     }
 
     private fun removeAssignmentsOf(job: Job) = job.placements.filter { it.isAssigned }.forEach(::remove)
@@ -207,7 +207,7 @@
             it.remove(placement)
             quota.remove(it.spec)
         }
-        dirty = true
+        needsScheduling = true
     }
 
     /** Does the periodic work: expires leases and reservations, persists progress of jobs, and runs a scheduling cycle if one is due. */
@@ -215,7 +215,7 @@
         leaseExpiry.expireLeases(nowMicros)
         expireReservations(nowMicros)
         // Tasks assigned to a machine whose heartbeat is overdue have to be assigned to another one.
-        if (!dirty) dirty = unsentAssignments.any { !scheduler.hasRecentHeartbeat(it.machine, nowMicros) }
+        if (!needsScheduling) needsScheduling = unsentAssignments.any { !scheduler.hasRecentHeartbeat(it.machine, nowMicros) }
         failover.reconcile(nowMicros)
         leaseExpiry.registerReportingMachines(nowMicros)
         for (job in jobs.values.toList()) jobFollowUp.followUp(job, nowMicros)
@@ -230,13 +230,13 @@
             if (nowMicros < reservation.untilMicros && jobs[job.id] === job && !job.cancelled && job.pendingCount > 0) continue
             machine.reservation = null
             // No other event would trigger a scheduling cycle that considers the machine again.
-            dirty = true
+            needsScheduling = true
         }
     }
 
-    /** Runs a scheduling cycle if the state is dirty and the pause after the last cycle is over. */
+    /** Runs a scheduling cycle if [needsScheduling] is set and the pause after the last cycle is over. */
     internal fun runCycleIfDue(nowMicros: Long) {
-        if (dirty && cycleTimer.isDue(nowMicros)) cycleTimer.run(nowMicros) { scheduler.runCycle(nowMicros) }
+        if (needsScheduling && cycleTimer.isDue(nowMicros)) cycleTimer.run(nowMicros) { scheduler.runCycle(nowMicros) }
     }
 
     /** Requests the write that tasks of [job] may have been started, which must be complete before the first start is sent. */
@@ -254,7 +254,7 @@
      * Whether machines of this kind are excluded for [job] although its tasks would fit on them. For this job they count neither
      * as free capacity nor as machines to scale out.
      */
-    fun isTypeExcluded(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isTypeExcluded(type, spot, job.spec)
+    fun isExcluded(type: MachineType, spot: Boolean, job: Job): Boolean = scheduler.isExcluded(type, spot, job.spec)
 
     internal fun isStartable(job: Job, nowMicros: Long): Boolean = scheduler.isStartable(job, nowMicros)
 
--- a/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
+++ b/src/main/kotlin/linemast/scheduling/ClusterEffects.kt
@@ -22,5 +22,5 @@
     fun unregisterMachines(names: List<String>)
 
     /** Deletes the open record of [job], which is cancelled and has no task left on any machine. */
-    fun deleteCancelled(job: Job)
+    fun deleteCancelledJob(job: Job)
 }
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -89,7 +89,7 @@
         } else if (haveMachinesChanged) {
             val shapes = unconfirmedMachines.mapTo(HashSet()) { it.shape }
             for (job in cluster.jobs.values) if (job.unconfirmed) job.unconfirmed = shapes.any { it.allows(job.spec) }
-            cluster.dirty = true
+            cluster.needsScheduling = true
         }
         haveMachinesChanged = false
     }
@@ -101,7 +101,7 @@
     private fun complete(nowMicros: Long) {
         isReconciled = true
         finishedUnconfirmedGangs.clear()
-        cluster.dirty = true
+        cluster.needsScheduling = true
         val tookMillis = (nowMicros - loadedMicros) / MICROS_PER_MILLI
         log.info("reconciled {} ms after loading: {} machines, {} jobs", tookMillis, cluster.machines.size, cluster.jobs.size)
     }
--- a/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
@@ -23,7 +23,7 @@
         val couldReceiveStarts = mayReceiveStarts(machine, machine.fencingToken)
         val isNewIncarnation = order == HeartbeatOrder.RESTARTED || heartbeat.incarnation > heartbeats.incarnation
         heartbeats.record(heartbeat, nowMicros, timing.acknowledgedIntervalMicros, timing.minLeaseMicros)
-        if (!couldReceiveStarts && mayReceiveStarts(machine, heartbeat.fencingToken)) cluster.dirty = true
+        if (!couldReceiveStarts && mayReceiveStarts(machine, heartbeat.fencingToken)) cluster.needsScheduling = true
         if (isNewIncarnation) endIncarnation(machine)
         machine.leaseEndMicros = cluster.failover.latestResponseMicros(heartbeat.fencingToken, nowMicros) + timing.maxLeaseMicros
         return machine
@@ -35,7 +35,7 @@
     /** Returns the machine of [heartbeat], which is added if it is new; null if the machine type is unknown. */
     private fun machineOf(heartbeat: Heartbeat): Machine? {
         cluster.machines[heartbeat.machineName]?.let { return it }
-        val type = cluster.types[heartbeat.machineType] ?: return null
+        val type = cluster.machineTypes[heartbeat.machineType] ?: return null
         val machine = Machine(heartbeat.machineName, type, heartbeat.zone, heartbeat.spot)
         cluster.knownMachines.add(machine)
         return machine
@@ -59,6 +59,6 @@
         machine.placements.values.toList().forEach { if (!it.isAssigned) cluster.remove(it) }
         machine.ended.clear()
         machine.images.clear()
-        cluster.dirty = true
+        cluster.needsScheduling = true
     }
 }
--- a/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
+++ b/src/main/kotlin/linemast/scheduling/JobFollowUp.kt
@@ -10,7 +10,7 @@
         if (job.finished) {
             if (job.placements.isEmpty()) cluster.jobs.remove(job.id)
         } else if (job.cancelled) {
-            if (cluster.failover.isReconciledFor(job) && job.placements.isEmpty() && !progress.isWriting) effects.deleteCancelled(job)
+            if (cluster.failover.isReconciledFor(job) && job.placements.isEmpty() && !progress.isWriting) effects.deleteCancelledJob(job)
         } else if (!progress.isWriting && !progress.dirtyParts.isEmpty) {
             // Progress is written at intervals, since each write takes store capacity that submissions and ends of jobs need.
             if (!job.isDone && nowMicros < progress.writtenMicros + PROGRESS_INTERVAL_MICROS) return
--- a/src/main/kotlin/linemast/scheduling/JobReadiness.kt
+++ b/src/main/kotlin/linemast/scheduling/JobReadiness.kt
@@ -19,7 +19,7 @@
     fun prepare(job: Job, nowMicros: Long): Boolean {
         if (job.activation == Job.Activation.INACTIVE) cluster.activate(job)
         // No other event would trigger a scheduling cycle once the back-off is over.
-        if (nowMicros < job.failureBackOff.untilMicros) cluster.dirty = true
+        if (nowMicros < job.failureBackOff.untilMicros) cluster.needsScheduling = true
         if (isStartable(job, nowMicros)) return true
         pendingReasons.record(job, reasonNotReady(job, nowMicros))
         return false
--- a/src/main/kotlin/linemast/scheduling/KnownMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/KnownMachines.kt
@@ -24,7 +24,7 @@
         machine.baseline = machine.name in baseline
         machine.draining = machine.name in scalingIn
         machines[machine.name] = machine
-        cluster.dirty = true
+        cluster.needsScheduling = true
     }
 
     /** Whether the cloud has confirmed the termination of the machine. */
@@ -51,7 +51,7 @@
             machine.placements.values.toList().forEach(cluster::remove)
         }
         while (terminated.size > MAX_TERMINATED) terminated.remove(terminated.first())
-        cluster.dirty = true
+        cluster.needsScheduling = true
     }
 
     /** Removes machines that the cloud does not list and whose leases expired long ago; returns the names of the registered ones. */
--- a/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
+++ b/src/main/kotlin/linemast/scheduling/ScarceTypes.kt
@@ -62,7 +62,7 @@
      * Whether tasks of [spec] are never placed on machines of [type] although they would fit: spot machines if [spot], on-demand
      * machines otherwise.
      */
-    fun isTypeExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean =
+    fun isExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean =
         demandsOfOthers(type, spot, spec).any { it.spec.priority >= spec.priority }
 
     private fun demandsOfOthers(type: MachineType, spot: Boolean, spec: JobSpec): List<Demand> {
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -30,8 +30,8 @@
     private val gangs = GangPlacement(cluster, gangPreemption, pendingReasons)
     private val starvationGuard = StarvationGuard(cluster, roundRobin, arrays, gangs, reservation)
 
-    /** See [ScarceTypes.isTypeExcluded]. */
-    fun isTypeExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean = scarceTypes.isTypeExcluded(type, spot, spec)
+    /** See [ScarceTypes.isExcluded]. */
+    fun isExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean = scarceTypes.isExcluded(type, spot, spec)
 
     /** See [MachineReadiness.hasRecentHeartbeat]. */
     fun hasRecentHeartbeat(machine: Machine, nowMicros: Long): Boolean = machineReadiness.hasRecentHeartbeat(machine, nowMicros)
@@ -42,7 +42,7 @@
     /** Assigns all pending tasks that can be assigned now, and preempts tasks where that is needed and allowed. */
     fun runCycle(nowMicros: Long) {
         cluster.removeAssignments()
-        cluster.dirty = false
+        cluster.needsScheduling = false
         val ranked = rankJobs(nowMicros)
         val jobs = ranked.map { it.job }
         val ready = jobs.filter { it.pendingCount > 0 && jobReadiness.prepare(it, nowMicros) }
@@ -56,7 +56,7 @@
 
     private fun rankJobs(nowMicros: Long): List<RankedJob> {
         val ranked = JobRanking.sorted(cluster.jobs.values, cluster.quota, cluster.planner, cluster.wallMicros())
-        scarceTypes.learn(ranked.map { it.job.spec }, cluster.types.values, nowMicros)
+        scarceTypes.learn(ranked.map { it.job.spec }, cluster.machineTypes.values, nowMicros)
         for ((job, withinQuota) in ranked) {
             job.withinQuota = withinQuota
             if (job.spec.isGang) expectedGangs.observe(job.spec)
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -41,7 +41,7 @@
             job.storedProgress.dirtyParts.set(CompletedTaskParts.partOf(index))
             cluster.recovery?.count(ReconciliationStatistics.Difference.RESULT)
         }
-        cluster.dirty = true
+        cluster.needsScheduling = true
     }
 
     private fun measureRunTime(job: Job, placement: Placement, nowMicros: Long) {
@@ -58,7 +58,7 @@
         job.failureBackOff.recordFailure(nowMicros)
         log.debug("{}: failed on {}, {} times in all", job.id, machine.name, job.failureBackOff.failures)
         if (machine.failedJobs.size >= FAILED_JOBS_BEFORE_QUARANTINE && !machine.draining) quarantine(machine)
-        cluster.dirty = true
+        cluster.needsScheduling = true
     }
 
     /** Quarantines [machine]: a machine on which tasks of several jobs fail and none completes is considered faulty. */
--- a/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
+++ b/src/test/kotlin/linemast/scheduling/ClusterFixture.kt
@@ -45,7 +45,7 @@
             unregisteredMachines += names
         }
 
-        override fun deleteCancelled(job: Job) = Unit
+        override fun deleteCancelledJob(job: Job) = Unit
     }
     val cluster: Cluster =
         Cluster(
@@ -58,7 +58,7 @@
         )
 
     init {
-        cluster.types = mapOf(TYPE.name to TYPE)
+        cluster.machineTypes = mapOf(TYPE.name to TYPE)
         cluster.load(openJobs.map { StoredJobRecord(it, revision = 1) }, registered.map { Machine(it, TYPE, "z", false) }, nowMicros)
     }
 
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -56,7 +56,7 @@
         override fun persistActivation(job: Job) {
             at(20_000) {
                 job.activation = Job.Activation.ACTIVE
-                cluster.dirty = true
+                cluster.needsScheduling = true
             }
         }
 
@@ -73,7 +73,7 @@
 
         override fun unregisterMachines(names: List<String>) = Unit
 
-        override fun deleteCancelled(job: Job) = Unit
+        override fun deleteCancelledJob(job: Job) = Unit
     }
 
     /** All that a leader holds in memory; a take-over begins with another one. */
@@ -96,7 +96,7 @@
     fun takeOver() {
         val before = leader
         leader = LeaderState(before.fencingToken + 1)
-        cluster.types = before.cluster.types
+        cluster.machineTypes = before.cluster.machineTypes
         val open = before.cluster.jobs.values.filter { !it.finished }
         cluster.load(
             open.map {
@@ -112,7 +112,7 @@
     }
 
     init {
-        cluster.types = types.associateBy { it.name }
+        cluster.machineTypes = types.associateBy { it.name }
         cluster.load(emptyList(), emptyList(), now)
         baselineMachines.forEach { (type, zone) -> addWorker(type, zone, false) }
         list()
@@ -161,11 +161,11 @@
                 if (names.isEmpty()) {
                     fleet.scaleOutRefused(
                         request,
-                        cluster.types,
+                        cluster.machineTypes,
                         now,
                     )
                 } else {
-                    fleet.scaleOutGranted(request, names, cluster.types, now)
+                    fleet.scaleOutGranted(request, names, cluster.machineTypes, now)
                 }
                 if (names.size < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
             }
@@ -188,7 +188,7 @@
     private fun list() {
         val list = workers.values.map { ListedMachine(it.name, "", it.type.name, it.zone, it.spot, "running", now - it.bornMicros) }
         measured("list") {
-            fleet.updateFromList(list, cluster.types, now)
+            fleet.updateFromList(list, cluster.machineTypes, now)
             cluster.removeUnlisted(fleet.machines.keys, now)
         }
         at(3_000_000, ::list)
