--- a/src/main/kotlin/linemast/scheduling/GangPlacement.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPlacement.kt
@@ -54,8 +54,8 @@
         cycle.machines.candidates(gang).filter { (zone == null || it.zone == zone) && !gang.gangAttempt.isAcknowledgedOn(it) }
 
     /**
-     * Begins a new attempt if [gang] has no placements and the number of its last attempt was sent in a start. Returns false if the
-     * present attempt cannot be completed any more.
+     * Begins a new attempt if [gang] has no placements and either no attempt yet or one of which a start was sent. Returns false if
+     * the present attempt cannot be completed any more.
      */
     private fun prepareAttempt(gang: Job): Boolean {
         if (gang.placements.isNotEmpty()) return !gang.gangAttempt.hasRun && gang.placements.all { it.attempt == gang.gangAttempt.number }
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -72,7 +72,10 @@
         }
     }
 
-    /** Whether [placement] counts as capacity for [gang]; unlike [isPreemptible], true also for assigned tasks and tasks being stopped. */
+    /**
+     * Whether [placement] is less urgent than [gang], so that the gang may get its capacity. Unlike [isPreemptible], true also for
+     * tasks that are only assigned or already being stopped, since their capacity counts as well.
+     */
     private fun isLessUrgent(placement: Placement, gang: Job): Boolean {
         val job = placement.job ?: return false
         return job.priority > gang.priority && !job.spec.isGang && !placement.exemptFromPreemption
--- a/src/main/kotlin/linemast/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/linemast/scheduling/LeaseExpiry.kt
@@ -7,7 +7,7 @@
  * Removes the tasks of workers whose leases have expired, and registers and unregisters machines in the store by their leases.
  *
  * A machine is registered before its first start is sent and stays registered until its lease has expired, so that the next
- * leader can read from the store which machines may run tasks.
+ * leader can determine from the store alone which machines may run tasks.
  */
 internal class LeaseExpiry(private val cluster: Cluster, private val effects: ClusterEffects) {
     private val log = LoggerFactory.getLogger(LeaseExpiry::class.java)
