--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -11,19 +11,22 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
-/** Which heartbeats count, when copies come late or a worker restarts. */
+/**
+ * Guards against a leader that accepts a delayed duplicate of a heartbeat and thereby removes tasks that are still running, and
+ * against one that keeps rejecting the heartbeats of a restarted worker.
+ */
 class HeartbeatOrderTest {
-    /** Copies of a worker's heartbeats come again, up to several leases late. */
+    /** Duplicates of a worker's heartbeats arrive with delays of up to several leases. */
     @ParameterizedTest
     @ValueSource(ints = [11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30])
-    fun `late copies of heartbeats change nothing`(seed: Int) {
+    fun `delayed duplicates of heartbeats change nothing`(seed: Int) {
         val random = Random(seed)
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         fixture.submit("req-1", 40)
         val sent = ArrayList<Heartbeat>()
         repeat(40) {
-            fixture.pass(1_000_000)
+            fixture.advance(1_000_000)
             if (random.nextInt(3) == 0) worker.tasks.keys.randomOrNull(random)?.let { worker.tasks[it] = TaskState.ENDED }
             worker.heartbeat()
             sent += worker.nextHeartbeat().also { worker.sequenceNumber-- }
@@ -49,7 +52,7 @@
     } to fixture.cluster.jobs.values.map { it.completedCount to it.pendingCount }
 
     @Test
-    fun `a late copy does not bring a terminated machine back`() {
+    fun `a delayed heartbeat does not add a terminated machine again`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(3)
@@ -60,33 +63,34 @@
     }
 
     @Test
-    fun `a restarted worker is accepted once its lease has expired, a single late copy is not`() {
+    fun `a restarted worker is accepted once its lease has expired, a single delayed heartbeat is not`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         fixture.submit("req-1", 4)
         worker.heartbeatFor(6)
         assertEquals(4, worker.tasks.size)
         val machine = fixture.cluster.machines.getValue(worker.name)
-        val old = worker.nextHeartbeat().also(fixture::heartbeat)
+        val delayed = worker.nextHeartbeat().also(fixture::heartbeat)
         worker.sequenceNumber = 0
         worker.tasks.clear()
         worker.heartbeatFor(2)
-        assertEquals(4, machine.placements.size, "within the lease the earlier worker may still run them")
-        fixture.pass(12_000_000)
-        fixture.heartbeat(old)
+        assertEquals(4, machine.placements.size, "until the lease expires, the earlier worker may still run the tasks")
+        fixture.advance(12_000_000)
+        fixture.heartbeat(delayed)
         worker.heartbeatFor(5)
         assertEquals(4, worker.tasks.size)
     }
 
     /**
-     * A machine was back at once: its worker counts from the start, and takes up work again. A copy of a heartbeat from
-     * before, which counts further, must not make the leader believe that this work is gone.
+     * A machine restarts at once: its worker starts again with the first incarnation and sequence number, and gets new tasks. A
+     * delayed heartbeat from before the restart has a higher incarnation or sequence number, and must not make the leader remove
+     * these tasks.
      */
     @Test
-    fun `a late copy from before a restart does not end tasks started since`() {
-        for (incarnations in listOf(1L, 3L)) {
+    fun `a delayed heartbeat from before a restart does not remove tasks that were started after it`() {
+        for (previousIncarnation in listOf(1L, 3L)) {
             val fixture = ClusterFixture()
-            val worker = FakeWorker(fixture, "host-000001").apply { incarnation = incarnations }
+            val worker = FakeWorker(fixture, "host-000001").apply { incarnation = previousIncarnation }
             worker.heartbeatFor(60)
             val copy = worker.nextHeartbeat()
             worker.incarnation = 1
@@ -97,27 +101,27 @@
             worker.heartbeatFor(5)
             assertEquals(8, worker.tasks.size)
             val machine = fixture.cluster.machines.getValue(worker.name)
-            assertNull(fixture.cluster.heartbeat(copy, fixture.now))
+            assertNull(fixture.cluster.heartbeat(copy, fixture.nowMicros))
             assertEquals(8, machine.placements.size)
             worker.heartbeatFor(2)
             assertEquals(8, machine.placements.size)
         }
     }
 
-    /** A worker that looks like an older one may hold tasks: a response would renew a lease that the leader's records do not count. */
+    /** A worker with lower sequence numbers may hold tasks. A response would renew its lease without the leader recording that. */
     @Test
-    fun `a heartbeat that does not count gets no response`() {
+    fun `a heartbeat that is not accepted gets no response`() {
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(6)
         worker.sequenceNumber = 0
-        assertNull(fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.now))
+        assertNull(fixture.cluster.heartbeat(worker.nextHeartbeat(), fixture.nowMicros))
     }
 
-    /** After a restart a copy from before may count just as the next report would, and list nothing. */
+    /** A delayed heartbeat from before a restart may have the sequence number of the next heartbeat, and list no tasks. */
     @Test
-    fun `a late copy with the next sequence number ends neither reported tasks nor a start on its way`() {
-        for (seen in listOf(true, false)) {
+    fun `a delayed heartbeat with the next sequence number removes neither reported tasks nor starts in flight`() {
+        for (areTasksReported in listOf(true, false)) {
             val fixture = ClusterFixture()
             val worker = FakeWorker(fixture, "host-000001")
             worker.heartbeatFor(60)
@@ -126,9 +130,9 @@
             worker.fencingToken = 0
             worker.heartbeatFor(30)
             val job = fixture.submit("req-1", 8)
-            worker.heartbeatFor(if (seen) 5 else 2)
+            worker.heartbeatFor(if (areTasksReported) 5 else 2)
             assertEquals(8, worker.tasks.size)
-            fixture.pass(1_000_000)
+            fixture.advance(1_000_000)
             val before = job.placements.map { it.key }.toSet()
             val copy =
                 Heartbeat(
@@ -143,7 +147,7 @@
                     null,
                     emptyList(),
                 )
-            fixture.cluster.heartbeat(copy, fixture.now)
+            fixture.cluster.heartbeat(copy, fixture.nowMicros)
             assertEquals(before, job.placements.map { it.key }.toSet())
             worker.sequenceNumber++
             worker.heartbeatFor(3)
