--- a/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
@@ -103,8 +103,8 @@
         val ends = world.jobs.values.groupingBy { it.acknowledgedStatus }.eachCount()
         println(
             "$previousCount of $CONTROLLERS controllers of the previous build: " +
-                "accepted by previous/new ${accepted[true]}/${accepted[false]}, failovers $failovers, jobs by end $ends, ${world.starts} starts, ${world.cloud.orders.size} cloud actions, " +
-                "violations ${world.violations}",
+                "accepted by previous/new ${accepted[true]}/${accepted[false]}, failovers $failovers, jobs by end $ends, " +
+                "${world.starts} starts, ${world.cloud.orders.size} cloud actions, violations ${world.violations}",
         )
     }
 
