--- a/src/main/kotlin/linemast/control/MachineListWatcher.kt
+++ b/src/main/kotlin/linemast/control/MachineListWatcher.kt
@@ -28,7 +28,7 @@
         while (true) {
             try {
                 if (fleet.baselineMachines == null) findBaselineFleet()
-                val machines = cloud.machines()
+                val machines = cloud.listMachines()
                 term.loop.run { apply(machines) }
             } catch (e: CloudException) {
                 log.debug("machine list: {}", e.message)
@@ -49,7 +49,7 @@
 
     private fun apply(machines: List<ListedMachine>) {
         val now = term.clock.nowMicros()
-        fleet.updateFromList(machines, cluster.types, now)
+        fleet.updateFromList(machines, cluster.machineTypes, now)
         val absent = cluster.removeUnlisted(fleet.machines.keys, now)
         if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
     }
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -55,7 +55,7 @@
             // The next leader resolves the intent if it was committed.
             return ScaleOutResult.Unknown
         }
-        if (result == ScaleOutResult.Unknown) throw CloudException.NoAnswer("no response to scale-out ${request.requestId}")
+        if (result == ScaleOutResult.Unknown) throw CloudException.NoResponse("no response to scale-out ${request.requestId}")
         return result
     }
 
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -11,7 +11,7 @@
 
 /** Chooses the commands of the response to a worker's heartbeat. */
 internal class TaskCommands(private val cluster: Cluster) {
-    /** Stops of cancelled tasks alone. A cancellation is final, so that a previous leader too may act on it. */
+    /** Returns only the stops of cancelled tasks. A cancellation is final, so even a leader whose term is over may act on it. */
     fun stopsOfCancelled(machine: Machine): List<Command> =
         machine.placements.values.filter { it.job?.cancelled == true && !it.isAssigned }.map(::stopAtOnce)
 
@@ -20,36 +20,36 @@
         return Command.Stop(placement.task, placement.attempt, 0)
     }
 
-    /** The commands for the response to a heartbeat of [machine]; starts only if [mayStart]. */
-    fun commandsFor(machine: Machine, mayStart: Boolean, nowMicros: Long): List<Command> {
+    /** Returns the commands for the response to a heartbeat of [machine], with starts only if [startsAllowed]. */
+    fun commandsFor(machine: Machine, startsAllowed: Boolean, nowMicros: Long): List<Command> {
         val commands = ArrayList<Command>()
-        for (task in machine.ended.values) {
+        for (task in machine.endedTasks.values) {
             if (mayAcknowledge(machine, task, nowMicros)) commands += Command.Acknowledge(task.task, task.attempt)
         }
         cluster.recovery?.count(ReconciliationStatistics.Command.ACKNOWLEDGE, commands.size)
         for (placement in machine.placements.values.toList()) {
             if (commands.size >= MAX_COMMANDS) break
-            val command = if (placement.isAssigned) start(placement, mayStart, nowMicros) else stop(placement, nowMicros)
+            val command = if (placement.isAssigned) start(placement, startsAllowed, nowMicros) else stop(placement, nowMicros)
             if (command != null) commands += command
         }
         return commands
     }
 
-    /** The start of an assigned task; null if it may not leave, which drops the assignment. */
-    private fun start(placement: Placement, mayStart: Boolean, nowMicros: Long): Command? {
-        if (!mayStart || !mayStart(placement, nowMicros) || !isWithinStartRate(placement, nowMicros)) {
+    /** Returns the start of an assigned task; if it may not be sent, removes the assignment and returns null. */
+    private fun start(placement: Placement, startsAllowed: Boolean, nowMicros: Long): Command? {
+        if (!startsAllowed || !mayStart(placement, nowMicros) || !isWithinStartRate(placement, nowMicros)) {
             cluster.remove(placement)
             return null
         }
         placement.phase = Placement.Phase.SENT
         placement.sentMicros = nowMicros
-        cluster.startSent(placement)
+        cluster.recordStartSent(placement)
         placement.job?.gangAttempt?.isStartSent = true
         cluster.recovery?.count(ReconciliationStatistics.Command.START)
         return Command.Start(placement.task, placement.attempt)
     }
 
-    /** The stop of a task that may be on the machine; null if it is to go on. */
+    /** Returns the stop of a task that may be on the machine; null if the task is to go on. */
     private fun stop(placement: Placement, nowMicros: Long): Command? {
         if (!shouldStop(placement, nowMicros)) return null
         if (!placement.isStopSent) cluster.recovery?.count(ReconciliationStatistics.Command.STOP)
@@ -57,12 +57,12 @@
         return Command.Stop(placement.task, placement.attempt, placement.stopGracePeriodMicros)
     }
 
-    /** The worker may forget a result only once the store has it. */
+    /** Whether the end of [task] may be acknowledged: the worker deletes the result then, so the store must have it already. */
     private fun mayAcknowledge(machine: Machine, task: TaskStatus, nowMicros: Long): Boolean {
         val job = cluster.jobs[task.task.job] ?: return mayDiscard(task.task.job, nowMicros)
         if (job.cancelled || job.finished) return true
         if (job.spec.isGang) job.gangAttempt.recordAcknowledgement(machine, task.attempt)
-        if (task.cause != EndCause.DONE) return true
+        if (task.cause != EndCause.COMPLETED) return true
         val part = CompletedTaskParts.partOf(task.task.index)
         return !job.storedProgress.dirtyParts.get(part) && !job.storedProgress.isWriting
     }
@@ -73,18 +73,24 @@
         return !placement.machine.draining && placement.machine.isRegistered && cluster.isStartable(job, nowMicros)
     }
 
-    /** Without a record of its job a task, or its result, is not to be ended before the store has been asked. */
+    /**
+     * Whether a task of the unknown [job] may be stopped and its result discarded. With reconciliation after outages, not before the
+     * record of the job was looked up in the store.
+     */
     private fun mayDiscard(job: String, nowMicros: Long): Boolean = cluster.recovery?.mayDiscard(job, nowMicros) ?: true
 
-    /** The starts of a gang leave together: one that comes late would hold the machines of all others. */
+    /**
+     * Whether the rate limit of commands allows the start of [placement]. Starts of gangs are exempt, so that all of a gang are sent
+     * together: a delayed one would keep the machines of all others occupied.
+     */
     private fun isWithinStartRate(placement: Placement, nowMicros: Long): Boolean =
-        placement.job?.spec?.isGang == true || mayCommand(nowMicros)
+        placement.job?.spec?.isGang == true || isWithinCommandRate(nowMicros)
 
-    private fun mayCommand(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
+    private fun isWithinCommandRate(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
 
     private fun shouldStop(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job
-        if (job == null && !(mayDiscard(placement.task.job, nowMicros) && mayCommand(nowMicros))) return false
+        if (job == null && !(mayDiscard(placement.task.job, nowMicros) && isWithinCommandRate(nowMicros))) return false
         if (job == null || isObsolete(placement, job)) {
             placement.stopGracePeriodMicros = 0
             return true
@@ -92,10 +98,10 @@
         return placement.stopReason != null
     }
 
-    /** Whether nothing that the task could still do is of use. */
+    /** Whether the result of the task is not needed any more. */
     private fun isObsolete(placement: Placement, job: Job): Boolean = job.cancelled ||
         job.finished ||
-        job.done.get(placement.task.index) ||
+        job.completedTasks.get(placement.task.index) ||
         (job.spec.isGang && placement.attempt < job.gangAttempt.number)
 
     private companion object {
