--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -14,10 +14,10 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Decides when to plan and which machines to add and remove.
+ * Decides when to plan, and which machines to scale out and in.
  *
- * All jobs are planned anew at each long interval, new and changed ones within a second; machines are added and removed after each plan
- * and at each short interval.
+ * All jobs are replanned at each long interval, new and changed ones within a second. Machines are scaled out and in after each
+ * plan and at each short interval.
  */
 class Autoscaler(private val cluster: Cluster, private val fleet: Fleet, private val planner: Planner, policy: Policy) {
     private val log = LoggerFactory.getLogger(Autoscaler::class.java)
@@ -29,16 +29,16 @@
     private val newJobsTimer = IntervalTimer(NEW_JOBS_MICROS)
     private val scalingTimer = IntervalTimer(policy.shortIntervalMicros)
 
-    /** Whether all jobs were planned anew since the owner of the stored plans has reset this. */
+    /** Whether all jobs have been replanned since the component that stores the plans last reset this flag. */
     var hasNewPlan = false
 
-    /** Plans if that is due; the actions to be taken now. */
+    /** Plans if a plan is due, and returns the scaling actions to take now. */
     fun step(wallMicros: Long, nowMicros: Long): ScalingActions {
         if (fleet.baselineMachines == null) return ScalingActions.NONE
         if (!cluster.isReconciled) return ScalingActions(emptyList(), missingMachines.scaleIns(nowMicros))
         demand.tick(nowMicros)
         val newJobCount = planning.newJobCount()
-        // New jobs are planned soon, but together: each plan goes through the whole fleet.
+        // New jobs are planned soon but together, because each plan goes through the whole fleet.
         val hasNewJobs = newJobsTimer.isDue(nowMicros) && (newJobCount > 0 || planning.hasNewOrChangedStages())
         val isFullPlanDue = fullPlanTimer.isDue(nowMicros)
         val isPlanDue = hasNewJobs || isFullPlanDue
@@ -60,7 +60,10 @@
         hasNewPlan = true
     }
 
-    /** A request was refused or granted in part: the next machine shape is requested without waiting out the interval. */
+    /**
+     * Makes scaling due at once, so that after a refused or partly granted request the next machine shape is requested before the
+     * short interval ends.
+     */
     fun scaleSoon() = scalingTimer.expire()
 
     private fun scale(jobs: List<Job>, nowMicros: Long): ScalingActions {
@@ -77,8 +80,9 @@
     }
 
     /**
-     * Tells whether pending tasks could still use a machine: a baseline machine is kept for any of [all], another one only
-     * for jobs in [scalingOut], for which machines are requested. Answers are shared by machines of the same shape.
+     * Returns a predicate that tells whether pending tasks could still use a machine. A baseline machine is kept for any job in
+     * [all], any other machine only for jobs in [scalingOut], for which machines are requested. Machines of the same shape share
+     * one result.
      */
     private fun neededBy(scalingOut: List<Job>, all: List<Job>): (Machine) -> Boolean {
         val needed = HashMap<MachineShape, Boolean>()
@@ -95,14 +99,14 @@
     private fun hasPendingTasksFor(shape: MachineShape, jobs: List<Job>): Boolean =
         jobs.any { it.pendingCount > 0 && shape.allows(it.spec) && !cluster.isClosedTo(shape.type, shape.spot, it) }
 
-    /** No machines are requested for a job beyond what its team's quota lets it use at once. */
+    /** Returns how many tasks of [job] its team's quota lets run at once; no machines are requested beyond that. */
     private fun maxSlots(job: Job): Double {
         val team = cluster.quota.team(job.spec.team) ?: return 0.0
         return if (job.spec.vcpus > 0) team.maxVcpus / job.spec.vcpus else job.spec.taskCount.toDouble()
     }
 
     private companion object {
-        /** Between two plans for new jobs, at least. */
+        /** Minimum time between two plans for new jobs. */
         const val NEW_JOBS_MICROS = SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/autoscaling/IntervalTimer.kt
+++ b/src/main/kotlin/linemast/autoscaling/IntervalTimer.kt
@@ -1,14 +1,17 @@
 package linemast.autoscaling
 
-/** Tells when an action that is repeated at [intervalMicros] is due; it is due at once until it was done for the first time. */
+/**
+ * Tells when an action that is repeated every [intervalMicros] is due. The action is due at once until it is performed for the
+ * first time.
+ */
 internal class IntervalTimer(private val intervalMicros: Long) {
-    /** When the action was done last; null if it never was, or is to be repeated early. */
+    /** When the action was last performed; null if it never was, or if it is to be repeated early. */
     private var lastMicros: Long? = null
 
-    /** Whether the interval is over. */
+    /** Whether the action is due: its interval is over, or it is to be performed at once. */
     fun isDue(nowMicros: Long): Boolean = lastMicros.let { it == null || nowMicros - it >= intervalMicros }
 
-    /** The action is done now. */
+    /** Records that the action is performed at [nowMicros], which begins the next interval. */
     fun restart(nowMicros: Long) {
         lastMicros = nowMicros
     }
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -16,20 +16,23 @@
     private var waitingStages: List<WaitingStage> = emptyList()
     private var waitingIds: Set<String> = emptySet()
 
-    /** Number of jobs that have arrived since the latest plan. */
+    /** Returns the number of jobs that have arrived since the latest plan. */
     fun newJobCount(): Int = cluster.jobs.values.count { it.id !in plannedIds && !it.cancelled && !it.finished }
 
-    /** Whether a waiting stage has no plan yet, or the plan of a job does not hold any more. */
+    /** Whether a waiting stage has no plan yet, or the plan of a job is outdated. */
     fun hasNewOrChangedStages(): Boolean =
         cluster.waitingStages.any { it.job.id !in waitingIds } || cluster.jobs.values.any(planner::isOutdated)
 
-    /** Jobs that wait for others and start so soon that machines have to be requested for them now. */
+    /** Returns the waiting jobs that start so soon that machines have to be requested for them now. */
     fun jobsStartingSoon(): List<Job> = waitingStages.filter { it.startsInMicros <= estimates.scaleOutLeadMicros(it.job) }.map { it.job }
 
-    /** Plans [jobs], which come in the order in which they get capacity: all anew if [isFull], otherwise only where needed. */
+    /**
+     * Plans [jobs], which are in the order in which they get capacity: all of them if [isFull], otherwise only those without a plan
+     * that is up to date.
+     */
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
         val baseline = cluster.machines.values.filter { it.baseline && !it.draining && nowMicros < it.leaseEndMicros }
-        // Waiting stages get what the other jobs leave, and are planned anew when they are released.
+        // Waiting stages get the capacity that the other jobs leave, and are planned again when they are released.
         planner.removePlans(waitingIds)
         waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
         waitingIds = waitingStages.mapTo(HashSet()) { it.job.id }
@@ -62,7 +65,7 @@
         for (job in jobs) {
             val plan = planner.planOf(job) ?: continue
             log.debug(
-                "plan of {}: baseline {}, scaled out {} ({} at once), backup {}, top-up {}",
+                "plan of job {}: baseline {} tasks, scaled out {} tasks ({} at once), backup {} slots, top-up {} tasks",
                 job.id,
                 plan.baseline.sum().toInt(),
                 plan.scaleOut.sum().toInt(),
--- a/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
+++ b/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
@@ -6,14 +6,17 @@
 
 /** Startup times and prices of the machine types that a job may run on. */
 internal class MachineTypeEstimates(private val cluster: Cluster) {
-    /** The usual startup of the fastest type for [job]; 0 if no type fits. */
+    /** Returns the usual startup time of the fastest type that fits [job]; 0 if no type fits. */
     fun startupMicros(job: Job): Long = typesFor(job).minOfOrNull(MachineType::startupMicros) ?: 0L
 
-    /** How long before the start of a stage machines are requested for it: some start up more slowly than usual. */
+    /**
+     * Returns how long before [job], a waiting stage, starts its machines are requested: [SCALE_OUT_LEAD_PERCENT] percent of the
+     * longest usual startup time, because some machines start up more slowly than usual.
+     */
     fun scaleOutLeadMicros(job: Job): Long =
         (typesFor(job).maxOfOrNull(MachineType::startupMicros) ?: 0L) * SCALE_OUT_LEAD_PERCENT / PERCENT
 
-    /** Price of a vcpu where [job] is cheapest to run beyond the baseline; 0 if no type fits. */
+    /** Returns the lowest price per vcpu of the types that [job] can be scaled out on; 0 if no type fits. */
     fun pricePerVcpu(job: Job): Double = typesFor(job).minOfOrNull { pricePerVcpu(it, job) } ?: 0.0
 
     private fun pricePerVcpu(type: MachineType, job: Job): Double =
--- a/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
+++ b/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
@@ -10,15 +10,16 @@
 /**
  * Scales in registered machines that do not report to a new leader while others do.
  *
- * Most of them are gone, such as spot machines that were preempted without notice. A confirmed scale-in makes that certain,
- * and ends the wait for their unseen tasks before their leases expire. Baseline machines are too hard to get back, and a zone
- * may be cut off as a whole: of these only the ones that the cloud does not list, or lists as failed, are scaled in.
+ * Most of these machines no longer exist, such as spot machines that were preempted without notice. A confirmed scale-in proves
+ * that a machine does not exist, which ends the wait for its unseen tasks before its lease expires. Baseline machines are too
+ * hard to replace, and a whole zone may be partitioned from the network: baseline machines and machines in zones that mostly do
+ * not report are scaled in only if the cloud does not list them, or lists them as failed.
  */
 internal class MissingMachines(private val cluster: Cluster, private val fleet: Fleet) {
     private val log = LoggerFactory.getLogger(MissingMachines::class.java)
     private val retryTimer = IntervalTimer(RETRY_MICROS)
 
-    /** Machines to be scaled in now; to be called while the cluster is not reconciled. */
+    /** Returns the machines to scale in now; to be called while the cluster is not reconciled. */
     fun scaleIns(nowMicros: Long): ScaleInBatch {
         if (!fleet.hasMachineList || !retryTimer.isDue(nowMicros)) return ScaleInBatch.EMPTY
         val reportingZones = cluster.failover.zonesMostlyReporting()
--- a/src/main/kotlin/linemast/autoscaling/ScalingActions.kt
+++ b/src/main/kotlin/linemast/autoscaling/ScalingActions.kt
@@ -3,16 +3,16 @@
 import linemast.cloud.ScaleInBatch
 import linemast.cloud.ScaleOutRequest
 
-/** What the autoscaler wants from the cloud now. */
+/** The actions that the autoscaler has decided on, to be carried out at the cloud now. */
 class ScalingActions(
-    /** Requests for machines, most urgent first. */
+    /** Scale-out requests, most urgent first. */
     val scaleOuts: List<ScaleOutRequest>,
-    /** Machines to be removed. */
+    /** Machines to scale in. */
     val scaleIns: ScaleInBatch,
 ) {
     /** Shared values. */
     companion object {
-        /** Nothing to be done. */
+        /** No actions. */
         val NONE = ScalingActions(emptyList(), ScaleInBatch.EMPTY)
     }
 }
--- a/src/main/kotlin/linemast/cloud/CapacityBackOff.kt
+++ b/src/main/kotlin/linemast/cloud/CapacityBackOff.kt
@@ -2,7 +2,7 @@
 
 import linemast.domain.MachineShape
 
-/** Exponential back-off per machine shape after the cloud had no capacity for it. Not thread-safe; one leader's. */
+/** Keeps an exponential back-off for each machine shape that the cloud had no capacity for. Not thread-safe; used by one leader. */
 internal class CapacityBackOff {
     private class BackOff(val untilMicros: Long, val refusals: Int)
 
@@ -14,17 +14,17 @@
         return backOff.untilMicros <= nowMicros
     }
 
-    /** Notes that a request for [shape] was refused, or granted only in part. */
+    /** Records that a request for [shape] was refused, or granted only in part. */
     fun recordRefusal(shape: MachineShape, nowMicros: Long) {
         val previous = backOffs[shape]
-        // Several requests for one shape may be in flight: their refusals count as a single observation.
+        // Several requests for one shape may be in flight: their refusals count as a single refusal.
         if (previous != null && nowMicros < previous.untilMicros) return
         val refusals = (previous?.refusals ?: 0) + 1
         val delayMicros = INITIAL_BACK_OFF_MICROS shl minOf(refusals - 1, MAX_DOUBLINGS)
         backOffs[shape] = BackOff(nowMicros + delayMicros, refusals)
     }
 
-    /** Notes that a request for [shape] was granted in full. */
+    /** Records that a request for [shape] was granted in full, which ends its back-off. */
     fun recordGrant(shape: MachineShape) {
         backOffs.remove(shape)
     }
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -18,7 +18,7 @@
 import linemast.transport.HttpStatus
 import linemast.transport.NoAnswerException
 
-/** The cloud's API over HTTP, within its limit of calls per second. */
+/** Calls the cloud's API over HTTP, within the cloud's limit of calls per second. */
 class CloudClient(loop: EventLoop, address: Address, limits: CloudLimits, private val clock: Clock) : Cloud {
     private val http = HttpClient(loop, address, MAX_CONCURRENT_CALLS)
     private val rateLimiter = TokenBucket(limits.rps * USED_SHARE_OF_LIMIT)
@@ -33,7 +33,7 @@
             val response = call("GET", CloudCodec.machinePagePath(lastName), null, RequestPriority.NORMAL)
             val page = decode(response, CloudCodec::decodeMachinePage)
             all += page.machines
-            // A page that does not get any further must not keep the loop going.
+            // A page without machines after those of the previous page must not keep this loop going.
             if (!page.truncated || all.isEmpty() || all.last().name == lastName.orEmpty()) return all
             lastName = all.last().name
         }
@@ -49,7 +49,7 @@
             HttpStatus.OK -> ScaleOutResult.Granted(decode(response, CloudCodec::decodeGrantedNames))
             HttpStatus.SERVICE_UNAVAILABLE -> if (isNoCapacity(response)) ScaleOutResult.NoCapacity else ScaleOutResult.Unknown
             HttpStatus.TOO_MANY_REQUESTS -> ScaleOutResult.Unknown
-            else -> throw errorStatus(response, "a scale-out")
+            else -> throw errorStatus(response, "a scale-out request")
         }
     }
 
@@ -57,18 +57,18 @@
         for (part in names.chunked(MAX_MACHINES_PER_SCALE_IN_CALL)) {
             val body = Cbor.encode(CloudCodec.encodeScaleIn(part))
             val response = call("POST", "/machines/return", body, RequestPriority.CRITICAL)
-            if (response.status != HttpStatus.OK) throw errorStatus(response, "a scale-in")
+            if (response.status != HttpStatus.OK) throw errorStatus(response, "a scale-in request")
         }
     }
 
-    /** Any body that cannot be read means trouble of the cloud rather than a lack of capacity. */
+    /** Whether [response] reports a lack of capacity. An unreadable body means a fault in the cloud rather than a lack of capacity. */
     private fun isNoCapacity(response: HttpReply): Boolean = try {
         CloudCodec.isNoCapacity(response.fields())
     } catch (e: MalformedException) {
         false
     }
 
-    /** Waits until the limit of calls allows this one, then makes it. */
+    /** Waits until the limit of calls per second allows this call, then makes it. */
     private suspend fun call(method: String, path: String, body: ByteArray?, priority: RequestPriority): HttpReply {
         while (!rateLimiter.tryTake(1, priority, clock.nowMicros())) {
             delay(rateLimiter.waitMicros(1, priority, clock.nowMicros()) / MICROS_PER_MILLI + 1)
@@ -76,16 +76,16 @@
         return try {
             http.call(method, path, body, CALL_TIMEOUT_MICROS)
         } catch (e: NoAnswerException) {
-            throw CloudException.NoResponse(e.message ?: "no answer", e)
+            throw CloudException.NoResponse(e.message ?: "no response from the cloud", e)
         }
     }
 
     private fun <T> decode(response: HttpReply, decode: (Fields) -> T): T {
-        if (response.status != HttpStatus.OK) throw errorStatus(response, "a query")
+        if (response.status != HttpStatus.OK) throw errorStatus(response, "a list request")
         return try {
             decode(response.fields())
         } catch (e: MalformedException) {
-            throw CloudException.MalformedResponse("malformed answer from the cloud: ${e.message}", e)
+            throw CloudException.MalformedResponse("malformed response from the cloud: ${e.message}", e)
         }
     }
 
@@ -95,7 +95,7 @@
     private companion object {
         const val MAX_CONCURRENT_CALLS = 3
 
-        /** The rest of the limit absorbs clocks that differ from the cloud's. */
+        /** The rest of the limit allows for differences between this controller's clock and the cloud's. */
         const val USED_SHARE_OF_LIMIT = 0.8
         const val CALL_TIMEOUT_MICROS = 5 * SECOND_MICROS
     }
--- a/src/main/kotlin/linemast/cloud/CloudCodec.kt
+++ b/src/main/kotlin/linemast/cloud/CloudCodec.kt
@@ -2,11 +2,11 @@
 
 import linemast.serialization.Fields
 
-/** The wire form of requests to the cloud and of its answers; the names of the protocol are mapped here only. */
+/** Encodes requests to the cloud and decodes its responses; only this codec maps the names of the protocol. */
 internal object CloudCodec {
     private const val MACHINES = "rigs"
 
-    /** The `error` text of an answer that means [ScaleOutResult.NoCapacity]. */
+    /** The `error` text of a response that means [ScaleOutResult.NoCapacity]. */
     private const val NO_CAPACITY = "no capacity"
 
     /** A page of the machine list. */
@@ -16,11 +16,11 @@
         val truncated: Boolean,
     )
 
-    /** Path of the page of the machine list that begins after the machine [lastName], or at the first one if that is null. */
+    /** Returns the path of the page of the machine list that begins after machine [lastName], or of the first page if it is null. */
     fun machinePagePath(lastName: String?): String =
         "/machines?limit=$MAX_MACHINES_PER_LIST_CALL" + if (lastName == null) "" else "&after=$lastName"
 
-    /** Reads a page of the machine list. */
+    /** Decodes a page of the machine list. */
     fun decodeMachinePage(fields: Fields) =
         MachinePage(fields.children(MACHINES).map(::decodeMachine), fields.flagOrNull("truncated") ?: false)
 
@@ -34,7 +34,7 @@
         ageMicros = fields.microsOrNull("age_s") ?: 0L,
     )
 
-    /** The body of a scale-out request. */
+    /** Returns the body of a scale-out request. */
     fun encodeScaleOut(request: ScaleOutRequest): Map<String, Any?> = mapOf(
         "charter" to request.requestId,
         "build" to request.machineType,
@@ -43,12 +43,12 @@
         "number" to request.machineCount,
     )
 
-    /** The names of the machines that a scale-out request was granted. */
+    /** Returns the names of the machines that the cloud granted to a scale-out request. */
     fun decodeGrantedNames(fields: Fields): List<String> = fields.textsOrNull(MACHINES) ?: emptyList()
 
-    /** Whether an answer with the status 503 says that there is no capacity, and not that the cloud has trouble. */
+    /** Whether a response with the status 503 reports a lack of capacity, and not a fault in the cloud. */
     fun isNoCapacity(fields: Fields): Boolean = fields.textOrNull("error") == NO_CAPACITY
 
-    /** The body of a scale-in request. */
+    /** Returns the body of a scale-in request. */
     fun encodeScaleIn(names: List<String>): Map<String, Any?> = mapOf(MACHINES to names)
 }
--- a/src/main/kotlin/linemast/cloud/CloudException.kt
+++ b/src/main/kotlin/linemast/cloud/CloudException.kt
@@ -1,16 +1,16 @@
 package linemast.cloud
 
-/** Why a cloud action has no result. */
+/** Thrown when a cloud action has no result; the subclasses tell why. */
 sealed class CloudException(message: String, cause: Throwable? = null) : Exception(message, cause) {
-    /** No answer arrived in time: the call may or may not have been carried out. */
+    /** No response arrived in time: the call may or may not have been carried out. */
     class NoResponse(message: String, cause: Throwable? = null) : CloudException(message, cause)
 
-    /** The cloud answered with the error status [status]. */
+    /** The cloud responded with the error status [status]. */
     class ErrorStatus(val status: Int, message: String) : CloudException(message)
 
-    /** The answer does not have the form that the protocol gives it. */
+    /** The response does not have the form that the protocol defines. */
     class MalformedResponse(message: String, cause: Throwable? = null) : CloudException(message, cause)
 
-    /** The controller may not begin or continue the action now; subclasses say why. */
+    /** The controller must not begin or continue the action now; subclasses tell why. */
     abstract class NotPermitted(message: String) : CloudException(message)
 }
--- a/src/main/kotlin/linemast/cloud/CloudMachine.kt
+++ b/src/main/kotlin/linemast/cloud/CloudMachine.kt
@@ -6,28 +6,28 @@
 /**
  * A machine that the cloud lists, or that it has granted and does not list yet.
  *
- * Times are readings of the leader's steady clock.
+ * Times are on the leader's steady clock.
  *
- * @property name name that the cloud gave it; never reused.
- * @property type its machine type.
- * @property zone zone of the cloud that it stands in.
- * @property spot whether it is a spot machine, which the cloud may preempt.
- * @property createdMicros when it was granted.
+ * @property name name that the cloud assigned to the machine; never reused.
+ * @property type machine type.
+ * @property zone zone of the cloud in which the machine runs.
+ * @property spot whether the machine is a spot machine, which the cloud may preempt.
+ * @property createdMicros when the cloud granted the machine.
  */
 class CloudMachine(val name: String, val type: MachineType, val zone: String, val spot: Boolean, val createdMicros: Long) {
-    /** Type, zone and price model together. */
+    /** Machine type, zone, and whether the machine is spot or on-demand. */
     val shape = MachineShape(type, zone, spot)
 
-    /** When a list last contained the machine. */
+    /** When the cloud's list last contained the machine; [NEVER_LISTED_MICROS] until it does. */
     var lastListedMicros = NEVER_LISTED_MICROS
 
-    /** The cloud's own word for its state; [STARTING] until a list contains it. */
+    /** Status of the machine as the cloud reports it; [STARTING] until the cloud's list contains the machine. */
     var status = STARTING
 
-    /** Whether its scale-in has been decided and not yet failed. */
+    /** Whether the scale-in of the machine has been decided and has not failed. */
     var isScalingIn = false
 
-    /** Values of [status] that decisions depend on, and the mark of a machine that was never listed. */
+    /** Values of [status] that scaling decisions depend on, and the value of [lastListedMicros] for a machine that was never listed. */
     companion object {
         /** Status of a machine that is still booting. */
         const val STARTING = "starting"
@@ -35,7 +35,7 @@
         /** Status of a machine that has stopped on its own. */
         const val FAILED = "failed"
 
-        /** [lastListedMicros] of a machine that no list has contained yet. */
+        /** Value of [lastListedMicros] for a machine that the cloud's list has not contained yet. */
         private const val NEVER_LISTED_MICROS = 0L
     }
 }
--- a/src/main/kotlin/linemast/cloud/CloudMachineInventory.kt
+++ b/src/main/kotlin/linemast/cloud/CloudMachineInventory.kt
@@ -3,15 +3,15 @@
 import linemast.domain.MachineType
 
 /**
- * The machines that exist as far as the cloud has said so, during one term of the leader.
+ * The machines that exist according to the cloud, during one term of a leader.
  *
- * The cloud's list lags: a machine missing from it may be up, and a listed one may be gone. A machine is therefore dropped
- * only on a confirmed scale-in, or after several consecutive lists without it.
+ * The cloud's list lags: a machine that is missing from the list may be running, and a listed machine may no longer exist. A
+ * machine is therefore removed only after a confirmed scale-in, or once several consecutive lists have not contained it.
  */
 internal class CloudMachineInventory(private val listLagMicros: Long) {
     private val machinesByName = LinkedHashMap<String, CloudMachine>()
 
-    /** Machines whose scale-in a previous leader has requested: it may take effect at any moment. */
+    /** Machines whose scale-in a previous leader has requested: the scale-in may take effect at any moment. */
     private val scaleInsOfPreviousLeaders = HashSet<String>()
 
     /** All machines by name, in the order in which they became known. */
@@ -20,11 +20,11 @@
     /** Names of the baseline machines; null until they are known. */
     var baselineMachines: Set<String>? = null
 
-    /** Whether at least one list has arrived. */
+    /** Whether the cloud's list has arrived at least once in this term. */
     var hasMachineList = false
         private set
 
-    /** Merges the cloud's list; machines of a type that is not in [types] are left out. */
+    /** Merges the cloud's [list] into this inventory; ignores machines of a type that is not in [types]. */
     fun updateFromList(list: List<ListedMachine>, types: Map<String, MachineType>, nowMicros: Long) {
         hasMachineList = true
         for (listed in list) {
@@ -43,27 +43,30 @@
         return machine
     }
 
-    /** Adds machines that the cloud has just granted. */
+    /** Adds the machines [names] that the cloud has just granted. */
     fun addGranted(names: List<String>, type: MachineType, zone: String, spot: Boolean, nowMicros: Long) {
         for (name in names) machinesByName.getOrPut(name) { CloudMachine(name, type, zone, spot, nowMicros) }
     }
 
-    /** Marks machines whose scale-in a previous leader has decided, whether they are listed yet or not. */
+    /** Marks the machines [names], whose scale-in a previous leader has decided, whether they are listed yet or not. */
     fun markScalingIn(names: Collection<String>) {
         scaleInsOfPreviousLeaders += names
         names.forEach { machinesByName[it]?.isScalingIn = true }
     }
 
-    /** Drops machines whose scale-in the cloud has confirmed. */
+    /** Removes the machines [names], whose scale-in the cloud has confirmed. */
     fun remove(names: Collection<String>) {
         names.forEach(machinesByName::remove)
         scaleInsOfPreviousLeaders -= names.toSet()
     }
 
-    /** Whether the machine is known to be gone; one that is only just granted may not be listed yet. */
+    /**
+     * Whether machine [name] does not exist any more according to the cloud, or has failed. A machine that has just been granted
+     * counts as existing although it may not be listed yet.
+     */
     fun isAbsentOrFailed(name: String): Boolean = machinesByName[name].let { it == null || it.status == CloudMachine.FAILED }
 
-    /** Whether the machine is a baseline one; every machine counts as such until the baseline is known. */
+    /** Whether machine [name] is a baseline machine; all machines count as baseline machines until the baseline is known. */
     fun isBaseline(name: String): Boolean = baselineMachines?.contains(name) ?: true
 
     private companion object {
--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The machines of one leader's term and the decisions to add and remove some. Makes no calls and is not thread-safe.
+ * Holds the machines known in one leader's term, and decides which to scale out and in. Makes no calls and is not thread-safe.
  *
- * Events from the cloud update the [CloudMachineInventory]; [planScaleOut] and [planScaleIn] decide from it.
+ * Events from the cloud update the [CloudMachineInventory], from which [planScaleOut] and [planScaleIn] make their decisions.
  */
 class Fleet(settings: Settings, policy: Policy, fencingToken: Long) {
     private val log = LoggerFactory.getLogger(Fleet::class.java)
@@ -20,29 +20,29 @@
     private val scaleOutPlanner = ScaleOutPlanner(scaleOutLimits(settings, policy), inventory, backOff, fencingToken)
     private val scaleInPolicy = ScaleInPolicy(settings.workers, policy)
 
-    /** All machines by name, as far as the cloud has named them. */
+    /** All machines that the cloud has granted or listed, by name. */
     val machines: Map<String, CloudMachine> get() = inventory.machines
 
     /** Names of the baseline machines; null until they are known. */
     var baselineMachines: Set<String>? by inventory::baselineMachines
 
-    /** Whether the cloud's list has been seen in this term. */
+    /** Whether the cloud's list has arrived at least once in this term. */
     val hasMachineList: Boolean get() = inventory.hasMachineList
 
-    /** Whether demand is left that waits for requests in flight to finish. */
+    /** Whether some demand is not requested yet because too many requests are in flight. */
     val hasDeferredDemand: Boolean get() = scaleOutPlanner.hasDeferredDemand
 
-    /** Merges the cloud's machine list. */
+    /** Merges the cloud's machine [list] into the known machines. */
     fun updateFromList(list: List<ListedMachine>, types: Map<String, MachineType>, nowMicros: Long) =
         inventory.updateFromList(list, types, nowMicros)
 
     /** Counts a previous leader's [request] as pending until its outcome is known. */
     fun addPendingScaleOut(request: ScaleOutRequest) = scaleOutPlanner.addPending(request)
 
-    /** Marks machines whose scale-in a previous leader has decided. */
+    /** Marks the machines [names], whose scale-in a previous leader has decided. */
     fun markScalingIn(names: Collection<String>) = inventory.markScalingIn(names)
 
-    /** The cloud has granted [names], possibly fewer than requested. */
+    /** Records that the cloud has granted the machines [names] to [request], possibly fewer than requested. */
     fun recordScaleOutGranted(request: ScaleOutRequest, names: List<String>, types: Map<String, MachineType>, nowMicros: Long) {
         scaleOutPlanner.removePending(request)
         val type = types[request.machineType] ?: return
@@ -59,7 +59,7 @@
         if (names.size < request.machineCount) backOff.recordRefusal(shape, nowMicros) else backOff.recordGrant(shape)
     }
 
-    /** The cloud has no capacity for [request]; its machine shape is not requested again for a while. */
+    /** Records that the cloud has no capacity for [request]; its machine shape is not requested again during a back-off. */
     fun recordScaleOutRefused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
         scaleOutPlanner.removePending(request)
         log.debug("no capacity for {} in {}{}", request.machineType, request.zone, suffix(request.spot))
@@ -67,13 +67,13 @@
         backOff.recordRefusal(MachineShape(type, request.zone, request.spot), nowMicros)
     }
 
-    /** Nobody waits for [request] any more; machines that it did bring will show in the list. */
+    /** Records that [request] is abandoned; machines that the cloud granted to it anyway will appear in the cloud's list. */
     fun recordScaleOutAbandoned(request: ScaleOutRequest) = scaleOutPlanner.removePending(request)
 
-    /** The cloud has confirmed that [names] are gone. */
+    /** Records that the cloud has confirmed the scale-in of the machines [names]. */
     fun recordScaleInConfirmed(names: Collection<String>) = inventory.remove(names)
 
-    /** Requests that would meet [demands]; each is pending until one of the `scaleOut...` events reports its outcome. */
+    /** Returns requests that would meet [demands]; each is pending until one of the `recordScaleOut...` functions reports its outcome. */
     fun planScaleOut(
         demands: List<ScaleOutDemand>,
         types: Collection<MachineType>,
@@ -83,9 +83,9 @@
     ): List<ScaleOutRequest> = scaleOutPlanner.plan(demands, types, workers, constraints, nowMicros)
 
     /**
-     * Machines to remove now, each with the reason.
+     * Returns the machines to scale in now, each with the reason.
      *
-     * [isNeeded] tells whether a plan still has work for a machine; once [demandCeased], idle machines are not kept for later.
+     * [isNeeded] tells whether a plan still has work for a machine. If [demandCeased], idle machines are not kept for further jobs.
      */
     fun planScaleIn(workers: Map<String, Machine>, isNeeded: (Machine) -> Boolean, demandCeased: Boolean, nowMicros: Long): ScaleInBatch {
         val reportingZones = scaleInPolicy.reportingZones(workers, nowMicros)
@@ -99,10 +99,10 @@
         return ScaleInBatch(reasons)
     }
 
-    /** Whether the cloud's list shows that a machine is gone. */
+    /** Whether machine [name] is neither listed nor just granted by the cloud, or is listed as failed. */
     fun isAbsentOrFailed(name: String): Boolean = inventory.isAbsentOrFailed(name)
 
-    /** Whether the machine is a baseline one; all count as such until the baseline is known. */
+    /** Whether machine [name] is a baseline machine; all machines count as baseline machines until the baseline is known. */
     fun isBaseline(name: String): Boolean = inventory.isBaseline(name)
 
     private fun suffix(spot: Boolean) = if (spot) " (spot)" else ""
@@ -111,8 +111,8 @@
         const val MIN_PENDING_REQUESTS = 2
 
         /**
-         * No more requests are in flight than the cloud takes in a second: each is then decided by what is known when it is
-         * sent, rather than by what was known when it joined a queue.
+         * Returns the limits of scale-outs. No more requests are in flight than the cloud accepts in a second: each request is
+         * then based on what is known when it is sent, rather than on what was known when it joined a queue.
          */
         fun scaleOutLimits(settings: Settings, policy: Policy) = ScaleOutLimits(
             maxPendingRequests = Math.ceil(settings.cloudLimits.rps).toInt().coerceAtLeast(MIN_PENDING_REQUESTS),
--- a/src/main/kotlin/linemast/cloud/MachineSupply.kt
+++ b/src/main/kotlin/linemast/cloud/MachineSupply.kt
@@ -5,15 +5,15 @@
 import linemast.domain.MachineShape
 import linemast.domain.MachineType
 
-/** Absorbs rounding in divisions of vcpus. */
+/** Tolerance for rounding errors in divisions of vcpus. */
 internal const val SLOT_EPSILON = 1e-6
 
-/** Tasks of [spec] that an empty machine of [type] has vcpus for. */
+/** Returns how many tasks of [spec] an empty machine of [type] has vcpus for. */
 internal fun slotsPerMachine(type: MachineType, spec: JobSpec): Double = Math.floor(type.vcpus / spec.vcpus + SLOT_EPSILON)
 
-/** Machines of one shape, running or requested, as bins into which the demand of jobs is packed; by vcpus alone. */
+/** Machines of one shape, running or requested, as bins into which the demand of jobs is packed. Only vcpus are considered. */
 internal class MachineSupply(val shape: MachineShape) {
-    /** Number of machines, packed or not. */
+    /** Number of machines, including those that are packed already. */
     var machines = 0
         private set
     private var emptyMachines = 0
@@ -27,7 +27,7 @@
         emptyMachines += count
     }
 
-    /** Packs up to [slots] tasks of [job]; the number that fits. */
+    /** Packs up to [slots] tasks of [job] and returns the number that fits. */
     fun pack(job: Job, slots: Double): Double {
         val spec = job.spec
         if (slots <= 0 || !shape.allows(spec)) return 0.0
--- a/src/main/kotlin/linemast/cloud/MachineTypeCodec.kt
+++ b/src/main/kotlin/linemast/cloud/MachineTypeCodec.kt
@@ -3,15 +3,15 @@
 import linemast.domain.MachineType
 import linemast.serialization.Fields
 
-/** The form of machine types in the cloud's answer, which is also the stored one; see docs/glossary.md for the names. */
+/** Encodes and decodes machine types. The cloud's response and the stored form are the same; see docs/glossary.md for the names. */
 object MachineTypeCodec {
-    /** Where the store keeps the machine types. */
+    /** Key of the machine types in the store. */
     const val KEY = "types"
 
-    /** Reads the cloud's answer or the stored form. */
+    /** Decodes the cloud's response or the stored form. */
     fun decode(fields: Fields): List<MachineType> = fields.children("builds").map(::decodeType)
 
-    /** The stored form of all [types]. */
+    /** Returns the stored form of [types]. */
     fun encode(types: List<MachineType>): Map<String, Any?> = mapOf("builds" to types.map(::encodeType))
 
     private fun decodeType(fields: Fields): MachineType {
--- a/src/main/kotlin/linemast/cloud/ScaleInBatch.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInBatch.kt
@@ -1,19 +1,19 @@
 package linemast.cloud
 
-/** Machines to be removed, in this order: [reasons] holds why, by machine name. */
+/** Machines to scale in, in the order of [reasons], which maps the name of each machine to the reason. */
 class ScaleInBatch(val reasons: Map<String, ScaleInReason>) {
     /** Names of the machines. */
     val names: List<String> get() = reasons.keys.toList()
 
-    /** Whether no machine is to be removed. */
+    /** Whether no machine is to be scaled in. */
     val isEmpty: Boolean get() = reasons.isEmpty()
 
-    /** Machine names by reason, in the order of the batch. */
+    /** Returns the machine names by reason, in the order of the batch. */
     fun namesByReason(): Map<ScaleInReason, List<String>> = reasons.entries.groupBy({ it.value }, { it.key })
 
     /** Shared values. */
     companion object {
-        /** No machine at all. */
+        /** A batch without machines. */
         val EMPTY = ScaleInBatch(emptyMap())
     }
 }
--- a/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
@@ -4,29 +4,32 @@
 import linemast.settings.Policy
 import linemast.settings.WorkerSettings
 
-/** Decides which machines are to be removed, from their heartbeats and from what they are still needed for. */
+/** Decides which machines to scale in, based on their heartbeats and on whether they are still needed. */
 internal class ScaleInPolicy(private val workers: WorkerSettings, private val policy: Policy) {
-    /** Beyond this age of its last heartbeat, nothing certain is known of a worker's tasks. */
+    /** Once the last heartbeat of a worker is older than this, it is not certain which tasks the worker has. */
     private val maxHeartbeatAgeMicros = workers.heartbeatIntervalMicros * MISSED_HEARTBEATS + HEARTBEAT_MARGIN_MICROS
 
-    /** What all machines of one round have in common. */
+    /** What the decisions about all machines at one time depend on. */
     class Conditions(
         /** Whether a plan still has work for a machine. */
         val isNeeded: (Machine) -> Boolean,
         /** Whether no further jobs are expected. */
         val demandCeased: Boolean,
-        /** Zones with recent heartbeats: one without any is more likely cut off than gone. */
+        /** Zones with recent heartbeats. A zone without any is more likely partitioned from the network than without machines. */
         val reportingZones: Set<String>,
         val nowMicros: Long,
     )
 
-    /** Zones from which at least one worker has reported lately. */
+    /** Returns the zones from which at least one worker has sent a heartbeat recently. */
     fun reportingZones(workersByName: Map<String, Machine>, nowMicros: Long): Set<String> {
         val recentMicros = HEARTBEAT_MARGIN_MICROS + workers.heartbeatIntervalMicros
         return workersByName.values.filter { nowMicros - it.lastHeartbeatMicros < recentMicros }.mapTo(HashSet()) { it.zone }
     }
 
-    /** Why [machine] is to be removed; null if it is to be kept. [worker] is null until it has reported for the first time. */
+    /**
+     * Returns the reason to scale in [machine]; null if it is to be kept. [worker] is null until the worker on [machine] has sent its
+     * first heartbeat.
+     */
     fun reason(machine: CloudMachine, worker: Machine?, isBaseline: Boolean, conditions: Conditions): ScaleInReason? {
         if (machine.status == CloudMachine.FAILED) return ScaleInReason.FAILED
         if (worker == null || worker.lastHeartbeatMicros == NO_HEARTBEAT_MICROS) return startupFailureReason(machine, conditions.nowMicros)
@@ -68,12 +71,15 @@
         return if (isBaseline) ScaleInReason.BASELINE_IDLE else ScaleInReason.IDLE
     }
 
-    /** Once demand has ceased nothing is kept idle, beyond the time in which a running task may be missing from heartbeats. */
+    /**
+     * Returns how long a machine may stay idle. Once demand has ceased, no machine is kept idle for longer than the time in which a
+     * running task may be missing from heartbeats.
+     */
     private fun maxIdleMicros(usualMicros: Long, conditions: Conditions): Long =
         if (conditions.demandCeased) minOf(usualMicros, maxHeartbeatAgeMicros) else usualMicros
 
     private companion object {
-        /** [Machine.lastHeartbeatMicros] of a machine whose worker has not reported to this leader. */
+        /** Value of [Machine.lastHeartbeatMicros] for a machine whose worker has sent no heartbeat to this leader. */
         const val NO_HEARTBEAT_MICROS = 0L
         const val MAX_STARTUP_FACTOR = 4
         const val STARTUP_MARGIN_MICROS = 20_000_000L
@@ -82,10 +88,10 @@
         const val HEARTBEAT_MARGIN_MICROS = 2_500_000L
         const val MISSING_HEARTBEAT_MICROS = 60_000_000L
 
-        /** Baseline machines are hard to get back, so they are given more time. */
+        /** Longer than for other machines, because baseline machines are hard to replace. */
         const val BASELINE_MISSING_HEARTBEAT_MICROS = 150_000_000L
 
-        /** As many different jobs have to fail on a machine until it counts as faulty. */
+        /** A machine counts as faulty once this many different jobs have failed on it. */
         const val QUARANTINE_FAILED_JOBS = 2
     }
 }
--- a/src/main/kotlin/linemast/cloud/ScaleInReason.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInReason.kt
@@ -1,35 +1,35 @@
 package linemast.cloud
 
-/** Why a machine is removed from the fleet; [text] is for log lines only. */
+/** Why a machine is scaled in; [text] is for log lines only. */
 enum class ScaleInReason(val text: String) {
-    /** The cloud lists it as failed. */
+    /** The cloud lists the machine as failed. */
     FAILED("failed"),
 
-    /** Its worker has not reported for several times the usual startup. */
+    /** The worker has sent no heartbeat although several times the usual startup time of the machine has passed. */
     NEVER_STARTED("did not start"),
 
-    /** It is quarantined: tasks of several jobs have failed on it. */
+    /** The machine is quarantined: tasks of several jobs have failed on it. */
     QUARANTINED("quarantined"),
 
-    /** The time of its preemption notice is over. */
+    /** The time that the preemption notice gave the machine is over. */
     PREEMPTED("preempted"),
 
-    /** A spot machine whose heartbeats stopped without a preemption notice. */
+    /** The heartbeats of a spot machine stopped without a preemption notice. */
     PREEMPTED_WITHOUT_NOTICE("preempted without notice"),
 
-    /** Its heartbeats have been missing for long. */
+    /** The heartbeats of the machine have been missing for long. */
     MISSING_HEARTBEAT("missing heartbeat"),
 
-    /** Its heartbeats arrive, but no answer has reached it for long. */
+    /** Heartbeats of the machine arrive, but no response has reached its worker for long. */
     UNREACHABLE("unreachable"),
 
-    /** It has not reported to a new leader, although its zone has. */
+    /** The machine has not reported to a new leader although its zone has, or the cloud does not list it or lists it as failed. */
     MISSING_AFTER_FAILOVER("missing after failover"),
 
-    /** No task has needed it for long. */
+    /** No task has needed the machine for long. */
     IDLE("idle"),
 
-    /** A baseline machine that no task has needed for much longer. */
+    /** No task has needed a baseline machine for long; such a machine is kept idle for much longer than others. */
     BASELINE_IDLE("baseline machine, long idle"),
     ;
 
--- a/src/main/kotlin/linemast/cloud/ScaleOutConstraints.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleOutConstraints.kt
@@ -3,20 +3,20 @@
 import linemast.domain.Job
 import linemast.domain.MachineType
 
-/** What bounds the scale-out for a job, beyond the machines that fit it. */
+/** Constraints on the scale-out for a job, besides the requirement that its tasks fit on the machines. */
 class ScaleOutConstraints(
-    /** The number of tasks of a job that may run at once, at most. */
+    /** Maximum number of tasks of a job that may run at once. */
     val maxSlots: (Job) -> Double,
-    /** Whether machines of a type, spot or not, must not be used for a job. */
+    /** Whether machines of a type, spot (if the second argument is true) or on-demand, must not be used for a job. */
     val isExcluded: (MachineType, Boolean, Job) -> Boolean,
 )
 
-/** Limits of one planner of scale-outs. */
+/** Limits on all scale-outs of one [ScaleOutPlanner]. */
 internal class ScaleOutLimits(
-    /** Requests that may be in flight at once. */
+    /** Maximum number of requests in flight at once. */
     val maxPendingRequests: Int,
-    /** Vcpus of all machines beyond the baseline. */
+    /** Maximum vcpus of all machines beyond the baseline together. */
     val maxVcpus: Double,
-    /** Zones in which types without zones of their own are available. */
+    /** Zones in which machine types that list no zones are available. */
     val defaultZones: List<String>,
 )
--- a/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
@@ -8,9 +8,9 @@
 import linemast.planning.ScaleOutDemand
 
 /**
- * Turns the demand for machines into requests to the cloud, given the machines that exist or are requested already.
+ * Turns the demand for machines into requests to the cloud, given the machines that already exist or are requested.
  *
- * Request ids carry the leader's [fencingToken], so that those of different leaders never clash.
+ * Request ids contain the leader's [fencingToken], so that those of different leaders never clash.
  */
 internal class ScaleOutPlanner(
     private val limits: ScaleOutLimits,
@@ -25,21 +25,21 @@
     private val pendingRequests = LinkedHashMap<String, ScaleOutRequest>()
     private var lastRequestNumber = 0L
 
-    /** Whether demand is left that the limit of pending requests keeps from being requested. */
+    /** Whether some demand is not requested yet because of the limit on pending requests. */
     var hasDeferredDemand = false
         private set
 
-    /** Counts the machines of [request] as supply until it is finished. */
+    /** Counts the machines of [request] as supply until [removePending] is called for it. */
     fun addPending(request: ScaleOutRequest) {
         pendingRequests[request.requestId] = request
     }
 
-    /** Notes that [request] was answered or given up. */
+    /** Removes [request] from the pending ones, after its response has arrived or the request is abandoned. */
     fun removePending(request: ScaleOutRequest) {
         pendingRequests.remove(request.requestId)
     }
 
-    /** Requests that would meet [demands], in the order of the demands; they are pending from now on. */
+    /** Returns requests that would meet [demands], in the order of [demands]; these requests are pending from now on. */
     fun plan(
         demands: List<ScaleOutDemand>,
         types: Collection<MachineType>,
@@ -58,7 +58,7 @@
             val wanted = Math.ceil(slots / slotsPerMachine(shape.type, job.spec) - SLOT_EPSILON).toInt()
             val count = minOf(wanted, ((limits.maxVcpus - usedVcpus) / shape.type.vcpus).toInt())
             if (count <= 0) continue
-            // Only what the cloud grants counts; after a refusal the next shape is tried soon.
+            // Demand is met only by what the cloud grants; after a refusal the next shape is requested soon.
             machinesByShape.merge(shape, count, Int::plus)
             usedVcpus += count * shape.type.vcpus
             supply += requestedSupply(shape, count, job, slots)
@@ -66,7 +66,7 @@
         return createPermittedRequests(machinesByShape)
     }
 
-    /** The part of [demand] that [supply] has no room for. */
+    /** Returns the slots of [demand] that [supply] has no capacity for. */
     private fun unmetSlots(demand: ScaleOutDemand, supply: List<MachineSupply>, constraints: ScaleOutConstraints): Double {
         val job = demand.job
         var slots = minOf(demand.slots, constraints.maxSlots(job))
@@ -84,7 +84,7 @@
         return supply
     }
 
-    /** As many requests as may be in flight; the rest of the demand is deferred to a later plan. */
+    /** Creates as many requests as may be in flight; the remaining demand is deferred to the next plan. */
     private fun createPermittedRequests(machinesByShape: Map<MachineShape, Int>): List<ScaleOutRequest> {
         val batches = machinesByShape.flatMap { (shape, count) -> requestSizes(count).map { MachineBatch(shape, it) } }
         val permitted = (limits.maxPendingRequests - pendingRequests.size).coerceAtLeast(0)
@@ -115,14 +115,14 @@
         return supply.values.sortedBy { it.shape.type.vcpus }.toMutableList()
     }
 
-    /** Whether a machine beyond the baseline takes tasks now, or will once it has booted. */
+    /** Whether [machine] is beyond the baseline and can run tasks now or once it has started. */
     private fun isUsable(machine: CloudMachine, worker: Machine?, nowMicros: Long): Boolean {
         if (inventory.isBaseline(machine.name) || machine.isScalingIn || machine.status == CloudMachine.FAILED) return false
         if (worker == null) return nowMicros - machine.createdMicros <= MAX_STARTUP_FACTOR * machine.type.startupMicros
         return !worker.draining && worker.unacknowledgedSinceMicros <= 0
     }
 
-    /** Shapes that fit [job], the cheapest per task first, without those that the cloud had no capacity for lately. */
+    /** Returns the shapes that fit [job] and are not in a back-off for lack of capacity, ordered by price per task, cheapest first. */
     private fun availableShapes(job: Job, types: Collection<MachineType>, nowMicros: Long): List<MachineShape> = types
         .filter { it.canHost(job.spec) }
         .flatMap { pricedShapes(it, job.spec) }
@@ -141,13 +141,13 @@
     }
 
     private companion object {
-        /** Less than this is rounding, not demand. */
+        /** Fewer slots than this are a rounding error and no demand. */
         const val MIN_SLOTS = 0.5
 
-        /** The cloud's limit per request. */
+        /** The cloud's limit on the number of machines in one scale-out request. */
         const val MAX_MACHINES_PER_SCALE_OUT_REQUEST = 50
 
-        /** After so many times its usual startup a machine without a worker is not waited for. */
+        /** A machine whose worker has not reported counts as supply for this many times its usual startup time. */
         const val MAX_STARTUP_FACTOR = 2
     }
 }
--- a/src/main/kotlin/linemast/planning/BaselineForecast.kt
+++ b/src/main/kotlin/linemast/planning/BaselineForecast.kt
@@ -6,12 +6,12 @@
 import linemast.domain.MachineType
 
 /**
- * The forecast of free baseline capacity: by machine and interval, its vcpus less what will still run then.
+ * Forecasts the free vcpus of each baseline machine in each interval: all its vcpus less those of tasks that still run then.
  *
- * Waiting demand comes off as jobs reserve their targets in their order; free capacity is never below zero. Machines of one
- * shape are kept together in a [FreeCapacityHistogram].
+ * The demand of pending tasks is subtracted when jobs reserve their targets, in the order of planning; free capacity never
+ * falls below zero. Machines of one shape share a [FreeCapacityHistogram] per interval.
  *
- * @param isExcluded whether machines of a type, spot or not, are kept from a job that would fit them.
+ * @param isExcluded whether a job must not use machines of a type, spot or on-demand, although its tasks fit on them.
  */
 internal class BaselineForecast(
     machines: Collection<Machine>,
@@ -24,7 +24,7 @@
         val freeByInterval = List(intervals) { FreeCapacityHistogram(shape.type.vcpus) }
     }
 
-    /** Small machines first. */
+    /** One forecast per machine shape, ordered by vcpus with the smallest machines first. */
     private val shapes: List<ShapeForecast> = forecastByShape(machines)
 
     private fun forecastByShape(machines: Collection<Machine>): List<ShapeForecast> {
@@ -56,14 +56,14 @@
         }
     }
 
-    /** Tasks of [job] that may run concurrently in interval [interval], going by what is left on each machine. */
+    /** Returns how many tasks of [job] can run concurrently in [interval], given the free vcpus that remain on each machine. */
     fun freeSlots(job: Job, interval: Int): Double =
         shapes.sumOf { if (isUsable(it.shape, job)) it.freeByInterval[interval].slots(job.spec.vcpus) else 0.0 }
 
-    /** Tasks of [job] that could start at once. */
+    /** Returns how many tasks of [job] could start now. */
     fun freeSlotsNow(job: Job): Double = shapes.sumOf { if (isUsable(it.shape, job)) it.freeNow.slots(job.spec.vcpus) else 0.0 }
 
-    /** Reserves capacity for [slots] concurrent tasks of [job] in interval [interval]. */
+    /** Reserves capacity for [slots] concurrent tasks of [job] in [interval]. */
     fun reserve(job: Job, interval: Int, slots: Double) {
         var remainingVcpus = slots * job.spec.vcpus
         for (forecast in shapes) {
--- a/src/main/kotlin/linemast/planning/FreeCapacityHistogram.kt
+++ b/src/main/kotlin/linemast/planning/FreeCapacityHistogram.kt
@@ -1,20 +1,21 @@
 package linemast.planning
 
 /**
- * How many machines of one type, of [machineVcpus] each, have how many free vcpus.
+ * Counts machines of one type, with [machineVcpus] each, by their free vcpus.
  *
- * Free vcpus are rounded down to [LEVELS] equal steps, so that a query or a reservation does not depend on the size of the fleet.
+ * Free vcpus are rounded down to one of [LEVELS] equal steps, so that the cost of a query or a reservation does not depend on
+ * the size of the fleet.
  */
 internal class FreeCapacityHistogram(machineVcpus: Double) {
     private val stepVcpus = machineVcpus / LEVELS
     private val machines = IntArray(LEVELS + 1)
 
-    /** Adds a machine. */
+    /** Adds a machine with [freeVcpus]. */
     fun add(freeVcpus: Double) {
         machines[Math.floor(freeVcpus / stepVcpus + EPSILON).toInt().coerceIn(0, LEVELS)]++
     }
 
-    /** Tasks of [taskVcpus] each that fit concurrently, each on one machine. */
+    /** Returns how many tasks of [taskVcpus] each can run concurrently, each on a single machine. */
     fun slots(taskVcpus: Double): Double {
         var slots = 0.0
         for (level in LEVELS downTo 1) {
@@ -25,7 +26,7 @@
         return slots
     }
 
-    /** Reserves [vcpus] in all, on the machines with the least free first; returns what was not to be had. */
+    /** Reserves [vcpus] in total, first on the machines with the fewest free vcpus, and returns the vcpus that could not be reserved. */
     fun reserve(vcpus: Double): Double {
         var remaining = vcpus
         for (level in 1..LEVELS) {
--- a/src/main/kotlin/linemast/planning/JobPlanner.kt
+++ b/src/main/kotlin/linemast/planning/JobPlanner.kt
@@ -2,23 +2,23 @@
 
 import linemast.domain.Job
 
-/** When a job has to end: on the wall clock, and how long from now. */
+/** When a job has to end: in wall time, and as the time that remains from now. */
 internal class Deadline(val wallMicros: Long, val remainingMicros: Long)
 
-/** Plans jobs that may start, on the baseline capacity that jobs planned before have left in [forecast]. */
+/** Plans jobs that may start, on the baseline capacity that the reservations of jobs planned before have left in [forecast]. */
 internal class JobPlanner(
     private val forecast: BaselineForecast,
     private val runTimes: RunTimeEstimates,
     private val horizon: PlanningHorizon,
 ) {
     /**
-     * The plan of [job], and its reservations in the forecast.
+     * Returns a plan for [job] and reserves its baseline targets in the forecast.
      *
-     * @param previous the plan before; what the job is behind it is scaled out as a top-up.
+     * @param previous the previous plan of [job]; the tasks by which [job] is behind that plan are scaled out as a top-up.
      * @param startupMicros how long a scaled-out machine takes to start.
      */
     fun plan(job: Job, deadline: Deadline, startupMicros: Long, previous: JobPlan?): JobPlan {
-        // Tasks that already run are not planned again.
+        // Tasks whose start has been sent are not planned again.
         val tasks = (job.spec.taskCount - job.doneCount - job.placements.count { !it.isAssigned }).coerceAtLeast(0).toDouble()
         if (job.spec.isGang) return planGang(job, tasks, deadline)
         val shortfall = previous?.shortfall(job.doneCount, horizon.startMicros) ?: 0.0
@@ -43,7 +43,7 @@
         )
     }
 
-    /** The baseline targets of a job by interval, which are reserved in the forecast. */
+    /** Returns the baseline targets of [job] by interval and reserves them in the forecast. */
     private fun reserveBaseline(job: Job, tasks: Double, usable: UsableIntervals): DoubleArray {
         val throughput = DoubleArray(horizon.intervals) { i ->
             if (i in usable.indices) forecast.freeSlots(job, i) * usable.tasksPerSlot(i) else 0.0
@@ -58,18 +58,19 @@
     }
 
     /**
-     * Over which time scaled-out machines work on a job, given what its deadline leaves of it after a machine's start.
+     * Returns the time over which scaled-out machines work on a job that has [remainingMicros] from the start of a machine to its
+     * deadline.
      *
-     * No longer than [JobPlan.maxScaleOutSpanMicros]: machines are paid by the second, so that a longer span saves
-     * nothing, and work deferred to its deadline leaves no time for what comes later. What no scaled-out machine can finish
-     * in time is not worth one for each task: it gets the whole span.
+     * The span is at most [JobPlan.maxScaleOutSpanMicros]: machines are paid by the second, so that a longer span saves
+     * nothing, and work deferred to its deadline leaves no time for work that arrives later. A job whose tasks cannot finish
+     * on a scaled-out machine in time does not justify one machine per task: it gets the maximum span.
      */
     private fun scaleOutSpanMicros(remainingMicros: Long, taskMicros: Long): Long {
         val longest = JobPlan.maxScaleOutSpanMicros(horizon.intervalMicros, taskMicros)
         return if (remainingMicros < taskMicros) longest else minOf(remainingMicros, longest)
     }
 
-    /** A gang is planned whole, in the first interval, on the side that has capacity for it. */
+    /** Plans a gang as a whole in the first interval: on baseline machines if they have capacity for all its tasks, else scaled out. */
     private fun planGang(job: Job, tasks: Double, deadline: Deadline): JobPlan {
         val baseline = DoubleArray(horizon.intervals)
         val scaleOut = DoubleArray(horizon.intervals)
@@ -92,19 +93,25 @@
     }
 }
 
-/** The intervals in which a task of [taskMicros] can finish before the deadline; the first one is left to a job that is late already. */
+/**
+ * The intervals in which a task of [taskMicros] can finish before the deadline, which is [deadlineMicros] from now. The first
+ * interval is always usable, so that a job that is already late has one.
+ */
 private class UsableIntervals(private val horizon: PlanningHorizon, private val taskMicros: Long, private val deadlineMicros: Long) {
     val indices: List<Int> =
         (0 until horizon.intervals).takeWhile { it == 0 || it * horizon.intervalMicros + taskMicros <= deadlineMicros }
 
-    /** How many tasks one slot runs, one after another, in interval [interval] before the deadline. */
+    /** Returns how many tasks one slot runs, one after another, in the part of [interval] before the deadline. */
     fun tasksPerSlot(interval: Int): Double {
         val untilDeadline = deadlineMicros - interval * horizon.intervalMicros
         return JobPlan.tasksPerSlot(minOf(horizon.intervalMicros, maxOf(untilDeadline, taskMicros)), taskMicros)
     }
 }
 
-/** Scale-out targets of [tasks] in all: they go first where baseline targets are lowest, so that the sum is even. */
+/**
+ * Distributes [tasks] over the [usable] intervals as scale-out targets: first to the intervals with the lowest [baseline]
+ * targets, so that the sums of both targets become even.
+ */
 private fun distributeScaleOutTasks(baseline: DoubleArray, usable: List<Int>, tasks: Double): DoubleArray {
     val scaleOut = DoubleArray(baseline.size)
     if (usable.isEmpty() || tasks <= 0) return scaleOut
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -6,36 +6,40 @@
 import linemast.settings.Settings
 
 /**
- * Plans each job over long intervals as the paper does: baseline targets in proportion to forecast capacity, the rest scaled
- * out, backups for baseline capacity that is not free yet, and a top-up for what fell short. It owns the plans in force.
+ * Plans each job over long intervals as the paper does: baseline targets in proportion to forecast capacity, the remaining tasks
+ * scaled out, backup slots for baseline capacity that is not free yet, and a top-up for the shortfall against the previous plan.
+ * Holds the current plan of each job.
  */
 class Planner(settings: Settings, private val policy: Policy, private val runTimes: RunTimeEstimates) {
-    /** Which service-level objectives jobs can still meet. */
+    /** Computes which service-level objectives jobs can still meet. */
     val objectives = ServiceLevelObjectives(settings.objectives, settings.teams, runTimes)
     private val deadlines = JobDeadlines(settings.objectives)
     private val plans = HashMap<String, JobPlan>()
 
-    /** The plan of [job]; null if it has none yet. */
+    /** Returns the plan of [job]; null if it has none yet. */
     fun planOf(job: Job): JobPlan? = plans[job.id]
 
-    /** Drops the plans of all jobs but [ids]. */
+    /** Removes the plans of all jobs except [ids]. */
     fun retainPlans(ids: Set<String>) {
         plans.keys.retainAll(ids)
     }
 
-    /** Drops the plans of jobs [ids], so that they are planned anew. */
+    /** Removes the plans of the jobs [ids], so that they are planned again. */
     fun removePlans(ids: Collection<String>) = ids.forEach(plans::remove)
 
-    /** When [job] has to end, on the wall clock: its own or an implied deadline, or the end of its window in a pipeline. */
+    /** Returns when [job] has to end, in wall time: its own or an implied deadline, or the end of its window in a pipeline. */
     fun deadlineWallMicros(job: Job): Long = deadlines.wallMicros(job)
 
-    /** Whether [job] has to end clearly sooner than its plan says: a job that depends on it was accepted after it was planned. */
+    /**
+     * Whether [job] has to end more than a short interval before the deadline in its plan, because a job that depends on it
+     * was accepted after it was planned.
+     */
     fun isOutdated(job: Job): Boolean {
         val plan = plans[job.id] ?: return false
         return deadlineWallMicros(job) < plan.deadlineWallMicros - policy.shortIntervalMicros
     }
 
-    /** Plans jobs in the order of the [request], all of them anew or only those without a plan that still holds; then stages. */
+    /** Plans the jobs of [request] in their order, either all or only those without a plan that is up to date, and then the stages. */
     fun plan(request: PlanningRequest) {
         val horizon = PlanningHorizon(request.nowMicros, policy.longIntervalMicros, INTERVALS)
         val forecast = BaselineForecast(request.baselineMachines, horizon, runTimes, request.isExcluded)
@@ -51,7 +55,7 @@
         planStages(request, StagePlanner(forecast, runTimes, horizon))
     }
 
-    /** A plan that still holds keeps its baseline capacity. */
+    /** Reserves the baseline capacity of a [plan] that is still up to date. */
     private fun reserve(job: Job, plan: JobPlan, forecast: BaselineForecast) {
         for (interval in plan.baseline.indices) forecast.reserve(job, interval, plan.slotsInInterval(interval))
     }
@@ -61,7 +65,7 @@
         return Deadline(deadlineWallMicros, deadlineWallMicros - request.wallMicros)
     }
 
-    /** Plans the known stages of pipelines in the paper's order; a stage gets about the throughput of its neighbour. */
+    /** Plans the waiting stages of pipelines in the paper's order; each stage gets about the same throughput as its neighbour. */
     private fun planStages(request: PlanningRequest, stagePlanner: StagePlanner) {
         fun plan(stage: WaitingStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
             stagePlanner.plan(stage, neighbour, request.scaleOutEstimates.startupMicros(stage.job), deadline(stage.job, request), reserve)
@@ -76,7 +80,7 @@
         }
     }
 
-    /** What should be scaled out now for each of [jobs] that has a plan. */
+    /** Returns the scale-out demand at [nowMicros] of each of [jobs] that has a plan. */
     fun scaleOutDemands(jobs: List<Job>, isBaseline: (Machine) -> Boolean, nowMicros: Long): List<ScaleOutDemand> =
         jobs.mapNotNull { job -> plans[job.id]?.let { plan -> ScaleOutDemand.of(job, plan, isBaseline, nowMicros) } }
 
--- a/src/main/kotlin/linemast/planning/PlanningRequest.kt
+++ b/src/main/kotlin/linemast/planning/PlanningRequest.kt
@@ -5,24 +5,24 @@
 import linemast.domain.MachineType
 
 /**
- * What is known of the machines that could be scaled out for a job.
+ * Estimates for the machines that could be scaled out for a job.
  *
- * @property startupMicros how long they take to start.
+ * @property startupMicros how long the machines take to start.
  * @property vcpuPrice price of one vcpu for an hour.
  */
 class ScaleOutEstimates(val startupMicros: (Job) -> Long, val vcpuPrice: (Job) -> Double)
 
 /**
- * What one planning cycle starts from.
+ * The input of one planning cycle.
  *
  * @property jobs jobs that may start, in the order in which they get capacity.
- * @property stages jobs that wait for others; they are planned last, on the capacity that is left.
+ * @property stages jobs that wait for their dependencies; they are planned last, on the capacity that [jobs] leave.
  * @property baselineMachines machines whose free capacity is forecast.
- * @property isExcluded whether machines of a type, spot or not, are kept from a job that would fit them.
- * @property scaleOutEstimates start times and prices of the machines that could be scaled out.
- * @property replanAll plans all jobs anew; otherwise only those without a plan that still holds.
- * @property wallMicros now on the wall clock, which deadlines are on.
- * @property nowMicros now on the steady clock.
+ * @property isExcluded whether a job must not use machines of a type, spot or on-demand, although its tasks fit on them.
+ * @property scaleOutEstimates startup times and prices of the machines that could be scaled out.
+ * @property replanAll whether to replan all jobs; otherwise only jobs without a plan that is up to date are planned.
+ * @property wallMicros the current wall time, for deadlines.
+ * @property nowMicros the current time on the steady clock.
  */
 class PlanningRequest(
     val jobs: List<Job>,
--- a/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/linemast/planning/ServiceLevelObjectives.kt
@@ -5,16 +5,19 @@
 import linemast.settings.Team
 
 /**
- * Which service-level objectives a job can still meet.
+ * Computes which service-level objectives a job can still meet.
  *
- * When there is more work than capacity, the order in which it is done decides how many jobs meet their objectives: one that
- * has missed all of them already should not make the next one miss them as well.
+ * When demand exceeds capacity, the order of jobs decides how many of them meet their objectives: a job that has already
+ * missed all its objectives should not make the next job miss its own.
  */
 class ServiceLevelObjectives(objectives: List<Objective>, teams: List<Team>, private val runTimes: RunTimeEstimates) {
     private val maxVcpusByTeam = teams.associate { it.name to it.maxVcpus }
     private val byJobClass = objectives.filter { it.jobClass != null }.groupBy { it.jobClass }
 
-    /** How many objectives [job] cannot meet any more; 0 again once it has waited too long, so that it is not deferred for ever. */
+    /**
+     * Returns how many objectives [job] can no longer meet. The result is 0 again once the job has waited too long, so that it is
+     * not deferred forever.
+     */
     fun countUnreachable(job: Job, wallMicros: Long): Int {
         val objectives = byJobClass[job.spec.jobClass] ?: return 0
         if (job.placements.any { !it.isAssigned }) return 0
@@ -26,7 +29,7 @@
         return latestStarts.count { ageMicros > it }
     }
 
-    /** How long after it was ready [job] may start and still meet the objective; null if the objective does not bound that. */
+    /** Returns how long after it is ready [job] may start and still meet [objective]; null if [objective] does not bound the start. */
     private fun latestStartMicros(objective: Objective, job: Job, runMicros: Long): Long? = when (objective) {
         is Objective.Wait -> objective.withinMicros
         is Objective.Finished -> objective.withinMicros - runMicros
@@ -37,7 +40,10 @@
         is Objective.Guarantee, is Objective.Ignored -> null
     }
 
-    /** How many times over its team's limit makes it use the same slots: a job too large for its time is late from the start. */
+    /**
+     * Returns how many tasks of [job] run one after another in each slot under its team's vcpu limit: a job that is too large for
+     * its deadline under this limit is late from the start.
+     */
     private fun sequentialRounds(job: Job): Int {
         val maxVcpus = maxVcpusByTeam[job.spec.team]
         if (maxVcpus == null || job.spec.vcpus <= 0) return 1
@@ -46,7 +52,7 @@
     }
 
     private companion object {
-        /** No job is deferred for longer than this many times its latest start. */
+        /** No job is deferred for longer than this many times its latest start, or its run time if that is longer. */
         const val MAX_DEFERRAL_FACTOR = 5
     }
 }
--- a/src/main/kotlin/linemast/planning/StagePlanner.kt
+++ b/src/main/kotlin/linemast/planning/StagePlanner.kt
@@ -4,21 +4,22 @@
  * Plans a stage of a pipeline before it may start: within the window from the end of the last job that it depends on to the
  * time at which it has to end for the jobs that depend on it.
  *
- * The plan only tells what to scale out: nothing of it is placed, and jobs that may start are planned before it.
+ * The plan only determines the scale-out: it places no tasks, and jobs that may start are planned before the stage.
  */
 internal class StagePlanner(
     private val forecast: BaselineForecast,
     private val runTimes: RunTimeEstimates,
     private val horizon: PlanningHorizon,
 ) {
-    /** The time in which a stage runs, from now, and the estimated run time of its tasks. */
+    /** The window in which a stage runs, relative to now, and the estimated run time of its tasks. */
     private class Window(val startMicros: Long, val endMicros: Long, val taskMicros: Long)
 
     /**
-     * The plan of [stage], which has to end as [deadline] says. With [reserve], stages planned later find its baseline capacity taken.
+     * Returns a plan for [stage], which has to end by [deadline]. If [reserve] is set, reserves its baseline capacity, so that
+     * stages planned afterwards cannot use it.
      *
-     * [neighbour] is the plan of a stage next to it in its pipeline: this one is given about the same throughput, as the share of
-     * all tasks of the stage in a time, but never less than its own window asks for.
+     * [neighbour] is the plan of an adjacent stage of the pipeline. [stage] gets about the same throughput, measured as the share
+     * of a stage's tasks completed per unit of time, but never less than its own window requires.
      */
     fun plan(stage: WaitingStage, neighbour: JobPlan?, startupMicros: Long, deadline: Deadline, reserve: Boolean): JobPlan {
         val taskMicros = runTimes.estimateMicros(stage.job)
@@ -40,7 +41,10 @@
         )
     }
 
-    /** A gang is planned whole, on the side that has capacity for all of it. */
+    /**
+     * Returns the baseline targets of [stage] by interval. A gang is planned as a whole: on baseline machines if they have capacity
+     * for all its tasks, otherwise scaled out.
+     */
     private fun baselineTargets(stage: WaitingStage, tasks: Double, window: Window): DoubleArray {
         val throughput = DoubleArray(horizon.intervals) { i -> throughput(stage, window, i) }
         val totalThroughput = throughput.sum()
@@ -61,14 +65,14 @@
         }
     }
 
-    /** All of it counts in the interval in which the stage starts. */
+    /** Returns scale-out targets that have all [tasks] in the interval in which [stage] starts. */
     private fun scaleOutTargets(stage: WaitingStage, tasks: Double): DoubleArray {
         val scaleOut = DoubleArray(horizon.intervals)
         scaleOut[(stage.startsInMicros / horizon.intervalMicros).toInt().coerceIn(0, horizon.intervals - 1)] = tasks
         return scaleOut
     }
 
-    /** Over which time scaled-out machines work on a stage: as long as on its neighbour, as far as its window allows. */
+    /** Returns the time over which scaled-out machines work on a stage: the same as for its neighbour, as far as its window allows. */
     private fun scaleOutSpanMicros(window: Window, startupMicros: Long, neighbour: JobPlan?): Long {
         val availableMicros = window.endMicros - maxOf(window.startMicros, startupMicros)
         val longest = when {
@@ -79,7 +83,7 @@
         return minOf(longest, maxOf(neighbourSpanMicros, window.taskMicros))
     }
 
-    /** The part of interval [interval] that lies in [window]; not more than 0 if there is none. */
+    /** Returns how long [interval] overlaps [window]; 0 or less if it does not. */
     private fun overlapMicros(window: Window, interval: Int): Long = minOf(window.endMicros, (interval + 1) * horizon.intervalMicros) -
         maxOf(window.startMicros, interval * horizon.intervalMicros)
 }
--- a/src/main/kotlin/linemast/planning/WaitingStage.kt
+++ b/src/main/kotlin/linemast/planning/WaitingStage.kt
@@ -3,21 +3,22 @@
 import linemast.domain.Job
 
 /**
- * A job that waits for others, as far as it can be planned before it may start.
+ * A job that waits for its dependencies, with the data for planning it before it may start.
  *
  * @property job the job that waits.
- * @property dependencies ids of the jobs that it waits for, running ones and waiting ones.
- * @property startsInMicros how long until the last of them ends, by estimate.
+ * @property dependencies ids of the jobs that [job] waits for, both running and waiting ones.
+ * @property startsInMicros estimated time until the last of the [dependencies] ends.
  */
 class WaitingStage(val job: Job, val dependencies: Set<String>, val startsInMicros: Long)
 
-/** A stage in the order of planning, with the stage next to it that was planned before it; null for the first of its pipeline. */
+/** A stage in the order of planning; [neighbour] is the adjacent stage planned before it, null for the first of its pipeline. */
 internal class OrderedStage(val stage: WaitingStage, val neighbour: WaitingStage?)
 
 /**
- * The paper's order of stages: from the one with the highest scale-out cost outward to its parents and children.
+ * Returns [stages] in the paper's order of planning: from the stage with the highest scale-out cost outward to its parents and
+ * children.
  *
- * Stages that are connected by dependencies make up one pipeline; each pipeline begins with its costliest stage.
+ * Stages that are connected by dependencies form one pipeline; each pipeline begins with its costliest stage.
  */
 internal fun costliestFirst(stages: List<WaitingStage>, scaleOutCost: (WaitingStage) -> Double): List<OrderedStage> {
     val costs = stages.associateWith(scaleOutCost)
--- a/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
+++ b/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
@@ -5,9 +5,12 @@
 import org.junit.jupiter.api.Test
 
 class DemandMonitorTest {
-    /** A lull after a burst of first submissions once made the leader scale in the whole baseline. */
+    /**
+     * Guards against a scale-in of the whole baseline during a pause: after a burst of first submissions an ordinary pause is many
+     * times the gap within the burst.
+     */
     @Test
-    fun `a pause after a burst is not the end of demand, a long time without submissions is`() {
+    fun `demand has not ceased in a pause after a burst, but has ceased after a long time without submissions`() {
         val demand = DemandMonitor()
         var now = 0L
         fun pass(seconds: Int) = repeat(seconds * 4) {
@@ -19,14 +22,14 @@
             demand.recordSubmission(now)
         }
         pass(3_600)
-        assertFalse(demand.hasCeased(), "too few submissions to tell")
+        assertFalse(demand.hasCeased(), "demand has not ceased if there were too few submissions to tell the usual gap")
         repeat(20) {
             pass(20)
             demand.recordSubmission(now)
         }
         pass(80)
         assertFalse(demand.hasCeased())
-        // An outage without ticks, in which no job could have been submitted.
+        // An outage without ticks, in which no job can be submitted, does not count as time without submissions.
         now += 400_000_000L
         pass(80)
         assertFalse(demand.hasCeased())
--- a/src/test/kotlin/linemast/autoscaling/IntervalTimerTest.kt
+++ b/src/test/kotlin/linemast/autoscaling/IntervalTimerTest.kt
@@ -4,6 +4,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
+/** When a repeated action is due. */
 class IntervalTimerTest {
     private val timer = IntervalTimer(intervalMicros = 1_000_000)
 
--- a/src/test/kotlin/linemast/cloud/CapacityBackOffTest.kt
+++ b/src/test/kotlin/linemast/cloud/CapacityBackOffTest.kt
@@ -12,7 +12,7 @@
     private val shape = MachineShape(type, "a", spot = true)
     private val backOff = CapacityBackOff()
 
-    /** Refuses the shape at [nowMicros] and checks that it is available again after exactly [expectedMicros]. */
+    /** Records a refusal at [nowMicros], checks that the back-off lasts exactly [expectedMicros], and returns its end. */
     private fun assertBackOff(nowMicros: Long, expectedMicros: Long): Long {
         backOff.recordRefusal(shape, nowMicros)
         val endMicros = nowMicros + expectedMicros
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `the back-off doubles with each refusal up to eight times the first`() {
+    fun `the back-off doubles with each refusal up to eight times the first back-off`() {
         var nowMicros = 1_000_000L
         for (seconds in listOf(8, 16, 32, 64, 64)) nowMicros = assertBackOff(nowMicros, seconds * 1_000_000L)
     }
@@ -40,7 +40,7 @@
     }
 
     @Test
-    fun `a grant ends the back-off and the count of refusals`() {
+    fun `a grant ends the back-off and resets the count of refusals`() {
         assertBackOff(nowMicros = 1_000_000, expectedMicros = 8_000_000)
         backOff.recordGrant(shape)
         assertTrue(backOff.isAvailable(shape, nowMicros = 1_000_001))
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `a refusal of one zone leaves the others available`() {
+    fun `a refusal in one zone leaves the shape available in other zones`() {
         backOff.recordRefusal(shape, nowMicros = 1_000_000)
         assertTrue(backOff.isAvailable(MachineShape(type, "b", spot = true), nowMicros = 1_000_001))
     }
--- a/src/test/kotlin/linemast/cloud/CloudCodecTest.kt
+++ b/src/test/kotlin/linemast/cloud/CloudCodecTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The names of the cloud's protocol, and what its answers may leave out. */
+/** The names of the cloud's protocol, and the fields that its responses may omit. */
 class CloudCodecTest {
     private val machine = mapOf(
         "name_id" to "host-000001",
@@ -21,24 +21,24 @@
     )
 
     @Test
-    fun `a scale-out request has the protocol's names`() {
+    fun `a scale-out request is encoded with the protocol's names`() {
         val expected = mapOf("charter" to "r-7-1", "build" to "small", "yard" to "a", "loaners" to true, "number" to 3)
         assertEquals(expected, CloudCodec.encodeScaleOut(ScaleOutRequest("r-7-1", "small", "a", spot = true, machineCount = 3)))
     }
 
     @Test
-    fun `a scale-in request has the protocol's names`() {
+    fun `a scale-in request is encoded with the protocol's names`() {
         assertEquals(mapOf("rigs" to listOf("host-000001")), CloudCodec.encodeScaleIn(listOf("host-000001")))
     }
 
     @Test
-    fun `a later page of the machine list begins after the last name`() {
+    fun `each further page of the machine list begins after the last name of the previous page`() {
         assertEquals("/machines?limit=500", CloudCodec.machinePagePath(null))
         assertEquals("/machines?limit=500&after=host-000001", CloudCodec.machinePagePath("host-000001"))
     }
 
     @Test
-    fun `a listed machine is read with all its fields`() {
+    fun `a listed machine is decoded with all its fields`() {
         val page = CloudCodec.decodeMachinePage(Fields(mapOf("rigs" to listOf(machine), "truncated" to true)))
         assertTrue(page.truncated)
         val listed = page.machines.single()
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `an absent optional field has its default`() {
+    fun `an absent optional field is decoded as its default`() {
         val page = CloudCodec.decodeMachinePage(Fields(mapOf("rigs" to listOf(machine - setOf("addr", "loaners", "age_s")))))
         assertFalse(page.truncated)
         val listed = page.machines.single()
--- a/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleInPolicyTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
-/** Which idle machines are removed, and when. */
+/** Which idle machines are scaled in, and when. */
 class ScaleInPolicyTest {
     private val type = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, listOf("z"))
     private val policy = ScaleInPolicy(testSettings().workers, Policy())
@@ -30,7 +30,7 @@
     }
 
     @Test
-    fun `once demand has ceased no idle machine is kept for longer than heartbeats may be late`() {
+    fun `once demand has ceased an idle machine is scaled in as soon as no running task can be missing from its heartbeats`() {
         for (isBaseline in listOf(false, true)) {
             assertNull(reasonAfter(4_000_000, isBaseline, demandCeased = true))
             assertEquals(
--- a/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
+++ b/src/test/kotlin/linemast/cloud/ScaleOutRequestsTest.kt
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** How many scale-out requests are pending at once, given the few calls that the cloud takes in a second. */
+/** How many scale-out requests are pending at once, given the few calls that the cloud accepts in a second. */
 class ScaleOutRequestsTest {
     private val type = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, listOf("a", "b"))
     private val types = mapOf(type.name to type)
 
-    /** The settings say five calls a second. */
+    /** The test settings allow five calls to the cloud in a second. */
     private val fleet = Fleet(testSettings(), Policy(), fencingToken = 1).also { it.baselineMachines = emptySet() }
     private val unconstrained = ScaleOutConstraints(maxSlots = { Double.MAX_VALUE }, isExcluded = { _, _, _ -> false })
     private val job = Job(
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `no more requests are pending than the cloud takes in a second`() {
+    fun `no more requests are pending than the cloud accepts in a second`() {
         val first = requestsFor(400)
         assertEquals(List(5) { 50 }, first.map { it.machineCount })
         assertTrue(fleet.hasDeferredDemand)
@@ -50,7 +50,7 @@
     }
 
     @Test
-    fun `demand that pending requests will meet is not requested again`() {
+    fun `demand that pending requests cover is not requested again`() {
         assertEquals(listOf(50, 50), requestsFor(100).map { it.machineCount })
         assertFalse(fleet.hasDeferredDemand)
         assertEquals(0, requestsFor(100).size)
--- a/src/test/kotlin/linemast/planning/PlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/PlannerTest.kt
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
+/** How many tasks of a job are planned on baseline machines, and how many are scaled out. */
 class PlannerTest {
     @ParameterizedTest
     @ValueSource(ints = [3])
@@ -30,9 +31,9 @@
             val plan = plan(job, machines)
             val tasks = job.spec.taskCount.toDouble()
             assertTrue(plan.baseline.all { it >= 0 } && plan.scaleOut.all { it >= -1e-6 })
-            assertEquals(tasks, plan.baseline.sum() + plan.scaleOut.sum(), tasks * 1e-6 + 1e-6, "all tasks are planned, once")
-            if (machines.isEmpty()) assertEquals(tasks, plan.scaleOut.sum(), 1e-6, "without baseline machines all is scaled out")
-            // Nothing is planned into intervals that end after the deadline, but for the first.
+            assertEquals(tasks, plan.baseline.sum() + plan.scaleOut.sum(), tasks * 1e-6 + 1e-6, "each task is planned exactly once")
+            if (machines.isEmpty()) assertEquals(tasks, plan.scaleOut.sum(), 1e-6, "without baseline machines all tasks are scaled out")
+            // Except for the first interval, no task is planned into an interval in which it cannot finish before the deadline.
             val due = job.spec.deadlineMicros ?: 0L
             for (i in 1 until plan.baseline.size) {
                 if (i * 60_000_000L + plan.taskMicros > due) assertEquals(0.0, plan.baseline[i] + plan.scaleOut[i], 1e-9)
@@ -41,7 +42,7 @@
     }
 
     @Test
-    fun `baseline targets are in proportion to free capacity when that suffices`() {
+    fun `baseline targets are in proportion to free capacity if it suffices for all tasks`() {
         val machine = Machine("host-1", eightVcpuType, "z", false)
         val plan = plan(job("req-1", 12, estimateS = 30, deadlineS = 180), listOf(machine))
         assertEquals(listOf(4.0, 4.0, 4.0), plan.baseline.take(3))
@@ -49,7 +50,7 @@
     }
 
     @Test
-    fun `what fell short of a plan is scaled out in the next one`() {
+    fun `tasks that fell short of a plan are scaled out in the next plan`() {
         val machine = Machine("host-1", eightVcpuType, "z", false)
         val planner = planner()
         val job = job("req-1", 16, estimateS = 30, deadlineS = 300)
@@ -61,7 +62,7 @@
     }
 
     @Test
-    fun `baseline capacity that is not free yet is backed up until it is granted`() {
+    fun `backup slots are scaled out for baseline capacity that is not free yet until it is granted`() {
         val machine = Machine("host-1", eightVcpuType, "z", false)
         val other = job("req-9", 8, estimateS = 30, deadlineS = 100)
         repeat(8) { index ->
@@ -83,7 +84,7 @@
     }
 
     @Test
-    fun `work for scaled-out machines is not deferred to a distant deadline`() {
+    fun `scaled-out machines do not defer work to a distant deadline`() {
         val tasks = 40
         // Two long intervals hold three tasks of 40 s one after another.
         assertEquals(tasks / 3.0, plan(job("req-1", tasks, estimateS = 40, deadlineS = 600), emptyList()).scaleOutSlots, 1e-6)
--- a/src/test/kotlin/linemast/planning/PlanningFixture.kt
+++ b/src/test/kotlin/linemast/planning/PlanningFixture.kt
@@ -12,7 +12,7 @@
 
 internal fun planner() = Planner(testSettings(), Policy(), RunTimeEstimates())
 
-/** A planning cycle over [jobs] and [stages] in which no machine is closed to any job. */
+/** Returns a request to plan [jobs] and [stages] in which no machine is excluded for any job. */
 internal fun planningRequest(
     jobs: List<Job> = emptyList(),
     machines: List<Machine> = emptyList(),
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -12,11 +12,12 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
+/** Plans of pipeline stages that may not start yet, and deadlines of jobs in pipelines. */
 class StagePlannerTest {
     private val machines = List(2) { Machine("host-$it", eightVcpuType, "z", false) }
 
     @Test
-    fun `stages are planned from the costliest outward, each next to one planned before it`() {
+    fun `stages are ordered from the costliest one outward, each with the neighbour that precedes it in this order`() {
         val stages =
             listOf(stage(2, 4, setOf(1)), stage(3, 90, setOf(2)), stage(4, 8, setOf(3)), stage(5, 2, setOf(4)), stage(8, 50, setOf(7)))
         val order = costliestFirst(stages) { it.job.spec.taskCount.toDouble() }.map { it.stage.job.id to it.neighbour?.job?.id }
@@ -25,26 +26,26 @@
     }
 
     @Test
-    fun `a stage is planned in its window, and scaled out for its neighbour's throughput`() {
+    fun `a stage is planned within its window and scaled out for the throughput of its neighbour`() {
         val planner = planner()
         val slow = stage(2, 40, setOf(1), startsInS = 70, estimateS = 20, deadlineS = 400)
         planner.plan(planningRequest(machines = machines, stages = listOf(slow)))
         val alone = requireNotNull(planner.planOf(slow.job))
-        assertEquals(0.0, alone.baseline[0], 1e-9, "nothing before it can start")
-        assertEquals(40.0, alone.baseline.sum() + alone.scaleOut.sum(), 1e-6, "all tasks are planned, once")
+        assertEquals(0.0, alone.baseline[0], 1e-9, "no task is planned before the stage can start")
+        assertEquals(40.0, alone.baseline.sum() + alone.scaleOut.sum(), 1e-6, "each task is planned exactly once")
         val first = stage(2, 200, setOf(1), startsInS = 0, estimateS = 20, deadlineS = 60)
         val child = stage(3, 40, setOf(2), startsInS = 70, estimateS = 20, deadlineS = 400)
         val other = planner()
         other.plan(planningRequest(stages = listOf(first, child)))
         val paced = requireNotNull(other.planOf(child.job))
-        assertEquals(3L, requireNotNull(other.planOf(first.job)?.spanMicros) / 20_000_000, "three rounds until it is due")
-        assertEquals(40.0 / 3, paced.scaleOutSlots, 1e-6, "as long as its neighbour, where its window alone would allow sixteen rounds")
+        assertEquals(3L, requireNotNull(other.planOf(first.job)?.spanMicros) / 20_000_000, "tasks per slot before the deadline")
+        assertEquals(40.0 / 3, paced.scaleOutSlots, 1e-6, "three tasks per slot as for the neighbour, not the sixteen of the window")
     }
 
-    /** Whatever waits, jobs that may start are planned as without it. */
+    /** Guards against a waiting stage taking capacity from jobs that may start: their plans are the same with and without stages. */
     @ParameterizedTest
     @ValueSource(ints = [12])
-    fun `waiting stages change no plan of a job that may start`(seed: Int) {
+    fun `waiting stages do not change the plans of jobs that may start`(seed: Int) {
         val random = Random(seed)
         repeat(100) {
             val jobs =
@@ -75,7 +76,7 @@
     }
 
     @Test
-    fun `a job is planned anew once a job accepted later depends on it ending sooner`() {
+    fun `a job is replanned once a job that is accepted afterwards requires it to end sooner`() {
         val planner = planner()
         val job = job("req-1", 60, 30, 600)
         planner.plan(planningRequest(listOf(job), machines))
@@ -89,9 +90,9 @@
         assertFalse(planner.isOutdated(job))
     }
 
-    /** `due_s` counts from the submission, however long a job waited; all other times from when its last dependency was done. */
+    /** `due_s` counts from the submission, however long the job waits; all other times count from the completion of its last dependency. */
     @Test
-    fun `a deadline counts from the submission and a wait from the release`() {
+    fun `a deadline counts from the submission and other times count from the release`() {
         val spec = testSpec("req-1", "due_s" to 100.0, "awaits" to listOf("req-0"))
         val record = JobRecord(spec, 5_000_000, activated = false, cancelled = false).released(80_000_000)
         val job = Job(record, 1, inherited = false)
@@ -99,7 +100,7 @@
         assertEquals(80_000_000, job.readyWallMicros)
         val withoutDeadline =
             Job(JobRecord(spec.copy(deadlineMicros = null), 5_000_000, false, false).released(80_000_000), 1, inherited = false)
-        assertTrue(planner().deadlineWallMicros(withoutDeadline) > 80_000_000, "planned as if due some time after it could start")
+        assertTrue(planner().deadlineWallMicros(withoutDeadline) > 80_000_000, "the implied deadline counts from the release")
     }
 
     private fun stage(id: Int, tasks: Int, dependencies: Set<Int>, startsInS: Int = 10, estimateS: Int = 20, deadlineS: Int = 300) =
