--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -53,7 +53,7 @@
             request.machineCount,
             request.machineType,
             request.zone,
-            suffix(request.spot),
+            spotSuffix(request.spot),
         )
         val shape = MachineShape(type, request.zone, request.spot)
         if (names.size < request.machineCount) backOff.recordRefusal(shape, nowMicros) else backOff.recordGrant(shape)
@@ -62,7 +62,7 @@
     /** Records that the cloud has no capacity for [request]; its machine shape is not requested again during a back-off. */
     fun recordScaleOutRefused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
         scaleOutPlanner.removePending(request)
-        log.debug("no capacity for {} in {}{}", request.machineType, request.zone, suffix(request.spot))
+        log.debug("no capacity for {} in {}{}", request.machineType, request.zone, spotSuffix(request.spot))
         val type = types[request.machineType] ?: return
         backOff.recordRefusal(MachineShape(type, request.zone, request.spot), nowMicros)
     }
@@ -105,7 +105,7 @@
     /** Whether machine [name] is a baseline machine; all machines count as baseline machines until the baseline is known. */
     fun isBaseline(name: String): Boolean = inventory.isBaseline(name)
 
-    private fun suffix(spot: Boolean) = if (spot) " (spot)" else ""
+    private fun spotSuffix(spot: Boolean) = if (spot) " (spot)" else ""
 
     private companion object {
         const val MIN_PENDING_REQUESTS = 2
--- a/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleOutPlanner.kt
@@ -55,8 +55,8 @@
             val slots = unmetSlots(demand, supply, constraints)
             if (slots < MIN_SLOTS) continue
             val shape = availableShapes(job, types, nowMicros).firstOrNull { !constraints.isExcluded(it.type, it.spot, job) } ?: continue
-            val wanted = Math.ceil(slots / slotsPerMachine(shape.type, job.spec) - SLOT_EPSILON).toInt()
-            val count = minOf(wanted, ((limits.maxVcpus - usedVcpus) / shape.type.vcpus).toInt())
+            val neededMachines = Math.ceil(slots / slotsPerMachine(shape.type, job.spec) - SLOT_EPSILON).toInt()
+            val count = minOf(neededMachines, ((limits.maxVcpus - usedVcpus) / shape.type.vcpus).toInt())
             if (count <= 0) continue
             // Demand is met only by what the cloud grants; after a refusal the next shape is requested soon.
             machinesByShape.merge(shape, count, Int::plus)
--- a/src/main/kotlin/linemast/planning/JobPlan.kt
+++ b/src/main/kotlin/linemast/planning/JobPlan.kt
@@ -47,8 +47,8 @@
 
     /** Returns how many tasks this plan expects to be completed from its start to [nowMicros]. */
     private fun tasksExpectedBy(nowMicros: Long): Double {
-        val passed = (nowMicros - horizon.startMicros).toDouble() / horizon.intervalMicros
-        return baseline.indices.sumOf { i -> (baseline[i] + scaleOut[i]) * (passed - i).coerceIn(0.0, 1.0) }
+        val elapsedIntervals = (nowMicros - horizon.startMicros).toDouble() / horizon.intervalMicros
+        return baseline.indices.sumOf { i -> (baseline[i] + scaleOut[i]) * (elapsedIntervals - i).coerceIn(0.0, 1.0) }
     }
 
     /** Returns how many concurrent tasks are planned on baseline machines in the interval that contains [nowMicros]. */
--- a/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
+++ b/src/test/kotlin/linemast/autoscaling/DemandMonitorTest.kt
@@ -13,27 +13,27 @@
     fun `demand has not ceased in a pause after a burst, but has ceased after a long time without submissions`() {
         val demand = DemandMonitor()
         var now = 0L
-        fun pass(seconds: Int) = repeat(seconds * 4) {
+        fun advance(seconds: Int) = repeat(seconds * 4) {
             now += 250_000
             demand.tick(now)
         }
         repeat(6) {
-            pass(1)
+            advance(1)
             demand.recordSubmission(now)
         }
-        pass(3_600)
+        advance(3_600)
         assertFalse(demand.hasCeased(), "demand has not ceased if there were too few submissions to tell the usual gap")
         repeat(20) {
-            pass(20)
+            advance(20)
             demand.recordSubmission(now)
         }
-        pass(80)
+        advance(80)
         assertFalse(demand.hasCeased())
         // An outage without ticks, in which no job can be submitted, does not count as time without submissions.
         now += 400_000_000L
-        pass(80)
+        advance(80)
         assertFalse(demand.hasCeased())
-        pass(60)
+        advance(60)
         assertTrue(demand.hasCeased())
     }
 }
--- a/src/test/kotlin/linemast/planning/PlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/PlannerTest.kt
@@ -73,8 +73,8 @@
         val planner = planner()
         val job = job("req-1", 8, estimateS = 30, deadlineS = 60)
         planner.plan(planningRequest(listOf(job), listOf(machine)))
-        val backed = planner.scaleOutDemands(listOf(job), { it === machine }, 0L).single().slots
-        assertTrue(backed > 0.0)
+        val backupSlots = planner.scaleOutDemands(listOf(job), { it === machine }, 0L).single().slots
+        assertTrue(backupSlots > 0.0)
         repeat(8) { index ->
             val granted = Placement(machine, TaskId("req-1", index), 2, job)
             granted.phase = Placement.Phase.RUNNING
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -28,18 +28,18 @@
     @Test
     fun `a stage is planned within its window and scaled out for the throughput of its neighbour`() {
         val planner = planner()
-        val slow = stage(2, 40, setOf(1), startsInS = 70, estimateS = 20, deadlineS = 400)
-        planner.plan(planningRequest(machines = machines, stages = listOf(slow)))
-        val alone = requireNotNull(planner.planOf(slow.job))
+        val lateStage = stage(2, 40, setOf(1), startsInS = 70, estimateS = 20, deadlineS = 400)
+        planner.plan(planningRequest(machines = machines, stages = listOf(lateStage)))
+        val alone = requireNotNull(planner.planOf(lateStage.job))
         assertEquals(0.0, alone.baseline[0], 1e-9, "no task is planned before the stage can start")
         assertEquals(40.0, alone.baseline.sum() + alone.scaleOut.sum(), 1e-6, "each task is planned exactly once")
         val first = stage(2, 200, setOf(1), startsInS = 0, estimateS = 20, deadlineS = 60)
         val child = stage(3, 40, setOf(2), startsInS = 70, estimateS = 20, deadlineS = 400)
-        val other = planner()
-        other.plan(planningRequest(stages = listOf(first, child)))
-        val paced = requireNotNull(other.planOf(child.job))
-        assertEquals(3L, requireNotNull(other.planOf(first.job)?.spanMicros) / 20_000_000, "tasks per slot before the deadline")
-        assertEquals(40.0 / 3, paced.scaleOutSlots, 1e-6, "three tasks per slot as for the neighbour, not the sixteen of the window")
+        val pipelinePlanner = planner()
+        pipelinePlanner.plan(planningRequest(stages = listOf(first, child)))
+        val childPlan = requireNotNull(pipelinePlanner.planOf(child.job))
+        assertEquals(3L, requireNotNull(pipelinePlanner.planOf(first.job)?.spanMicros) / 20_000_000, "tasks per slot before the deadline")
+        assertEquals(40.0 / 3, childPlan.scaleOutSlots, 1e-6, "three tasks per slot as for the neighbour, not the sixteen of the window")
     }
 
     /** Guards against a waiting stage taking capacity from jobs that may start: their plans are the same with and without stages. */
@@ -62,14 +62,14 @@
                     30 + random.nextInt(300),
                 )
             }
-            val without = planner().also { it.plan(planningRequest(jobs, machines, startupMicros = 30_000_000)) }
-            val with = planner().also { it.plan(planningRequest(jobs, machines, stages, startupMicros = 30_000_000)) }
+            val plannerWithoutStages = planner().also { it.plan(planningRequest(jobs, machines, startupMicros = 30_000_000)) }
+            val plannerWithStages = planner().also { it.plan(planningRequest(jobs, machines, stages, startupMicros = 30_000_000)) }
             for (job in jobs) {
-                val one = requireNotNull(without.planOf(job))
-                val other = requireNotNull(with.planOf(job))
+                val planWithoutStages = requireNotNull(plannerWithoutStages.planOf(job))
+                val planWithStages = requireNotNull(plannerWithStages.planOf(job))
                 assertEquals(
-                    one.baseline.toList() + one.scaleOut.toList() + one.scaleOutSlots,
-                    other.baseline.toList() + other.scaleOut.toList() + other.scaleOutSlots,
+                    planWithoutStages.baseline.toList() + planWithoutStages.scaleOut.toList() + planWithoutStages.scaleOutSlots,
+                    planWithStages.baseline.toList() + planWithStages.scaleOut.toList() + planWithStages.scaleOutSlots,
                 )
             }
         }
