--- a/src/main/kotlin/linemast/autoscaling/DemandMonitor.kt
+++ b/src/main/kotlin/linemast/autoscaling/DemandMonitor.kt
@@ -40,7 +40,7 @@
     private companion object {
         const val MAX_SUBMISSIONS = 16
 
-        /** The usual gap cannot be told from fewer submissions. */
+        /** Fewer submissions are too few to determine the usual gap. */
         const val MIN_SUBMISSIONS = 8
         const val MAX_GAPS = 10
         const val MIN_PAUSE_MICROS = 40_000_000L
--- a/src/main/kotlin/linemast/cloud/Cloud.kt
+++ b/src/main/kotlin/linemast/cloud/Cloud.kt
@@ -8,7 +8,7 @@
 /** The cloud's limit on the number of machines that one scale-in call may name. */
 const val MAX_MACHINES_PER_SCALE_IN_CALL = 100
 
-/** The cloud's API, as far as the controllers use it. Calls throw a [CloudException] unless their documentation says otherwise. */
+/** The cloud's API, as far as the controllers use it. Calls throw a [CloudException] unless documented otherwise. */
 interface Cloud {
     /** Returns the machine types that the cloud offers. */
     suspend fun listMachineTypes(): List<MachineType>
