--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -31,7 +31,7 @@
      * that is up to date.
      */
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
-        val baseline = cluster.machines.values.filter { it.baseline && !it.draining && nowMicros < it.leaseEndMicros }
+        val baseline = cluster.machines.values.filter { it.isBaseline && !it.draining && nowMicros < it.leaseEndMicros }
         // Waiting stages get the capacity that the other jobs leave, and are planned again when they are released.
         planner.removePlans(waitingIds)
         waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
@@ -41,7 +41,7 @@
                 jobs,
                 stages = waitingStages,
                 baselineMachines = baseline,
-                isExcluded = cluster::isClosedTo,
+                isExcluded = cluster::isExcluded,
                 ScaleOutEstimates(estimates::startupMicros, estimates::pricePerVcpu),
                 replanAll = isFull,
                 wallMicros,
@@ -52,7 +52,7 @@
         jobs.forEach { plannedIds += it.id }
         planner.retainPlans(plannedIds + waitingIds)
         cluster.plannedBaselineTasks = { job -> baselineSlots(job, nowMicros) }
-        cluster.dirty = true
+        cluster.needsScheduling = true
         if (isFull) logPlans(jobs)
     }
 
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -61,9 +61,9 @@
         if (result == ScaleOutResult.Unknown) return fleet.recordScaleOutAbandoned(request)
         val granted = (result as? ScaleOutResult.Granted)?.names
         if (granted == null) {
-            fleet.recordScaleOutRefused(request, cluster.types, now)
+            fleet.recordScaleOutRefused(request, cluster.machineTypes, now)
         } else {
-            fleet.recordScaleOutGranted(request, granted, cluster.types, now)
+            fleet.recordScaleOutGranted(request, granted, cluster.machineTypes, now)
         }
         if ((granted?.size ?: 0) < request.machineCount || fleet.hasDeferredDemand) autoscaler.scaleSoon()
     }
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -29,7 +29,7 @@
     /** Reads until it succeeds; the result says from where on changes have to be watched. */
     suspend fun load(): JobRevisions = RETRY.untilResult(log, "reading the store") {
         types()?.let { known ->
-            cluster.types = known.associateBy { it.name }
+            cluster.machineTypes = known.associateBy { it.name }
             read()
         }
     }
@@ -37,14 +37,14 @@
     private suspend fun read(): JobRevisions {
         val sentMicros = term.clock.nowMicros()
         val open = term.store.listAll(JobKeys.OPEN_PREFIX)
-        val blocked = term.store.listAll(JobKeys.WAITING_PREFIX)
-        val completed = term.store.listAll(JobKeys.DONE_PREFIX)
+        val blocked = term.store.listAll(JobKeys.BLOCKED_PREFIX)
+        val completed = term.store.listAll(JobKeys.COMPLETED_TASKS_PREFIX)
         val machines = machineRegistryStore.load()
         val records = open.entries.map { StoredJobRecord(JobRecordCodec.decode(it.value), it.revision) }
         cluster.load(records, machines, term.clock.nowMicros())
         applyCompletedTasks(completed.entries)
         dependencyCoordinator.load(blocked.entries)
-        cancellationFreshness.refreshedAt(sentMicros)
+        cancellationFreshness.recordRefresh(sentMicros)
         log.info("read {} open jobs and {} machines from the store", records.size, machines.size)
         return JobRevisions(open.revision, blocked.revision)
     }
@@ -53,7 +53,7 @@
     private fun applyCompletedTasks(entries: List<Entry>) {
         val orphaned = ArrayList<String>()
         for (entry in entries) {
-            val (id, part) = entry.key.removePrefix(JobKeys.DONE_PREFIX).split('/')
+            val (id, part) = entry.key.removePrefix(JobKeys.COMPLETED_TASKS_PREFIX).split('/')
             val job = cluster.jobs[id]
             if (job == null) orphaned += entry.key else completedTasks.apply(job, entry, part.toInt())
         }
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -53,14 +53,14 @@
     val heartbeatIntervalMicros = settings.workers.heartbeatIntervalMicros
 
     private val effects = object : ClusterEffects {
-        override fun storeActivation(job: Job) {
+        override fun persistActivation(job: Job) {
             at(20_000) {
                 job.activation = Job.Activation.ACTIVE
-                cluster.dirty = true
+                cluster.needsScheduling = true
             }
         }
 
-        override fun storeDone(job: Job) {
+        override fun persistProgress(job: Job) {
             if (job.isDone) {
                 doneJobs[job.id] = now
                 job.finished = true
@@ -69,11 +69,11 @@
             job.storedProgress.dirtyParts.clear()
         }
 
-        override fun storeMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
+        override fun registerMachines(machines: List<Machine>) = machines.forEach { it.isRegistered = true }
 
-        override fun dropMachines(names: List<String>) = Unit
+        override fun unregisterMachines(names: List<String>) = Unit
 
-        override fun dropCancelled(job: Job) = Unit
+        override fun deleteCancelledJob(job: Job) = Unit
     }
 
     /** All that a leader holds in memory; a take-over begins with another one. */
@@ -96,7 +96,7 @@
     fun takeOver() {
         val before = leader
         leader = LeaderState(before.fencingToken + 1)
-        cluster.types = before.cluster.types
+        cluster.machineTypes = before.cluster.machineTypes
         val open = before.cluster.jobs.values.filter { !it.finished }
         cluster.load(
             open.map {
@@ -106,13 +106,13 @@
             before.cluster.machines.values.filter { it.isRegistered }.map { Machine(it.name, it.type, it.zone, it.spot) },
             now,
         )
-        for (job in open) job.done.stream().forEach { cluster.jobs.getValue(job.id).markDone(it) }
+        for (job in open) job.completedTasks.stream().forEach { cluster.jobs.getValue(job.id).markCompleted(it) }
         fleet.baselineMachines = before.fleet.baselineMachines
         fleet.baselineMachines?.let(cluster::markBaseline)
     }
 
     init {
-        cluster.types = types.associateBy { it.name }
+        cluster.machineTypes = types.associateBy { it.name }
         cluster.load(emptyList(), emptyList(), now)
         baselineMachines.forEach { (type, zone) -> addWorker(type, zone, false) }
         list()
@@ -129,7 +129,7 @@
 
     fun submit(spec: JobSpec, runMicros: Long) {
         jobs[spec.id] = ScenarioJob(spec, runMicros)
-        cluster.putJob(JobRecord(spec, now, activated = false, cancelled = false), 1)
+        cluster.applyJobRecord(JobRecord(spec, now, activated = false, cancelled = false), 1)
     }
 
     /** A running task has ended without being done. */
@@ -161,11 +161,11 @@
                 if (names.isEmpty()) {
                     fleet.recordScaleOutRefused(
                         request,
-                        cluster.types,
+                        cluster.machineTypes,
                         now,
                     )
                 } else {
-                    fleet.recordScaleOutGranted(request, names, cluster.types, now)
+                    fleet.recordScaleOutGranted(request, names, cluster.machineTypes, now)
                 }
                 if (names.size < request.machineCount || fleet.hasDeferredDemand) autoscaler.scaleSoon()
             }
@@ -188,7 +188,7 @@
     private fun list() {
         val list = workers.values.map { ListedMachine(it.name, "", it.type.name, it.zone, it.spot, "running", now - it.bornMicros) }
         measured("list") {
-            fleet.updateFromList(list, cluster.types, now)
+            fleet.updateFromList(list, cluster.machineTypes, now)
             cluster.removeUnlisted(fleet.machines.keys, now)
         }
         at(3_000_000, ::list)
