--- a/src/main/kotlin/linemast/domain/FailureBackOff.kt
+++ b/src/main/kotlin/linemast/domain/FailureBackOff.kt
@@ -1,26 +1,29 @@
 package linemast.domain
 
-/** Failures of a job's tasks, and the delay of its next starts that follows from them. */
+/** Counts the failures of a job's tasks, and delays the job's next starts after several of them. */
 class FailureBackOff {
-    /** Failures on distinct machines since a task was last completed. */
+    /** Number of failures on distinct machines since a task of the job was last completed. */
     var failures = 0
         private set
 
-    /** Names of the machines where a task of the job has failed; none is started there again. */
+    /** Names of the machines where a task of the job has failed; no task of the job is started there again. */
     val failedOn = HashSet<String>()
 
-    /** No task is started before this time. */
+    /** Time of the leader's clock before which no task of the job is started. */
     var untilMicros = 0L
         private set
 
-    /** Counts a failure. A job that fails wherever it runs was submitted with a mistake, so its starts are delayed. */
+    /**
+     * Counts a failure. After [FAILURES_BEFORE_BACK_OFF] failures the starts of the job are delayed, because a job that fails
+     * on every machine was submitted with a mistake.
+     */
     fun recordFailure(nowMicros: Long) {
         failures++
         if (failures < FAILURES_BEFORE_BACK_OFF) return
         untilMicros = nowMicros + minOf(MAX_BACK_OFF_MICROS, INITIAL_BACK_OFF_MICROS shl minOf(failures - 1, MAX_DOUBLINGS))
     }
 
-    /** A task was completed: earlier failures do not count any more. */
+    /** Resets the failure count after a task of the job was completed. */
     fun recordSuccess() {
         failures = 0
     }
--- a/src/main/kotlin/linemast/domain/GangAttempt.kt
+++ b/src/main/kotlin/linemast/domain/GangAttempt.kt
@@ -1,15 +1,18 @@
 package linemast.domain
 
-/** The attempt that all tasks of a gang share. */
+/** The current attempt of a gang, whose number all its tasks share. */
 class GangAttempt {
-    /** Number of the present attempt; [NONE] before the first one. */
+    /** Number of the current attempt; [NONE] before the first one. */
     var number = NONE
         private set
 
-    /** Whether a start of the present attempt has left. */
+    /** Whether a start of the current attempt was sent. */
     var isStartSent = false
 
-    /** Whether the present attempt was seen running: a replacement cannot complete it any more. */
+    /**
+     * Whether a heartbeat has shown a task of the current attempt running. If the attempt then loses a task, a replacement of
+     * that task cannot complete the attempt.
+     */
     var hasRun = false
 
     private val acknowledged = HashSet<AcknowledgedAttempt>()
@@ -17,30 +20,33 @@
     /** Whether the next start needs a new attempt number. */
     val isUsed: Boolean get() = number == NONE || isStartSent
 
-    /** Begins an attempt that no start has carried. */
+    /** Begins attempt [number], for which no start was sent yet. */
     fun begin(number: Long) {
         this.number = number
         isStartSent = false
     }
 
-    /** Takes over an attempt that a heartbeat has shown, unless a newer one is known. */
+    /** Records that a heartbeat has shown attempt [number], which becomes the current one unless a newer one is known. */
     fun adopt(number: Long) {
         this.number = maxOf(this.number, number)
         isStartSent = true
     }
 
-    /** The machine was told to forget a task of [attempt]. */
+    /** Records that the end of a task of [attempt] was acknowledged to [machine]. */
     fun recordAcknowledgement(machine: Machine, attempt: Long) {
         acknowledged += AcknowledgedAttempt(machine.name, attempt)
     }
 
-    /** Whether the machine was told to forget a task of the present attempt: starting it there again would run it once more. */
+    /**
+     * Whether the end of a task of the current attempt was acknowledged to [machine]. The worker has discarded that task, so
+     * a repeated start would run it a second time.
+     */
     fun isAcknowledgedOn(machine: Machine): Boolean = acknowledged.isNotEmpty() && AcknowledgedAttempt(machine.name, number) in acknowledged
 
     private data class AcknowledgedAttempt(val machine: String, val attempt: Long)
 
     companion object {
-        /** Attempt number of a gang that was never started; real ones begin with a fencing token and are larger. */
+        /** Attempt number of a gang that was never started. All other attempt numbers begin with a fencing token and are larger. */
         const val NONE = 0L
     }
 }
--- a/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
+++ b/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
@@ -2,22 +2,22 @@
 
 /** How a heartbeat relates to those of the same machine that were accepted before it. */
 enum class HeartbeatOrder {
-    /** It follows all accepted ones and comes from the same worker. */
+    /** It is newer than all accepted heartbeats and comes from the same worker process. */
     NEWER,
 
-    /** Its worker has restarted and counts from the beginning again. */
+    /** Its worker has restarted, and counts incarnations and heartbeats from the beginning again. */
     RESTARTED,
 
-    /** A delayed copy, or one that a newer heartbeat has overtaken: its worker waits for no response. */
+    /** It is a delayed duplicate, or a newer heartbeat arrived before it: its worker no longer waits for a response. */
     STALE,
 }
 
 /**
- * Order of one machine's heartbeats, and whether responses reach its worker.
+ * Orders the heartbeats of one machine, and detects whether responses reach its worker.
  *
- * Incarnations and sequence numbers order heartbeats as long as the worker process lives. A restarted worker counts from
- * the beginning, so a delayed copy from before the restart counts further than its heartbeats; [classify] tells them apart.
- * All times are readings of the leader's clock.
+ * Incarnations and sequence numbers order the heartbeats of one worker process. A restarted worker counts from the
+ * beginning, so a delayed duplicate from before the restart has a higher incarnation or sequence number than the
+ * heartbeats after it; [classify] tells them apart. All times are of the leader's clock.
  */
 class HeartbeatSequence {
     /** Incarnation of the newest heartbeat; 0 before the first one. */
@@ -32,41 +32,44 @@
     var fencingToken = 0L
         private set
 
-    /** When the newest heartbeat came; [NEVER] if none came to this leader. */
+    /** When the newest heartbeat arrived; [NEVER] if none has arrived at this leader. */
     var lastMicros = NEVER
         internal set
 
-    /** Whether the response to the heartbeat before the last one reached the worker. */
+    /** Whether the response to the second-newest heartbeat has reached the worker. */
     var acknowledgesResponses = false
         private set
 
-    /** Since when heartbeats come although no response seems to reach the worker; [NEVER] while responses do. */
+    /** Since when heartbeats arrive although responses apparently do not reach the worker; [NEVER] while responses reach it. */
     var unacknowledgedSinceMicros = NEVER
         private set
 
-    /** The latest heartbeat that was older than one before it. */
+    /** Incarnation, sequence number and arrival time of the latest heartbeat that was not newer than the accepted ones. */
     private var olderIncarnation = 0L
     private var olderSequenceNumber = 0L
     private var olderMicros = NEVER
 
-    /** Until then the incarnation cannot end: a response reached the worker for a heartbeat sent less than a lease before. */
+    /**
+     * Until when the current incarnation cannot end: a response has reached the worker, and the heartbeat that it belongs to
+     * was sent less than a lease before this time.
+     */
     private var incarnationValidUntilMicros = NEVER
 
-    /** When the heartbeat before the last one of this incarnation came; the last one was sent after it. */
+    /** When the second-newest heartbeat of this incarnation arrived; the worker sent the newest one after that. */
     private var previousMicros = NEVER
 
-    /** Highest incarnation of a worker that has restarted since. */
+    /** Highest incarnation that a worker process on this machine had reached before a restart. */
     private var replacedIncarnation = 0L
 
     /**
-     * Whether the worker counts incarnations that a replaced one had reached, so that delayed copies of the replaced
-     * worker's heartbeats look like its own.
+     * Whether the restarted worker uses incarnations that its predecessor had reached, so that delayed duplicates of the
+     * predecessor's heartbeats cannot be told from its own.
      */
     val reusesIncarnations: Boolean get() = incarnation <= replacedIncarnation
 
     /**
-     * Tells how [heartbeat] relates to the accepted ones. [leaseEndMicros] is the end of the lease that the leader's
-     * records give the worker; a worker that has got its response sends the next heartbeat within [acknowledgedIntervalMicros].
+     * Returns how [heartbeat] relates to the accepted ones. [leaseEndMicros] is the end of the worker's lease by the leader's
+     * records. A worker that has received a response sends its next heartbeat within [acknowledgedIntervalMicros].
      */
     fun classify(heartbeat: Heartbeat, nowMicros: Long, leaseEndMicros: Long, acknowledgedIntervalMicros: Long): HeartbeatOrder = when {
         isNewer(heartbeat, nowMicros) -> HeartbeatOrder.NEWER
@@ -81,9 +84,10 @@
     }
 
     /**
-     * Whether [heartbeat], which counts further than those before it, can be of the same worker. A copy from before a
-     * restart shows in one of these: a fencing token below one shown before, which a worker never forgets; more heartbeats
-     * than a worker sends in the time; an incarnation that the replaced worker had reached, or one that cannot have begun.
+     * Whether [heartbeat], whose incarnation or sequence number is higher than those before it, can be from the same worker
+     * process. A delayed duplicate from before a restart is recognized by one of these signs: its fencing token is lower than
+     * one that the worker has shown, which a worker process never loses; its sequence number is higher than a worker can have
+     * reached in the time since; its incarnation was reached before the restart, or cannot have begun yet.
      */
     private fun isPlausible(heartbeat: Heartbeat, nowMicros: Long): Boolean {
         if (heartbeat.fencingToken < fencingToken) return false
@@ -95,10 +99,10 @@
     }
 
     /**
-     * Whether [heartbeat], which does not count further than those before it, comes from a restarted worker.
+     * Whether [heartbeat], which is not newer than the accepted ones, is from a restarted worker.
      *
-     * A single one may be a delayed copy. Two that follow each other, after the lease of the earlier worker has expired,
-     * are not: that worker would have sent heartbeats, which would count further.
+     * A single such heartbeat may be a delayed duplicate. Two successive ones after the lease of the earlier worker process
+     * has expired are not: that process would have sent heartbeats with higher numbers in the meantime.
      */
     private fun hasRestarted(heartbeat: Heartbeat, nowMicros: Long, leaseEndMicros: Long, acknowledgedIntervalMicros: Long): Boolean {
         val followsOlder = heartbeat.incarnation == olderIncarnation &&
@@ -115,7 +119,7 @@
         return true
     }
 
-    /** Records [heartbeat], which is not stale, as the newest one; [minLeaseMicros] is what a renewed lease lasts at least. */
+    /** Records [heartbeat], which is not stale, as the newest one; [minLeaseMicros] is the least duration of a renewed lease. */
     fun record(heartbeat: Heartbeat, nowMicros: Long, acknowledgedIntervalMicros: Long, minLeaseMicros: Long) {
         recordAcknowledgement(heartbeat, nowMicros, acknowledgedIntervalMicros, minLeaseMicros)
         incarnation = heartbeat.incarnation
@@ -124,7 +128,10 @@
         lastMicros = nowMicros
     }
 
-    /** A worker that got no response waits for its timeout; one that sends its next heartbeat sooner got the response. */
+    /**
+     * Records whether the latest response reached the worker: without a response a worker waits for its timeout before the
+     * next heartbeat, so a worker that sends the next heartbeat sooner has received the response.
+     */
     private fun recordAcknowledgement(heartbeat: Heartbeat, nowMicros: Long, acknowledgedIntervalMicros: Long, minLeaseMicros: Long) {
         val isSameIncarnation = heartbeat.incarnation == incarnation
         acknowledgesResponses = lastMicros > NEVER && isSameIncarnation && nowMicros - lastMicros <= acknowledgedIntervalMicros
@@ -138,13 +145,13 @@
     }
 
     companion object {
-        /** Reading of the leader's clock for what has not happened; clocks count from before the process started. */
+        /** Time of an event that has not happened. No event has this time, because clocks count from before the process started. */
         const val NEVER = 0L
 
-        /** A worker never sends heartbeats more often. */
+        /** Shortest interval between two heartbeats of a worker. */
         private const val MIN_HEARTBEAT_INTERVAL_MICROS = 500_000L
 
-        /** Heartbeats that a network partition may hold back and deliver together. */
+        /** Most heartbeats that a network partition may delay and then deliver together. */
         private const val MAX_DELAYED_HEARTBEATS = 4L
     }
 }
--- a/src/main/kotlin/linemast/domain/Job.kt
+++ b/src/main/kotlin/linemast/domain/Job.kt
@@ -3,86 +3,86 @@
 import java.util.BitSet
 
 /**
- * An open job as the leader sees it: what is stored of it, its tasks, and its position in the schedule.
+ * An open job in the leader's memory: the state of its record in the store, its tasks, and its position in the schedule.
  *
- * Times named `...WallMicros` are microseconds of the time of day, others are readings of the leader's clock.
+ * Times named `...WallMicros` are wall time in microseconds, others are times of the leader's steady clock.
  */
 class Job(
     record: JobRecord,
-    /** Revision of its record in the store that the leader last saw. */
+    /** Latest revision of the job's record in the store that the leader has read or written. */
     var revision: Long,
-    /** Whether a previous leader may have started tasks of it. */
+    /** Whether a previous leader may have started tasks of the job. */
     inherited: Boolean,
 ) {
-    /** How far the store knows that tasks may have been started. */
+    /** Whether the store records that tasks of the job may have been started. */
     enum class Activation {
-        /** The store does not say so; no start may leave. */
+        /** The store does not record it; no start may be sent. */
         INACTIVE,
 
-        /** The write is under way. */
+        /** The write that records it is in progress. */
         STORING,
 
-        /** The store says so; starts may leave. */
+        /** The store records it; starts may be sent. */
         ACTIVE,
     }
 
     /** What the user submitted. */
     val spec = record.spec
 
-    /** Id that the user chose for it. */
+    /** Id that the user chose for the job. */
     val id: String get() = spec.id
 
-    /** Time of day of the submission. */
+    /** Wall time at which the submission was accepted. */
     val acceptedWallMicros = record.acceptedWallMicros
 
-    /** From when on it could start if there was free capacity: the time until its dependencies were done does not count. */
+    /** From when on the job can start if there is free capacity. The time until its dependencies were done is not counted as waiting. */
     val readyWallMicros = record.releasedWallMicros ?: record.acceptedWallMicros
 
-    /** Whether tasks that a previous leader started may be on machines that have sent this one no heartbeat. */
+    /** Whether tasks that a previous leader started may be on machines that have sent this leader no heartbeat. */
     var hasUnconfirmedTasks = inherited
 
-    /** How far the store knows that tasks may have been started; set as the write begins and ends. */
+    /** Whether the store records that tasks of the job may have been started; set when that write begins and ends. */
     var activation = if (record.activated) Activation.ACTIVE else Activation.INACTIVE
 
-    /** Whether it is cancelled; it never goes back to false. */
+    /** Whether the job is cancelled; never changes back to false. */
     var cancelled = record.cancelled
 
-    /** The earliest time at which its cancellation can have been confirmed, as far as this leader can tell. */
+    /** The earliest time at which the cancellation can have been confirmed to the user, as far as this leader can tell. */
     var cancelledSinceMicros = 0L
 
-    /** Whether its end is stored. */
+    /** Whether the store records that the job has ended. */
     var finished = false
 
-    /** Its own priority, or a higher one that it inherits from a dependent job. */
+    /** The priority of the job's spec, or a higher one that the job inherits from a dependent job. */
     var priority = record.spec.priority
 
-    /** When it has to end so that dependent jobs meet their deadlines; null if none has a deadline. */
+    /** When the job has to end so that its dependent jobs meet their deadlines; null if none of them has a deadline. */
     var requiredEndWallMicros: Long? = null
 
-    /** Why no task of it could be placed last; null once one was placed. */
+    /** Why the scheduler placed no task of the job the last time that it tried; null once a task was placed. */
     var pendingReason: PendingReason? = null
 
-    /** Whether it is within its team's quota, together with the team's earlier jobs. */
+    /** Whether the job and the earlier jobs of its team together are within the team's quota. */
     var withinQuota = false
 
-    /** Whether it was accepted long ago and no task of it has been started yet. */
+    /** Whether the job was accepted long ago and none of its tasks has been started yet. */
     var isStarving = false
 
     private val tasks = TaskSet(spec.taskCount)
 
-    /** How much of the set of completed tasks is stored. */
+    /** Which parts of the set of completed tasks are stored. */
     val storedProgress = StoredProgress()
 
-    /** The attempt that its tasks share; without meaning for jobs that are no gangs. */
+    /** The attempt that the tasks of a gang share; not used for other jobs. */
     val gangAttempt = GangAttempt()
 
-    /** Failures of its tasks, and until when they delay its starts. */
+    /** Failures of the job's tasks, and until when they delay its starts. */
     val failureBackOff = FailureBackOff()
 
-    /** Run times of its completed tasks. */
+    /** Run times of the job's completed tasks. */
     val runTimes = MeasuredRunTimes()
 
-    /** Tasks that have run to completion. */
+    /** Indices of the tasks that have run to completion. */
     val completedTasks: BitSet get() = tasks.completed
 
     /** Number of tasks that have run to completion. */
@@ -91,19 +91,19 @@
     /** Whether all tasks have run to completion. */
     val isDone: Boolean get() = tasks.isDone
 
-    /** Number of tasks that are done or have a placement. */
+    /** Number of tasks that are completed or have a placement. */
     val completedOrPlacedCount: Int get() = tasks.completedOrPlacedCount
 
-    /** Number of tasks that are neither done nor placed. */
+    /** Number of tasks that are neither completed nor placed. */
     val pendingCount: Int get() = tasks.pendingCount
 
-    /** All task attempts that may be on a machine, or are assigned to one. */
+    /** All task attempts that may be on a machine or are assigned to one. */
     val placements: Set<Placement> get() = tasks.placements
 
-    /** Number of task attempts that were running by the last heartbeats. */
+    /** Number of task attempts that the latest heartbeats have shown running. */
     val runningCount: Int get() = placements.count { it.isRunning }
 
-    /** Names of the machines where a task of it has failed. */
+    /** Names of the machines where a task of the job has failed. */
     val failedOn: MutableSet<String> get() = failureBackOff.failedOn
 
     /** See [TaskSet.nextPending]. */
--- a/src/main/kotlin/linemast/domain/JobProgress.kt
+++ b/src/main/kotlin/linemast/domain/JobProgress.kt
@@ -1,4 +1,9 @@
 package linemast.domain
 
-/** Of a job's tasks [completed] have run to completion and [running] run now; for display only. */
+/**
+ * Progress of a job, for display only.
+ *
+ * @property completed number of tasks that have run to completion.
+ * @property running number of tasks that are running.
+ */
 class JobProgress(val completed: Int, val running: Int)
--- a/src/main/kotlin/linemast/domain/JobRecord.kt
+++ b/src/main/kotlin/linemast/domain/JobRecord.kt
@@ -1,54 +1,57 @@
 package linemast.domain
 
-/** The outcome of a job as the store holds it: every response to a user is derived from it. */
+/** The outcome of a job in the store. Every response to a user is derived from it. */
 enum class JobOutcome {
-    /** Accepted; the job waits, or its tasks run. */
+    /** The job is accepted and has not ended: it is blocked, pending or running. */
     OPEN,
 
-    /** All its tasks have run to completion. */
+    /** All tasks of the job have run to completion. */
     DONE,
 
-    /** Its user cancelled it, or a job that it depends on was cancelled. */
+    /** The user cancelled the job, or a job that it depends on was cancelled. */
     CANCELLED,
     ;
 
-    /** Whether the outcome never changes again. */
+    /** Whether the outcome is final. */
     val isTerminal: Boolean get() = this != OPEN
 }
 
-/** The stored outcome of a job, which is kept forever. */
+/** The stored outcome of a job, which is never deleted. */
 class OutcomeRecord(
-    /** How the job has ended, or that it has not. */
+    /** How the job has ended, or [JobOutcome.OPEN]. */
     val outcome: JobOutcome,
-    /** Number of tasks, kept for answers to users after the other record is gone. */
+    /** Number of tasks, which responses to users need after the [JobRecord] is deleted. */
     val taskCount: Int,
-    /** The jobs that this one depends on; meaningless once the outcome is terminal. */
+    /** Ids of the jobs that this job depends on; not used once the outcome is terminal. */
     val dependencies: List<String> = emptyList(),
 )
 
-/** The stored record of a job that is neither done nor cancelled: released to the scheduler, or blocked by its dependencies. */
+/**
+ * The stored record of an open job, which is either released to the scheduler or blocked by its dependencies.
+ *
+ * The record of a cancelled job is kept until no task of the job is on a machine.
+ */
 class JobRecord(
-    /** What the user submitted; dependencies that are done are dropped at the release. */
+    /** What the user submitted; a released job has no dependencies any more. */
     val spec: JobSpec,
-    /** Time of day of the submission; precise enough to order jobs and to count deadlines from. */
+    /** Wall time at which the submission was accepted; precise enough to order jobs and to compute deadlines. */
     val acceptedWallMicros: Long,
-    /** Whether a start may ever have been sent: see [Job.Activation]. */
+    /** Whether a start of one of the job's tasks may have been sent; see [Job.Activation]. */
     val activated: Boolean,
-    /** Whether its user has cancelled it. */
-    /** Whether it is cancelled; the record is deleted once no task of it is on a machine. */
+    /** Whether the job is cancelled; the record is deleted once none of its tasks is on a machine. */
     val cancelled: Boolean,
-    /** Time of day when its last dependency was done; null if it has none. */
+    /** Wall time at which the last dependency was done; null if the job has none. */
     val releasedWallMicros: Long? = null,
 ) {
-    /** A copy with other flags. */
+    /** Returns a copy with other flags. */
     fun with(activated: Boolean = this.activated, cancelled: Boolean = this.cancelled) =
         JobRecord(spec, acceptedWallMicros, activated, cancelled, releasedWallMicros)
 
-    /** A copy that may start from now on; the dependencies are dropped, since they no longer matter. */
+    /** Returns the record of the job when it is released at [wallMicros]: it may start, and its dependencies are removed. */
     fun released(wallMicros: Long) =
         JobRecord(spec.copy(dependencies = emptyList()), acceptedWallMicros, activated = true, cancelled, wallMicros)
 
-    /** A copy that names only known machine types, so that the record fits a stored value. */
+    /** Returns a copy whose list of machine types has known types only, so that the record fits the size limit of a stored value. */
     fun withKnownMachineTypes(types: Collection<MachineType>) =
         JobRecord(spec.withKnownMachineTypes(types), acceptedWallMicros, activated, cancelled, releasedWallMicros)
 }
--- a/src/main/kotlin/linemast/domain/JobSpec.kt
+++ b/src/main/kotlin/linemast/domain/JobSpec.kt
@@ -1,6 +1,6 @@
 package linemast.domain
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job are related. */
 enum class JobKind {
     /** Independent tasks, each of which runs to completion. */
     ARRAY,
@@ -8,22 +8,22 @@
     /** All tasks run at the same time or none does. */
     GANG,
 
-    /** Independent tasks that run until their user cancels the job. Not on the protocol's page, but asked for in practice. */
+    /** Independent tasks that run until the user cancels the job. Users submit this kind, although the protocol's page does not list it. */
     SERVICE,
 }
 
-/** Declared from the most to the least urgent, so that a smaller ordinal goes first. */
+/** The priority of a job. The values are declared from the most to the least urgent, so that a lower ordinal is scheduled first. */
 enum class JobPriority {
-    /** Tasks of jobs of all other priorities may be preempted for it. */
+    /** Tasks of jobs of all other priorities may be preempted for such a job. */
     CRITICAL,
 
-    /** Tasks of [NORMAL] and [IDLE] jobs may be preempted for it. */
+    /** Tasks of [NORMAL] and [IDLE] jobs may be preempted for such a job. */
     HIGH,
 
-    /** Tasks of [IDLE] jobs may be preempted for it. */
+    /** Tasks of [IDLE] jobs may be preempted for such a job. */
     NORMAL,
 
-    /** No task is preempted for it on account of its priority. */
+    /** No task is preempted for such a job because of its priority. */
     IDLE,
 }
 
@@ -31,57 +31,57 @@
 data class JobSpec(
     /** Chosen by the user; of the form that [isId] checks. */
     val id: String,
-    /** Jobs of one class share service-level objectives and behave alike. */
+    /** Name of the job class; jobs of one class share service-level objectives and behave alike. */
     val jobClass: String,
     /** Name of the team whose quota its tasks count against. */
     val team: String,
-    /** How its tasks belong together. */
+    /** How the job's tasks are related. */
     val kind: JobKind,
-    /** Priority that the user gave it; see [Job.priority] for the one it is scheduled by. */
+    /** Priority that the user chose; the scheduler uses [Job.priority], which may be higher. */
     val priority: JobPriority,
-    /** Number of tasks; they are numbered from 0. */
+    /** Number of tasks; their indices begin with 0. */
     val taskCount: Int,
-    /** Vcpus that each task takes. */
+    /** Vcpus that each task uses. */
     val vcpus: Double,
-    /** GPUs that each task takes. */
+    /** GPUs that each task uses. */
     val gpus: Double,
-    /** Memory that each task takes, in gigabytes. */
+    /** Memory that each task uses, in gigabytes. */
     val memoryGb: Double,
     /** The image that a machine fetches before it runs a task. */
     val image: String,
     /** Size of the image in gigabytes. */
     val imageGb: Double,
-    /** Names of the machine types that its tasks may run on; null allows all. */
+    /** Names of the machine types that the tasks may run on; null allows all. */
     val machineTypes: List<String>?,
-    /** The zone that its tasks have to run in; null allows all. */
+    /** The zone that the tasks have to run in; null allows all. */
     val zone: String?,
-    /** Whether all its tasks have to run in one zone. */
+    /** Whether all tasks have to run in the same zone. */
     val requiresSameZone: Boolean,
-    /** Whether its tasks have to be spread over zones: see [maxTasksPerZone]. */
+    /** Whether the tasks have to be spread over zones; see [maxTasksPerZone]. */
     val requiresSpread: Boolean,
-    /** Whether its tasks may run on spot machines. */
+    /** Whether the tasks may run on spot machines. */
     val allowsSpot: Boolean,
-    /** The owner's estimate of a task's run time. */
+    /** The user's estimate of the run time of one task. */
     val estimatedRunMicros: Long,
-    /** Interval of a running task's checkpoints; 0 if it writes none. */
+    /** Interval between the checkpoints of a running task; 0 if it writes none. */
     val checkpointIntervalMicros: Long,
-    /** How long writing a checkpoint takes. */
+    /** How long a task takes to write a checkpoint. */
     val checkpointMicros: Long,
-    /** When the job should be done, counted from its submission; null if it has no deadline. */
+    /** Time from the submission to the deadline of the job; null if it has no deadline. */
     val deadlineMicros: Long?,
-    /** Jobs that have to be done before any task of this one starts. */
+    /** Ids of the jobs that have to be done before any task of this job starts. */
     val dependencies: List<String> = emptyList(),
 ) {
     /** Whether all tasks run at the same time or none does. */
     val isGang: Boolean get() = kind == JobKind.GANG
 
-    /** Whether its tasks write no checkpoints, so that stopping one loses all its work. */
+    /** Whether the tasks write no checkpoints, so that a stopped task loses all its work. */
     val neverCheckpoints: Boolean get() = checkpointIntervalMicros == 0L
 
-    /** How many of its tasks may be in one zone at a time. */
+    /** How many of the job's tasks may be in one zone at a time. */
     val maxTasksPerZone: Int get() = if (requiresSpread) (taskCount + 1) / 2 else taskCount
 
-    /** A copy without names of unknown machine types, so that the record fits a stored value. */
+    /** Returns a copy without the names of unknown machine types, so that the record fits the size limit of a stored value. */
     fun withKnownMachineTypes(types: Collection<MachineType>): JobSpec =
         if (machineTypes == null) this else copy(machineTypes = machineTypes.filter { name -> types.any { it.name == name } })
 
--- a/src/main/kotlin/linemast/domain/Machine.kt
+++ b/src/main/kotlin/linemast/domain/Machine.kt
@@ -1,60 +1,63 @@
 package linemast.domain
 
 /**
- * A machine whose worker has sent heartbeats, or that is registered in the store as one that may run tasks.
+ * A machine whose worker has sent heartbeats, or that is registered in the store as a machine that may run tasks.
  *
- * @property name name that the cloud gave it; never reused.
- * @property type its machine type.
- * @property zone zone of the cloud that it stands in.
- * @property spot whether it is a spot machine, which the cloud may preempt.
+ * @property name name that the cloud gave the machine; never reused.
+ * @property type machine type.
+ * @property zone zone of the cloud that the machine is in.
+ * @property spot whether the machine is a spot machine, which the cloud may preempt.
  */
 class Machine(val name: String, val type: MachineType, val zone: String, val spot: Boolean) {
-    /** What it has in common with other machines as far as placing a job goes. */
+    /** The properties that decide which jobs may be placed here; many machines share one shape. */
     val shape = MachineShape(type, zone, spot)
 
-    /** Order of its heartbeats, and whether responses reach its worker. */
+    /** Order of the worker's heartbeats, and whether responses reach the worker. */
     val heartbeats = HeartbeatSequence()
 
-    /** Used and free resources. */
+    /** Used and free resources of the machine. */
     val capacity = MachineCapacity(type)
 
-    /** From here on the worker's lease has surely expired, unless another heartbeat is answered. */
+    /** From this time on the worker's lease has certainly expired, unless a leader responds to another heartbeat before. */
     var leaseEndMicros = 0L
 
-    /** Time until the cloud preempts it, by the last heartbeat; null if no preemption was announced. */
+    /** Time until the cloud preempts the machine, by the latest heartbeat; null if no preemption was announced. */
     var preemptionNoticeMicros: Long? = null
 
-    /** Whether it may hold tasks that a previous leader started and that this one has not seen. */
+    /**
+     * Whether the machine was registered when this leader loaded its state, so that the machine may have held tasks of a
+     * previous leader that this leader had not seen yet.
+     */
     var registeredByPreviousLeader = false
 
-    /** Placements by task and attempt, so that two attempts of one task both count. */
+    /** Placements by task and attempt, so that two attempts of one task both count against the capacity. */
     val placements = LinkedHashMap<TaskAttempt, Placement>()
 
-    /** Ended tasks of the last heartbeat, to be acknowledged once their results are stored. */
+    /** Ended tasks in the latest heartbeat; the leader acknowledges each of them once its result is stored. */
     val endedTasks = LinkedHashMap<TaskAttempt, TaskStatus>()
 
-    /** Whether its name is stored among those that may run tasks. */
+    /** Whether the machine is registered in the store as one that may run tasks. */
     var isRegistered = false
 
-    /** Whether it belongs to the baseline fleet, which is never scaled in. */
+    /** Whether the machine belongs to the baseline fleet, which is never scaled in. */
     var isBaseline = false
 
-    /** Whether it gets no further starts: it is being scaled in, preempted by the cloud, or quarantined. */
+    /** Whether no further starts are sent to the machine: it is being scaled in, preempted by the cloud, or quarantined. */
     var draining = false
 
-    /** Jobs that failed here since a task was last completed here. */
+    /** Ids of the jobs that have failed on this machine since a task was last completed here. */
     val failedJobs = HashSet<String>()
 
-    /** The job that its free resources are kept for while other tasks are preempted for it; null if there is none. */
+    /** Reservation of the free resources for a job while other tasks are preempted for that job; null if there is none. */
     var reservation: Reservation? = null
 
-    /** When it last held a task, or when its first heartbeat came; 0 before that. */
+    /** When the machine last held a task, or when its first heartbeat arrived; 0 before the first heartbeat. */
     var idleSinceMicros = 0L
 
-    /** Images that its worker has fetched in this incarnation. */
+    /** Images that the worker has fetched in its current incarnation. */
     val images = LinkedHashSet<String>()
 
-    /** Price of one vcpu for an hour. */
+    /** Price of one vcpu per hour. */
     val pricePerVcpu: Double = (if (spot) type.spotPrice else type.price) / type.vcpus
 
     /** See [HeartbeatSequence.fencingToken]. */
@@ -72,19 +75,19 @@
     /** See [MachineCapacity.freeVcpus]. */
     val freeVcpus: Double get() = capacity.freeVcpus
 
-    /** The job that its free resources are kept for; null if there is none. */
+    /** The job that the free resources are reserved for; null if there is none. */
     val reservedFor: Job? get() = reservation?.job
 
-    /** Whether a heartbeat has come to this leader. */
+    /** Whether a heartbeat of the worker has arrived at this leader. */
     val hasReported: Boolean get() = heartbeats.lastMicros > HeartbeatSequence.NEVER
 
-    /** Whether a task of [spec] may be here at all. */
+    /** Whether a task of [spec] may ever run on this machine, whatever resources are free. */
     fun allows(spec: JobSpec): Boolean = shape.allows(spec)
 
-    /** Whether a task of [job] fits the free resources. */
+    /** Whether one more task of [job] fits the free resources. */
     fun fits(job: Job): Boolean = capacity.fits(job.spec)
 
-    /** Upper bound of the tasks of [spec] that fit the free resources. */
+    /** Returns an upper bound of the number of tasks of [spec] that fit the free resources. */
     fun freeSlots(spec: JobSpec): Int = capacity.freeSlots(spec)
 
     /** Adds a placement and counts its resources as used. */
@@ -99,5 +102,5 @@
     }
 }
 
-/** Free resources of a machine that are kept for [job] until [untilMicros]. */
+/** A reservation of the free resources of a machine for [job] until [untilMicros]. */
 class Reservation(val job: Job, val untilMicros: Long)
--- a/src/main/kotlin/linemast/domain/MachineType.kt
+++ b/src/main/kotlin/linemast/domain/MachineType.kt
@@ -2,7 +2,7 @@
 
 /** A machine type with its size and prices, as the cloud describes it. */
 class MachineType(
-    /** Name that the cloud gives the type; jobs list allowed types by it. */
+    /** Name of the type in the cloud; jobs list their allowed types by this name. */
     val name: String,
     /** Vcpus of one machine. */
     val vcpus: Double,
@@ -10,20 +10,20 @@
     val gpus: Double,
     /** Memory of one machine, in gigabytes. */
     val memoryGb: Double,
-    /** Local storage for images, in gigabytes; 0 if the cloud does not say. */
+    /** Local storage for images, in gigabytes; 0 if the cloud does not specify it. */
     val imageStorageGb: Double,
-    /** Rate at which a machine fetches images, in gigabytes a second; concurrent fetches may share it. */
+    /** Rate at which a machine fetches images, in gigabytes per second; concurrent fetches may share this rate. */
     val fetchGbPerSecond: Double,
-    /** Price of one machine for an hour, if it is not a spot machine. */
+    /** Price of one on-demand machine per hour. */
     val price: Double,
-    /** Price of one spot machine for an hour when the types were read; it moves. */
+    /** Price of one spot machine per hour when the machine types were read; the cloud changes this price. */
     val spotPrice: Double,
-    /** Usual time from the request to the first heartbeat of the worker; single machines may take several times as long. */
+    /** Usual time from the scale-out request to the first heartbeat of the worker; single machines may take several times as long. */
     val startupMicros: Long,
     /** Zones in which the cloud offers the type. */
     val zones: List<String>,
 ) {
-    /** Whether one task of [spec] fits an empty machine of this type that the job allows. */
+    /** Whether the job allows this type and one task of [spec] fits an empty machine of it. */
     fun canHost(spec: JobSpec): Boolean = (spec.machineTypes == null || name in spec.machineTypes) &&
         spec.vcpus <= vcpus &&
         spec.gpus <= gpus &&
--- a/src/main/kotlin/linemast/domain/MeasuredRunTimes.kt
+++ b/src/main/kotlin/linemast/domain/MeasuredRunTimes.kt
@@ -1,6 +1,6 @@
 package linemast.domain
 
-/** Run times of a job's completed tasks, to be compared with its owner's estimate. */
+/** Run times of a job's completed tasks, which are compared with the user's estimate. */
 class MeasuredRunTimes {
     private var totalMicros = 0L
 
@@ -8,7 +8,7 @@
     var taskCount = 0
         private set
 
-    /** Average run time of one task; there must be at least one. */
+    /** Average run time of one task; [taskCount] must not be 0. */
     val averageMicros: Long get() = totalMicros / taskCount
 
     /** Adds the run time of one task. */
--- a/src/main/kotlin/linemast/domain/Placement.kt
+++ b/src/main/kotlin/linemast/domain/Placement.kt
@@ -1,72 +1,76 @@
 package linemast.domain
 
 /**
- * A task attempt that may be on a machine, as far as the leader knows.
+ * A task attempt that is assigned to a machine or may be on it, as far as the leader knows.
  *
- * It counts against the machine's capacity and its team's quota from its assignment until its task has surely ended.
+ * A placement counts against the machine's capacity and the team's quota from the assignment until the task has certainly
+ * ended.
  */
 class Placement(
-    /** Machine that the task was assigned to, or was reported by. */
+    /** Machine that the task is assigned to, or whose worker has reported the task. */
     val machine: Machine,
-    /** The task, of which there may be placements of several attempts. */
+    /** The task, which may have placements of several attempts. */
     val task: TaskId,
     /** Number of the attempt; see [TaskAttempt]. */
     val attempt: Long,
-    /** Null for a task of a job that the leader does not know. */
+    /** The job of the task; null if the leader does not know the job. */
     val job: Job?,
 ) {
-    /** What is known of the task on its machine. */
+    /** State of the task on its machine, as far as the leader knows. */
     enum class Phase {
-        /** Assigned by the scheduler. No command has left, so the assignment may be dropped at any time. */
+        /** The scheduler has assigned the task. No command was sent, so the assignment may be removed at any time. */
         ASSIGNED,
 
-        /** A start has left in a response, and no heartbeat has confirmed it. */
+        /** A start was sent in a response, and no heartbeat has confirmed it. */
         SENT,
 
-        /** Its worker fetches the image. */
+        /** The worker fetches the image. */
         FETCHING,
 
         /** The task is ready and waits for the other tasks of its gang. */
         WAITING_FOR_GANG,
 
-        /** The task runs. */
+        /** The task is running. */
         RUNNING,
 
-        /** The task was stopped and writes its last checkpoint, or it has ended and is about to be removed. */
+        /** The task was stopped and writes its last checkpoint, or the task has ended and its placement is about to be removed. */
         CHECKPOINTING,
     }
 
-    /** What is known of the task on its machine; set as commands leave and heartbeats come. */
+    /** State of the task on its machine; set when commands are sent and heartbeats arrive. */
     var phase = Phase.ASSIGNED
 
-    /** When its start left, or when a heartbeat first showed it; 0 while it is only assigned. */
+    /** When the start was sent, or when a heartbeat first showed the task; 0 while the task is only assigned. */
     var sentMicros = 0L
 
-    /** When it was first seen running; 0 if it never was. */
+    /** When a heartbeat first showed the task running; 0 if none has. */
     var runningSinceMicros = 0L
 
-    /** Why it is being stopped; null while it is meant to go on. */
+    /** Why the leader stops the task; null while the leader does not stop it. */
     var stopReason: StopReason? = null
 
-    /** How long it may take to write a checkpoint once it is stopped. */
+    /** How long the stopped task may take to write a checkpoint. */
     var stopGracePeriodMicros = 0L
 
-    /** Whether a response has told its worker to stop it. */
+    /** Whether a stop of the task was sent to the worker. */
     var isStopSent = false
 
-    /** Whether it belongs to the first tasks of a starving job, which would never get further if these were preempted. */
+    /**
+     * Whether the task is one of the first tasks of a starving job. These are not preempted, because the job would otherwise
+     * never make progress.
+     */
     var isExemptFromPreemption = false
 
-    /** The job that its resources are freed for; null if it is not preempted. */
+    /** The job that the task is preempted for; null if the task is not preempted. */
     var preemptedFor: Job? = null
 
-    /** Identifies the attempt on its machine. */
+    /** Identifies the attempt among the placements of the machine. */
     val key = TaskAttempt(task, attempt)
 
-    /** Whether no command has left for it yet. */
+    /** Whether no command was sent for the task yet. */
     val isAssigned: Boolean get() = phase == Phase.ASSIGNED
 
-    /** Whether the last heartbeat showed the task running. */
+    /** Whether the latest heartbeat showed the task running. */
     val isRunning: Boolean get() = phase == Phase.RUNNING
 
     /** Whether a heartbeat has shown the task on its machine. */
--- a/src/main/kotlin/linemast/domain/StopReason.kt
+++ b/src/main/kotlin/linemast/domain/StopReason.kt
@@ -1,26 +1,26 @@
 package linemast.domain
 
-/** Why the leader stops a task of a job that is neither cancelled nor done. */
+/** Why the leader stops a task although its job is neither cancelled nor done. */
 sealed interface StopReason {
-    /** The reason as it stands in the log. */
+    /** Text of the reason in the log. */
     val description: String
 
-    /** Another [team] runs less than its quota, and the task uses the capacity that is missing there. */
+    /** Another [team] uses less than its quota, and the task occupies capacity that this team needs. */
     data class PreemptedForQuota(val team: String) : StopReason {
         override val description get() = "preempted: quota of $team"
     }
 
-    /** The more urgent [gang] of the same team does not fit within the team's quota limit otherwise. */
+    /** The more urgent [gang] of the same team exceeds the team's quota limit unless the task is stopped. */
     data class PreemptedAtQuotaLimit(val gang: String) : StopReason {
         override val description get() = "preempted: quota limit of the team, for $gang"
     }
 
-    /** The more urgent [gang] needs the capacity on the task's machine. */
+    /** The more urgent [gang] needs the capacity that the task uses on its machine. */
     data class PreemptedForGang(val gang: String) : StopReason {
         override val description get() = "preempted: capacity for $gang"
     }
 
-    /** The cloud takes the spot machine [machineName] away; the task saves its progress before. */
+    /** The cloud preempts the spot machine [machineName]; the task writes a checkpoint before that. */
     data class MachinePreempted(val machineName: String) : StopReason {
         override val description get() = "$machineName is preempted"
     }
--- a/src/main/kotlin/linemast/domain/StoredJobRecord.kt
+++ b/src/main/kotlin/linemast/domain/StoredJobRecord.kt
@@ -1,4 +1,4 @@
 package linemast.domain
 
-/** A job's [record] as the store holds it at [revision]. */
+/** A job's [record] in the store, as of [revision]. */
 class StoredJobRecord(val record: JobRecord, val revision: Long)
--- a/src/main/kotlin/linemast/domain/TaskId.kt
+++ b/src/main/kotlin/linemast/domain/TaskId.kt
@@ -4,14 +4,14 @@
 data class TaskId(
     /** Id of the job. */
     val job: String,
-    /** Position within the job, from 0 to the job's task count less one. */
+    /** Index of the task within the job, from 0 to the job's task count minus 1. */
     val index: Int,
 ) {
-    /** The wire form `job/index`, which [parse] reads. */
+    /** Returns the wire form `job/index`, which [parse] reads. */
     override fun toString() = "$job/$index"
 
     companion object {
-        /** Reads the form `job/index`; null if [text] has another form. */
+        /** Parses the wire form `job/index`; returns null if [text] has another form. */
         fun parse(text: String): TaskId? {
             val job = text.substringBefore('/')
             val index = text.substringAfter('/', "").toIntOrNull() ?: return null
@@ -24,6 +24,7 @@
  * Identifies one attempt to run a task.
  *
  * @property task the task.
- * @property attempt number of the attempt, which begins with the fencing token of the leader that chose it; the tasks of a gang share it.
+ * @property attempt number of the attempt. The number begins with the fencing token of the leader that chose it; all tasks of a
+ * gang share it.
  */
 data class TaskAttempt(val task: TaskId, val attempt: Long)
--- a/src/main/kotlin/linemast/domain/TaskSet.kt
+++ b/src/main/kotlin/linemast/domain/TaskSet.kt
@@ -3,36 +3,36 @@
 import org.agrona.collections.Int2IntCounterMap
 import java.util.BitSet
 
-/** Which of a job's [taskCount] tasks are done, placed or pending. */
+/** Tracks which of a job's [taskCount] tasks are completed, placed or pending. */
 class TaskSet(private val taskCount: Int) {
-    /** Tasks that have run to completion. */
+    /** Indices of the tasks that have run to completion. */
     val completed = BitSet()
 
     /** Number of tasks that have run to completion. */
     var completedCount = 0
         private set
 
-    /** All task attempts that may be on a machine, or are assigned to one. */
+    /** All task attempts that may be on a machine or are assigned to one. */
     val placements = LinkedHashSet<Placement>()
     private val placementCounts = Int2IntCounterMap(0)
 
-    /** Tasks that are done or have a placement. */
+    /** Indices of the tasks that are completed or have a placement. */
     private val completedOrPlaced = BitSet()
 
-    /** Number of tasks that are done or have a placement. */
+    /** Number of tasks that are completed or have a placement. */
     var completedOrPlacedCount = 0
         private set
 
-    /** Number of tasks that are neither done nor placed. */
+    /** Number of tasks that are neither completed nor placed. */
     val pendingCount: Int get() = taskCount - completedOrPlacedCount
 
     /** Whether all tasks have run to completion. */
     val isDone: Boolean get() = completedCount == taskCount
 
-    /** The first task from [from] on that is neither done nor placed; -1 if there is none. */
+    /** Returns the lowest index from [from] on of a task that is neither completed nor placed; -1 if there is none. */
     fun nextPending(from: Int): Int = completedOrPlaced.nextClearBit(from).let { if (it < taskCount) it else -1 }
 
-    /** Counts task [index] as done; false if it was done already, or if there is no such task. */
+    /** Marks task [index] as completed; returns false if it was completed already or if there is no such task. */
     fun markCompleted(index: Int): Boolean {
         if (index >= taskCount || completed.get(index)) return false
         completed.set(index)
@@ -48,7 +48,7 @@
         markCompletedOrPlaced(placement.task.index)
     }
 
-    /** Removes a placement; its task is pending again unless it is done or has another placement. */
+    /** Removes a placement. Its task becomes pending again unless the task is completed or has another placement. */
     fun remove(placement: Placement) {
         if (!placements.remove(placement)) return
         val index = placement.task.index
--- a/src/main/kotlin/linemast/jobs/BulkOutcomeReader.kt
+++ b/src/main/kotlin/linemast/jobs/BulkOutcomeReader.kt
@@ -3,14 +3,16 @@
 import linemast.domain.OutcomeRecord
 
 /**
- * Reads the outcomes of many jobs during one request: once more than [MAX_SINGLE_READS] of them have had to be read, it
- * lists all open jobs instead, so that neither a long chain nor a wide fan of dependencies takes a call for each job.
+ * Reads the outcomes of many jobs for one request.
+ *
+ * When more than [MAX_SINGLE_READS] outcomes had to be read from the store, the reader lists all open jobs instead. So neither
+ * a long chain nor a large number of dependencies takes one call per job.
  */
 internal class BulkOutcomeReader(private val outcomes: OutcomeReader) {
     private var singleReads = 0
     private var hasListed = false
 
-    /** The outcomes of [ids]; open ones may be as old as [OutcomeReader.readRecent] allows. */
+    /** Returns the outcomes of [ids]; open outcomes may be as old as [OutcomeReader.readRecent] allows. */
     suspend fun read(ids: Collection<String>): Map<String, OutcomeRecord> {
         singleReads += ids.count { !outcomes.hasRecent(it) }
         if (singleReads > MAX_SINGLE_READS && !hasListed) {
--- a/src/main/kotlin/linemast/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/linemast/jobs/CancellationHandler.kt
@@ -11,7 +11,7 @@
 import linemast.store.RequestPriority
 import linemast.store.Write
 
-/** Cancels jobs by compare-and-swap on their stored outcome; the leader stops their tasks when it sees the change. */
+/** Cancels jobs by a compare-and-swap on their stored outcome; the leader stops their tasks when it sees the change. */
 internal class CancellationHandler(
     private val store: KeyValueStore,
     private val outcomes: OutcomeReader,
@@ -19,8 +19,8 @@
     private val machineTypes: () -> List<MachineType>?,
 ) {
     /**
-     * Cancels the job with [id] unless its outcome is terminal already, and reports its status. A repeated cancellation
-     * changes nothing. Throws [linemast.store.StoreException] if the store gives no result.
+     * Cancels the job with [id] unless its outcome is already terminal, and returns its status. A repeated cancellation
+     * changes nothing. Throws [linemast.store.StoreException] if the store returns no result.
      */
     suspend fun cancel(id: String): JobResponse {
         if (!JobSpec.isId(id)) return JobResponse.NotFound
@@ -36,7 +36,10 @@
         return JobResponse.Unavailable
     }
 
-    /** The job's entry: the leader releases a waiting job by one transaction that moves it from one key to the other. */
+    /**
+     * Returns the entry of the job's record. The key of a blocked job is read first: the leader releases a blocked job in one
+     * transaction that moves its record from that key to the key of an open job.
+     */
     private suspend fun readJobEntry(id: String, hasDependencies: Boolean): Entry? {
         val blocked = if (hasDependencies) store.get(JobKeys.blocked(id), RequestPriority.HIGH) else null
         return blocked ?: store.get(JobKeys.open(id), RequestPriority.HIGH)
@@ -53,7 +56,7 @@
         )
     }
 
-    /** The record of an open job marked as cancelled, by which the leader learns of the cancellation. */
+    /** Returns the record of an open job with the cancelled flag set, which notifies the leader of the cancellation. */
     private fun cancelledRecord(jobEntry: Entry): Map<String, Any?> {
         val record = readStoredRecord { JobRecordCodec.decode(jobEntry.value) }.with(cancelled = true)
         val types = machineTypes() ?: return JobRecordCodec.encode(record)
--- a/src/main/kotlin/linemast/jobs/DependencyCheck.kt
+++ b/src/main/kotlin/linemast/jobs/DependencyCheck.kt
@@ -11,21 +11,21 @@
 import linemast.time.MICROS_PER_MILLI
 
 /**
- * Finds out whether a job depends on a cancelled one, directly or transitively, whatever the number and depth of its
+ * Checks whether a job depends, directly or transitively, on a cancelled job, whatever the number and depth of its
  * dependencies.
  *
- * Such a job cannot have started, so any controller may cancel it too, without the leader. The dependencies of a job never
- * change, and an open outcome is cached for a bounded time; so a cancellation is found by every check that begins that
- * long after it was confirmed.
+ * A job that depends on a cancelled one cannot have started, so any controller may cancel it without the leader. The
+ * dependencies of a job never change, and an open outcome is cached for a limited time only. So every check that begins at
+ * least that time after a cancellation was confirmed finds the cancellation.
  */
 internal class DependencyCheck(private val outcomes: OutcomeReader, private val scope: CoroutineScope, private val timeoutMicros: Long) {
     private val runningChecks = HashMap<Set<String>, CompletableDeferred<Result<Boolean>>>()
 
     /**
-     * Whether one of [dependencies], or of their transitive dependencies, is cancelled.
+     * Whether one of [dependencies] or of their transitive dependencies is cancelled.
      *
-     * One check of the same dependencies runs at a time, and goes on when its callers leave: a caller gets a
-     * [StoreException] when the result takes longer than users wait, and the next call uses what has been read by then.
+     * Concurrent calls with the same dependencies share one check. A caller gets a [StoreException] when the check takes longer
+     * than a user waits; the check continues, and the next call uses the outcomes that were read in the meantime.
      */
     suspend fun dependsOnCancelled(dependencies: Collection<String>): Boolean {
         val key = dependencies.toSet()
@@ -48,10 +48,10 @@
     private suspend fun findCancelledWithinTimeout(dependencies: Collection<String>): Boolean = try {
         withTimeout(timeoutMicros / MICROS_PER_MILLI) { findCancelled(dependencies) }
     } catch (e: TimeoutCancellationException) {
-        throw StoreException.ReadAborted("the dependencies could not be read in time")
+        throw StoreException.ReadAborted("the dependencies could not be read before the timeout")
     }
 
-    /** A breadth-first search through the dependency graph, one level a read. */
+    /** Searches the dependency graph breadth-first, with one bulk read per level. */
     private suspend fun findCancelled(dependencies: Collection<String>): Boolean {
         val reader = BulkOutcomeReader(outcomes)
         val visited = HashSet(dependencies)
--- a/src/main/kotlin/linemast/jobs/JobRecordCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobRecordCodec.kt
@@ -3,9 +3,9 @@
 import linemast.domain.JobRecord
 import linemast.serialization.Fields
 
-/** The stored form of jobs that are neither done nor cancelled; see docs/glossary.md for the names. */
+/** Encodes and decodes the stored records of open jobs; docs/glossary.md explains the names of the fields. */
 object JobRecordCodec {
-    /** The stored form of [record]. */
+    /** Encodes [record]. */
     fun encode(record: JobRecord): Map<String, Any?> = buildMap {
         put("job", JobSpecCodec.encode(record.spec))
         put("at_us", record.acceptedWallMicros)
@@ -14,7 +14,7 @@
         record.releasedWallMicros?.let { put("from_us", it) }
     }
 
-    /** Reads the stored form; throws [linemast.serialization.MalformedException] if a field is missing or out of range. */
+    /** Decodes a stored record; throws [linemast.serialization.MalformedException] if a field is missing or out of range. */
     fun decode(fields: Fields) = JobRecord(
         spec = JobSpecCodec.decode(fields.child("job")),
         acceptedWallMicros = fields.long("at_us"),
--- a/src/main/kotlin/linemast/jobs/JobResponse.kt
+++ b/src/main/kotlin/linemast/jobs/JobResponse.kt
@@ -2,38 +2,38 @@
 
 import linemast.domain.JobProgress
 
-/** The state of a job as users see it. */
+/** State of a job in responses to users. */
 enum class JobState {
-    /** Accepted, and no task of it runs. */
+    /** The job is accepted, and none of its tasks is running. */
     PENDING,
 
-    /** At least one task of it runs. */
+    /** At least one task of the job is running. */
     RUNNING,
 
-    /** All its tasks have run to completion. */
+    /** All tasks of the job have run to completion. */
     DONE,
 
-    /** It was cancelled; tasks of it may still be ending. */
+    /** The job is cancelled; some of its tasks may still be stopping. */
     CANCELLED,
 }
 
-/** The result of a user's request; [JobResponseCodec] turns it into an HTTP response. */
+/** Result of a user's request; [JobResponseCodec] encodes it as an HTTP response. */
 internal sealed interface JobResponse {
-    /** A submission was accepted by this request. */
+    /** This request submitted the job, and the job was accepted. */
     data class Accepted(val id: String, val state: JobState) : JobResponse
 
-    /** The state of a job that was accepted before, with counts of its tasks for display. */
+    /** State of a job that was accepted before, with counts of its tasks for display. */
     data class Status(val id: String, val state: JobState, val progress: JobProgress) : JobResponse
 
-    /** The submission can never be accepted. */
+    /** The submission is rejected and can never be accepted. */
     data class Rejected(val reason: String) : JobResponse
 
-    /** The submission exceeds the present share of its flow and may be repeated after [retryAfterSeconds]. */
+    /** The submission exceeds the current share of its flow and may be repeated after [retryAfterSeconds]. */
     data class Deferred(val retryAfterSeconds: Int) : JobResponse
 
-    /** No such job was ever accepted. */
+    /** No job with this id was ever accepted. */
     data object NotFound : JobResponse
 
-    /** The store, or the machine types that a submission is checked against, cannot be read now. */
+    /** The store is unavailable, or the machine types that a submission is checked against have not been read yet. */
     data object Unavailable : JobResponse
 }
--- a/src/main/kotlin/linemast/jobs/JobResponseCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobResponseCodec.kt
@@ -4,7 +4,7 @@
 import linemast.transport.HttpResponse
 import linemast.transport.HttpStatus
 
-/** The HTTP form of responses to users; see docs/glossary.md for the names. */
+/** Encodes responses to users as HTTP responses; docs/glossary.md explains the names of the fields. */
 internal object JobResponseCodec {
     private val stateNames = mapOf(
         JobState.PENDING to "pending",
@@ -13,7 +13,7 @@
         JobState.CANCELLED to "withdrawn",
     )
 
-    /** The status code and body of [response]. */
+    /** Encodes [response] as a status code and a body. */
     fun encode(response: JobResponse): HttpResponse = when (response) {
         is JobResponse.Accepted -> HttpResponse(HttpStatus.CREATED, encodeAccepted(response))
         is JobResponse.Status -> HttpResponse(HttpStatus.OK, encodeStatus(response))
--- a/src/main/kotlin/linemast/jobs/JobService.kt
+++ b/src/main/kotlin/linemast/jobs/JobService.kt
@@ -11,22 +11,22 @@
 import linemast.transport.HttpResponse
 import org.slf4j.LoggerFactory
 
-/** The limits by which jobs are accepted and cancelled. */
+/** Limits that apply to submissions and cancellations. */
 class JobServiceSettings(
     /** Teams that may submit jobs, by name. */
     val teams: Map<String, Team>,
-    /** Size limit of a stored value in bytes; the lowest of all that may come into force. */
+    /** Size limit of a stored value in bytes: the lowest of all limits that may take effect. */
     val maxValueBytes: Int,
-    /** Time within which a cancellation must reach the jobs that depend on the cancelled one. */
+    /** Time within which a cancellation has to reach the jobs that depend on the cancelled one. */
     val cancellationMicros: Long,
 )
 
 /**
- * The users' API: submissions, status queries and cancellations, at any controller.
+ * Serves the users' API on every controller: submissions, status queries and cancellations.
  *
- * Every response has been read from or committed to the store after its request arrived; only terminal outcomes are
- * cached without a time limit, since those never change. Outcomes of the jobs that a job depends on may be older, see
- * [DependencyCheck].
+ * Every response is based on a read from the store or a commit to the store after the request arrived. Only terminal
+ * outcomes are cached without a time limit, because they never change. Outcomes of the jobs that a job depends on may be
+ * older; see [DependencyCheck].
  */
 class JobService(
     settings: JobServiceSettings,
@@ -34,10 +34,10 @@
     scope: CoroutineScope,
     clock: Clock,
     wallMicros: () -> Long,
-    /** The machine types of the cloud; null until they have been read. */
+    /** Returns the machine types of the cloud; null until they have been read. */
     machineTypes: () -> List<MachineType>?,
     progress: ProgressSource,
-    /** Defers submissions beyond the share of their flow; null if all are admitted. */
+    /** Defers submissions that exceed the share of their flow; null if all submissions are admitted. */
     admission: AdmissionController? = null,
 ) {
     private val log = LoggerFactory.getLogger(JobService::class.java)
@@ -58,7 +58,10 @@
         deferral = admission?.let { SubmissionDeferral(it, store) },
     )
 
-    /** Responds to a user's request; null if the path is not one of jobs. Throws MalformedException for a body that is no job. */
+    /**
+     * Responds to a user's request; returns null if its method and path are not those of a request about jobs. Throws
+     * MalformedException if the body of a submission is malformed.
+     */
     suspend fun handle(request: HttpRequest): HttpResponse? {
         val path = request.path
         return when {
@@ -85,10 +88,10 @@
         const val JOBS_PATH = "/v1/jobs"
         const val CANCEL_SUFFIX = "/cancel"
 
-        /** Cached open outcomes may be as old as this fraction of the time that a cancellation has. */
+        /** The maximum age of a cached open outcome is the time limit of a cancellation divided by this number. */
         const val OUTCOME_AGE_DIVISOR = 3
 
-        /** One check of all transitive dependencies may take this fraction of the time that a cancellation has. */
+        /** The timeout of a check of all transitive dependencies is the time limit of a cancellation divided by this number. */
         const val DEPENDENCY_CHECK_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
@@ -5,20 +5,20 @@
 import linemast.domain.JobSpec
 import linemast.serialization.Fields
 
-/** The form of a job in submissions, which is also the stored one; see docs/glossary.md for the names. */
+/** Encodes and decodes job specs. Submissions and stored records have the same form; docs/glossary.md explains the names. */
 object JobSpecCodec {
     private const val MAX_TASKS = 100_000L
     private const val MAX_LENGTH = 200
 
-    /** With ids of the usual length this many, and the rest of a job, fit the smallest limit of a stored value. */
+    /** With ids of the usual length, a record with this many dependencies is within the lowest size limit of a stored value. */
     private const val MAX_DEPENDENCIES = 64
 
-    /** Estimated run time of a service that gives none. */
+    /** Estimated run time of a service whose submission has no estimate; in effect unlimited. */
     private const val DEFAULT_SERVICE_RUN_MICROS = 30L * 24 * 3_600 * 1_000_000
     private const val MAX_AMOUNT = 1e6
     private const val MAX_DURATION_SECONDS = 1e8
 
-    /** The wire names of the values of an enumeration. */
+    /** Maps the values of an enumeration to their wire names and back. */
     private class WireNames<T>(vararg names: Pair<String, T>) {
         val byWireName = mapOf(*names)
         private val byValue = names.associate { (wire, value) -> value to wire }
@@ -34,7 +34,7 @@
         "idle" to JobPriority.IDLE,
     )
 
-    /** The form of [job] on the wire and in the store. */
+    /** Encodes [job] for a submission or for the store. */
     fun encode(job: JobSpec): Map<String, Any?> = buildMap {
         put("name_id", job.id)
         put("lane", job.jobClass)
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Reads and checks a submission or its stored form. Throws [linemast.serialization.MalformedException] if a field is
-     * missing or out of range.
+     * Decodes and validates a submission or a stored job spec. Throws [linemast.serialization.MalformedException] if a field
+     * is missing or out of range.
      */
     fun decode(fields: Fields): JobSpec {
         val id = fields.text("name_id")
@@ -113,7 +113,7 @@
     }
 
     private fun decodeShortText(fields: Fields, name: String): String =
-        fields.text(name).also { if (it.isEmpty() || it.length > MAX_LENGTH) fields.fail(name, "has no usable length") }
+        fields.text(name).also { if (it.isEmpty() || it.length > MAX_LENGTH) fields.fail(name, "must have 1 to $MAX_LENGTH characters") }
 
     private fun decodeAmount(fields: Fields, name: String): Double =
         fields.number(name).also { if (it < 0 || it > MAX_AMOUNT) fields.fail(name, "is out of range") }
--- a/src/main/kotlin/linemast/jobs/JobStatusReporter.kt
+++ b/src/main/kotlin/linemast/jobs/JobStatusReporter.kt
@@ -4,9 +4,9 @@
 import linemast.domain.JobProgress
 import linemast.domain.OutcomeRecord
 
-/** Derives the status that users see from a job's stored outcome and the leader's progress counts. */
+/** Derives the status for users from a job's stored outcome and the progress that the leader has published. */
 internal class JobStatusReporter(private val progress: ProgressSource) {
-    /** The status of the job with [id], whose outcome is [record]. */
+    /** Returns the status of the job with [id], whose outcome is [record]. */
     fun status(id: String, record: OutcomeRecord): JobResponse.Status {
         val published = progress.progressOf(id)
         val isRunning = published != null && published.running > 0
--- a/src/main/kotlin/linemast/jobs/JobWriter.kt
+++ b/src/main/kotlin/linemast/jobs/JobWriter.kt
@@ -13,19 +13,19 @@
 import linemast.store.Write
 import linemast.time.Clock
 
-/** What became of the attempt to store a new job. */
+/** Result of an attempt to write a new job to the store. */
 internal enum class JobWriteResult {
-    /** The job is stored. */
+    /** The job was written. */
     WRITTEN,
 
-    /** A job with this id was stored before. */
+    /** The store already has a job with this id. */
     EXISTS,
 
-    /** The transaction was not carried out. */
+    /** The store did not apply the transaction. */
     FAILED,
 }
 
-/** Stores new jobs. */
+/** Writes new jobs to the store. */
 internal class JobWriter(
     private val store: KeyValueStore,
     private val outcomes: OutcomeReader,
@@ -34,8 +34,8 @@
     private val maxValueBytes: Int,
 ) {
     /**
-     * Stores [spec] with its [outcome] unless its id is taken. Throws [MalformedException] if the job is too large for a
-     * stored value.
+     * Writes [spec] with its [outcome] unless the store already has a job with its id. Throws [MalformedException] if the job
+     * exceeds the size limit of a stored value.
      */
     suspend fun write(spec: JobSpec, outcome: JobOutcome): JobWriteResult {
         val record = JobRecordCodec.encode(JobRecord(spec, wallMicros(), activated = false, cancelled = false))
@@ -43,7 +43,7 @@
         val outcomeRecord = OutcomeRecord(outcome, spec.taskCount, spec.dependencies)
         val writes = ArrayList<Write>()
         writes += Write.Put(JobKeys.outcome(spec.id), OutcomeRecordCodec.encode(outcomeRecord))
-        // A job that depends on a cancelled one is never open.
+        // A job that depends on a cancelled one gets a terminal outcome at once, and no record of an open job.
         if (!outcome.isTerminal) writes += Write.Put(keyOf(spec), record)
         val sentMicros = clock.nowMicros()
         val result = store.commit(listOf(Precondition(JobKeys.outcome(spec.id), NO_REVISION)), writes, RequestPriority.HIGH)
@@ -60,7 +60,7 @@
     private fun keyOf(spec: JobSpec): String = if (spec.dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.blocked(spec.id)
 
     private companion object {
-        /** The revision of a key that does not exist. */
+        /** Revision of a key that does not exist. */
         const val NO_REVISION = 0L
     }
 }
--- a/src/main/kotlin/linemast/jobs/OpenJobListing.kt
+++ b/src/main/kotlin/linemast/jobs/OpenJobListing.kt
@@ -9,7 +9,7 @@
 import linemast.store.listAll
 import linemast.time.Clock
 
-/** Caches the outcomes of all open jobs by listing their records: a few calls, however many jobs there are. */
+/** Caches the outcomes of all open jobs by listing their records, which takes only a few calls for any number of jobs. */
 internal class OpenJobListing(
     private val store: KeyValueStore,
     private val scope: CoroutineScope,
@@ -18,7 +18,7 @@
 ) {
     private var runningListing: CompletableDeferred<Result<Unit>>? = null
 
-    /** Lists all open jobs, or waits for a listing that is under way. Throws [linemast.store.StoreException] if it fails. */
+    /** Lists all open jobs, or waits for a listing in progress. Throws [linemast.store.StoreException] if the listing fails. */
     suspend fun run() {
         runningListing?.let { return it.await().getOrThrow() }
         val listing = CompletableDeferred<Result<Unit>>()
@@ -30,7 +30,7 @@
         listing.await().getOrThrow()
     }
 
-    /** Waiting jobs are listed before those that may start, so that one that is released in between is not missed. */
+    /** Lists blocked jobs before released ones, so that a job that is released between the two reads is not missed. */
     private suspend fun list() {
         val sentMicros = clock.nowMicros()
         for (prefix in listOf(JobKeys.BLOCKED_PREFIX, JobKeys.OPEN_PREFIX)) {
--- a/src/main/kotlin/linemast/jobs/OutcomeCache.kt
+++ b/src/main/kotlin/linemast/jobs/OutcomeCache.kt
@@ -4,28 +4,28 @@
 import linemast.time.Clock
 
 /**
- * A bounded cache of job outcomes that drops the least recently used ones.
+ * A bounded cache of job outcomes that evicts the least recently used ones.
  *
- * Terminal outcomes never change and are cached without a time limit; open ones are used up to the age of [maxAgeMicros].
+ * Terminal outcomes never change and are cached without a time limit; open outcomes are used up to the age of [maxAgeMicros].
  */
 internal class OutcomeCache(private val clock: Clock, private val maxAgeMicros: Long) {
-    /** An open outcome as found by a read that was sent at [sentMicros]. */
+    /** An open outcome that a call sent at [sentMicros] has read or committed. */
     private class OpenOutcome(val record: OutcomeRecord, val sentMicros: Long)
 
     private val terminalOutcomes = boundedMap<OutcomeRecord>(MAX_TERMINAL_OUTCOMES)
     private val openOutcomes = boundedMap<OpenOutcome>(MAX_OPEN_OUTCOMES)
 
-    /** The outcome of the job with [id] if it is cached and terminal. */
+    /** Returns the outcome of the job with [id] if it is cached and terminal. */
     fun terminal(id: String): OutcomeRecord? = terminalOutcomes[id]
 
-    /** The outcome of the job with [id] if it is cached and, where it is open, not too old. */
+    /** Returns the outcome of the job with [id] if it is cached and either terminal or not older than [maxAgeMicros]. */
     fun recent(id: String): OutcomeRecord? {
         terminalOutcomes[id]?.let { return it }
         val open = openOutcomes[id] ?: return null
         return open.record.takeIf { clock.nowMicros() - open.sentMicros <= maxAgeMicros }
     }
 
-    /** Caches [record], which was read or committed by a call sent at [sentMicros]; a later call's result is kept. */
+    /** Caches [record], which a call sent at [sentMicros] has read or committed; the cached result of a later call is kept. */
     fun put(id: String, record: OutcomeRecord, sentMicros: Long) {
         if (record.outcome.isTerminal) {
             terminalOutcomes[id] = record
--- a/src/main/kotlin/linemast/jobs/ProgressSource.kt
+++ b/src/main/kotlin/linemast/jobs/ProgressSource.kt
@@ -2,8 +2,8 @@
 
 import linemast.domain.JobProgress
 
-/** Supplies the progress of jobs for display, as the leader last published it. */
+/** Provides the latest progress of jobs that the leader has published, for display only. */
 fun interface ProgressSource {
-    /** Done and running tasks of the job with [id]; null when nothing is known. */
+    /** Returns the number of completed and running tasks of the job with [id]; null if no progress is known. */
     fun progressOf(id: String): JobProgress?
 }
--- a/src/main/kotlin/linemast/jobs/SharedOutcomeReads.kt
+++ b/src/main/kotlin/linemast/jobs/SharedOutcomeReads.kt
@@ -6,18 +6,20 @@
 import linemast.domain.OutcomeRecord
 
 /**
- * Shares concurrent reads of one job's outcome: at most one is in flight, and all callers that came after its start share
- * the next one. The reads run in [scope], so that one goes on when its callers leave.
+ * Shares concurrent reads of the same job's outcome.
+ *
+ * At most one read per job is in flight, and all callers that arrive after its start share the next read. The reads run in
+ * [scope], so that a read continues when its callers are cancelled.
  */
 internal class SharedOutcomeReads(private val scope: CoroutineScope, private val readOutcome: suspend (String) -> OutcomeRecord?) {
-    /** A read in flight, and the result that callers who came after its start wait for. */
+    /** A read in flight; [next] is the result of the read after it, for callers that arrive while this read is in flight. */
     private class PendingRead {
         var next: CompletableDeferred<Result<OutcomeRecord?>>? = null
     }
 
     private val pendingReads = HashMap<String, PendingRead>()
 
-    /** The result of a read that began after this call. Throws [linemast.store.StoreException] if it gave none. */
+    /** Returns the result of a read that begins after this call. Throws [linemast.store.StoreException] if the read fails. */
     suspend fun read(id: String): OutcomeRecord? {
         val running = pendingReads[id]
         val result = if (running == null) startReads(id) else nextResult(running)
@@ -34,7 +36,7 @@
     private fun nextResult(running: PendingRead): CompletableDeferred<Result<OutcomeRecord?>> =
         running.next ?: CompletableDeferred<Result<OutcomeRecord?>>().also { running.next = it }
 
-    /** Reads until nobody waits for a later read. */
+    /** Repeats the read until no caller waits for a further one. */
     private suspend fun readUntilIdle(id: String, first: CompletableDeferred<Result<OutcomeRecord?>>) {
         var waiting = first
         while (true) {
--- a/src/main/kotlin/linemast/jobs/SharedStoreResult.kt
+++ b/src/main/kotlin/linemast/jobs/SharedStoreResult.kt
@@ -4,10 +4,10 @@
 import linemast.store.StoreException
 
 /**
- * The result of [call] for callers that share it.
+ * Returns the result or the failure of [call] for several callers that wait for it.
  *
- * The coroutine that makes the call is cancelled when the controller stops. That must not cancel those who only wait for
- * its result, so they get a [StoreException] instead.
+ * The coroutine that makes the call is cancelled when the controller stops. This must not cancel the callers that only wait
+ * for the result, so they get a [StoreException] instead.
  */
 internal suspend fun <T> sharedStoreResult(call: suspend () -> T): Result<T> = try {
     Result.success(call())
--- a/src/main/kotlin/linemast/jobs/SubmissionDeferral.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionDeferral.kt
@@ -9,15 +9,15 @@
 import linemast.store.StoreException
 import org.slf4j.LoggerFactory
 
-/** What admission control says of a submission. */
+/** Decision of admission control on a submission. */
 internal sealed interface AdmissionOutcome {
-    /** It may be accepted now. */
+    /** The submission may be accepted now. */
     data object Admitted : AdmissionOutcome
 
-    /** It was accepted before, with the outcome [record]. */
+    /** The job was accepted before; its outcome is [record]. */
     data class AlreadyAccepted(val record: OutcomeRecord) : AdmissionOutcome
 
-    /** It may be repeated after [retryAfterSeconds]. */
+    /** The submission is not accepted now and may be repeated after [retryAfterSeconds]. */
     data class Deferred(val retryAfterSeconds: Int) : AdmissionOutcome
 }
 
@@ -25,7 +25,7 @@
 internal class SubmissionDeferral(private val admission: AdmissionController, private val store: KeyValueStore) {
     private val log = LoggerFactory.getLogger(SubmissionDeferral::class.java)
 
-    /** Decides on the submission of [spec]. One that was accepted before stays accepted, whatever is limited now. */
+    /** Decides on the submission of [spec]. A job that was accepted before stays accepted, whatever the current limits are. */
     suspend fun admit(spec: JobSpec): AdmissionOutcome {
         val decision = admission.decide(spec) as? AdmissionDecision.Deferred ?: return AdmissionOutcome.Admitted
         val record = readInBackground(spec.id)
@@ -37,12 +37,12 @@
         return AdmissionOutcome.Deferred(decision.retryAfterSeconds)
     }
 
-    /** Takes note that the job with [id] has been accepted. */
+    /** Records that the job with [id] was accepted. */
     fun recordAccepted(id: String) = admission.recordAccepted(id)
 
     /**
-     * The outcome of a job whose submission is deferred, if it can be read without delaying other calls. A submission
-     * repeated right after its acceptance is still admitted, and so finds the outcome without this read.
+     * Reads the outcome of a job whose submission is deferred, if this is possible without a delay of other calls; otherwise
+     * returns null. A submission that is repeated soon after its acceptance is admitted, and so does not need this read.
      */
     private suspend fun readInBackground(id: String): OutcomeRecord? = try {
         readStoredRecord { store.readOutcome(id, RequestPriority.BACKGROUND) }?.record
--- a/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
@@ -5,7 +5,7 @@
 import linemast.domain.MachineType
 import linemast.serialization.Cbor
 
-/** Handles submissions. They are idempotent: the repeated submission of an accepted job reports that job's status. */
+/** Handles submissions. Submissions are idempotent: the response to a repeated submission of an accepted job is its status. */
 internal class SubmissionHandler(
     private val feasibility: JobFeasibility,
     private val machineTypes: () -> List<MachineType>?,
@@ -14,25 +14,25 @@
     private val statusQuery: StatusQueryHandler,
     private val statusReporter: JobStatusReporter,
     private val jobWriter: JobWriter,
-    /** Defers submissions beyond the share of their flow; null if all are admitted. */
+    /** Defers submissions that exceed the share of their flow; null if all submissions are admitted. */
     private val deferral: SubmissionDeferral?,
 ) {
     /**
      * Accepts, rejects or defers the job in a request's [body].
      *
-     * Throws [linemast.serialization.MalformedException] if it is not a job, or one too large to be stored, and
-     * [linemast.store.StoreException] if the store gives no result.
+     * Throws [linemast.serialization.MalformedException] if the body is malformed or the job is too large to be stored, and
+     * [linemast.store.StoreException] if the store returns no result.
      */
     suspend fun submit(body: ByteArray): JobResponse {
         val spec = JobSpecCodec.decode(Cbor.decodeMap(body))
         outcomes.cachedTerminal(spec.id)?.let { return statusReporter.status(spec.id, it) }
         val types = machineTypes() ?: return JobResponse.Unavailable
         if (!feasibility.canEverRun(spec, types)) {
-            // An accepted job stays accepted, whatever the machine types have become since.
+            // An accepted job stays accepted even if the machine types have changed since.
             return statusIfAccepted(spec.id) ?: JobResponse.Rejected("this job can never run")
         }
         if (spec.dependencies.isEmpty()) return submitIndependent(spec, types)
-        // An accepted job keeps its dependencies, whatever a repeated submission names.
+        // An accepted job keeps its dependencies, whatever dependencies a repeated submission has.
         return statusIfAccepted(spec.id) ?: submitDependent(spec.withKnownMachineTypes(types))
     }
 
@@ -45,11 +45,11 @@
             is AdmissionOutcome.Deferred -> JobResponse.Deferred(admission.retryAfterSeconds)
         }
 
-    /** Accepts a job with dependencies if all of them were accepted; it is cancelled at once if it depends on a cancelled one. */
+    /** Accepts a job if all its dependencies were accepted. If it depends on a cancelled job, its outcome is cancelled at once. */
     private suspend fun submitDependent(spec: JobSpec): JobResponse {
         val dependencies = BulkOutcomeReader(outcomes).read(spec.dependencies)
         spec.dependencies.firstOrNull { it !in dependencies }?.let { missing ->
-            return JobResponse.Rejected("it depends on $missing, which was never accepted")
+            return JobResponse.Rejected("the job depends on $missing, which was never accepted")
         }
         if (dependencies.values.all { it.outcome == JobOutcome.DONE }) return accept(spec.copy(dependencies = emptyList()), JobOutcome.OPEN)
         val isCancelled = dependencyCheck.dependsOnCancelled(spec.dependencies)
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -13,10 +13,10 @@
 import linemast.transport.NoAnswerException
 
 /**
- * The key-value store over HTTP, within this controller's share of the store's rate limits.
+ * Calls the key-value store over HTTP, within this controller's share of the store's rate limits.
  *
- * Calls fail with a [StoreException]. Renewals of leases and watches have connections of their own, so that neither waits
- * behind other calls.
+ * Calls fail with a [StoreException]. Lease calls and watches have connections of their own, so that neither of them waits
+ * for other calls.
  */
 class KeyValueStoreClient(loop: EventLoop, address: Address, limits: StoreLimits, controllers: Int, clock: Clock) : KeyValueStore {
     private val calls = HttpClient(loop, address, MAX_CALL_CONNECTIONS, MAX_RESPONSE_BYTES)
@@ -24,7 +24,7 @@
     private val watches = HttpClient(loop, address, MAX_WATCH_CONNECTIONS, MAX_RESPONSE_BYTES)
     private val rateLimiter = StoreRateLimiter(limits, controllers, clock)
 
-    /** Sets whether this controller leads: the leader may write more than the others. */
+    /** Sets whether this controller is the leader, whose share of the writes is larger. */
     fun setLeader(isLeader: Boolean) = rateLimiter.setLeader(isLeader)
 
     override suspend fun get(key: String, priority: RequestPriority): Entry? {
@@ -51,7 +51,10 @@
         }
     }
 
-    /** The status alone says that nothing was applied; a body that cannot be read only leaves the keys unknown. */
+    /**
+     * Returns the keys whose preconditions failed. The status alone shows that nothing was applied, so an unreadable body is no
+     * error: the list of keys is then empty.
+     */
     private fun failedKeys(response: HttpReply): List<String> =
         runCatching { StoreCodec.decodeFailedKeys(response.fields()) }.getOrDefault(emptyList())
 
@@ -80,7 +83,7 @@
         if (response.status != HttpStatus.OK && response.status != HttpStatus.NOT_FOUND) throwErrorStatus(response)
     }
 
-    /** The reply to a request, once it may be sent; fails if none comes or the store takes no calls now. */
+    /** Sends a request as soon as the rate limit allows; fails if no response arrives or if the store refuses the call. */
     private suspend fun call(
         client: HttpClient,
         method: String,
@@ -93,7 +96,7 @@
         val response = try {
             client.call(method, path, body, timeoutMicros)
         } catch (e: NoAnswerException) {
-            throw StoreException.NoResponse(e.message ?: "no answer")
+            throw StoreException.NoResponse(e.message ?: "no response")
         }
         if (response.status == HttpStatus.TOO_MANY_REQUESTS) rateLimiter.onRefused(isCommit = path == StoreCodec.COMMIT_PATH)
         if (response.status == HttpStatus.SERVICE_UNAVAILABLE || response.status == HttpStatus.TOO_MANY_REQUESTS) throwErrorStatus(response)
@@ -117,7 +120,7 @@
         const val MAX_RESPONSE_BYTES = 4 * 1024 * 1024
         const val CALL_TIMEOUT_MICROS = 2 * SECOND_MICROS
 
-        /** How much longer than a watch itself its reply may take. */
+        /** How much longer than the wait of a watch its response may take. */
         const val WATCH_RESPONSE_MARGIN_MICROS = 5 * SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/store/RequestPriority.kt
+++ b/src/main/kotlin/linemast/store/RequestPriority.kt
@@ -3,10 +3,10 @@
 import linemast.time.SECOND_MICROS
 
 /**
- * How urgent a call to a rate-limited service is.
+ * Priority of a call to a rate-limited service.
  *
- * @property reservedShare share of the tokens that the call leaves to more urgent ones.
- * @property queueTimeoutMicros how long the call may wait for its token before it fails.
+ * @property reservedShare share of the tokens that is reserved for calls of higher priority.
+ * @property queueTimeoutMicros how long the call may wait for a token before it fails.
  */
 enum class RequestPriority(val reservedShare: Double, val queueTimeoutMicros: Long) {
     /** Calls that the leadership depends on. */
@@ -15,9 +15,9 @@
     /** Submissions, cancellations, and the start and end of jobs. */
     HIGH(0.1, 1_500_000),
 
-    /** All other calls that somebody waits for. */
+    /** All other calls whose result a user or another operation waits for. */
     NORMAL(0.3, 1_500_000),
 
-    /** Calls that can as well be made later. */
+    /** Calls that can be postponed. */
     BACKGROUND(0.5, 0),
 }
--- a/src/main/kotlin/linemast/store/RetryPolicy.kt
+++ b/src/main/kotlin/linemast/store/RetryPolicy.kt
@@ -5,33 +5,33 @@
 import org.slf4j.Logger
 
 /**
- * How long to wait before a call to the key-value store is repeated: always the same time, for as long as it takes.
+ * Retries calls to the key-value store with a constant delay and without a limit.
  *
- * Only [StoreException] and [MalformedException] are failures that a repetition may mend; cancellation and other
- * exceptions pass through.
+ * Calls are repeated only after a [StoreException] or [MalformedException], because these failures may be temporary;
+ * cancellation and other exceptions are propagated.
  *
- * @property delayMillis wait after a call that failed or gave no result.
- * @property malformedDelayMillis wait after a malformed record, which only a change of the record mends.
+ * @property delayMillis delay after a call that failed or returned no result.
+ * @property malformedDelayMillis delay after a malformed record; a retry succeeds only after the record has changed.
  */
 internal data class RetryPolicy(val delayMillis: Long, val malformedDelayMillis: Long = delayMillis) {
-    /** Waits before the next attempt. */
+    /** Waits for [delayMillis] before the next attempt. */
     suspend fun pause() = delay(delayMillis)
 
     /**
-     * Repeats [call] until it returns a value; a null counts as no result.
+     * Repeats [call] until it returns a value and returns that value; null is treated as no result.
      *
-     * Failures are logged to [log], after the name of the [operation] if one is given.
+     * Failures are logged to [log], with the name of the [operation] first if it is given.
      */
     suspend fun <T : Any> untilResult(log: Logger, operation: String? = null, call: suspend () -> T?): T {
         while (true) tryOnce(log, operation, call)?.let { return it }
     }
 
-    /** Repeats [call] until the coroutine is cancelled; only a failure is followed by a wait. */
+    /** Repeats [call] until the coroutine is cancelled; waits only after a failure. */
     suspend fun repeatForever(log: Logger, operation: String? = null, call: suspend () -> Unit): Nothing {
         while (true) tryOnce(log, operation, call)
     }
 
-    /** The result of one [call]; without one, null after the wait that its failure asks for. */
+    /** Returns the result of one [call]. If there is none, waits for the delay that belongs to the failure and returns null. */
     private suspend fun <T> tryOnce(log: Logger, operation: String?, call: suspend () -> T?): T? {
         val waitMillis = try {
             call()?.let { return it }
--- a/src/main/kotlin/linemast/store/StoreCodec.kt
+++ b/src/main/kotlin/linemast/store/StoreCodec.kt
@@ -5,10 +5,10 @@
 import linemast.time.MICROS_PER_MILLI
 
 /**
- * Paths and bodies of the key-value store's HTTP protocol.
+ * Encodes and decodes the paths and bodies of the key-value store's HTTP protocol.
  *
- * The protocol's own names occur here only: `stamp` and `era` are revisions, `hold` is a lease, `follow` is a watch, `drop`
- * is a delete. The functions that read a body throw a MalformedException if a field is missing or of another type.
+ * The names of the protocol are used only here: `stamp` and `era` are revisions, `hold` is a lease, `follow` is a watch, `drop`
+ * is a delete. The functions that decode a body throw a MalformedException if a field is missing or has another type.
  */
 internal object StoreCodec {
     const val COMMIT_PATH = "/commit"
@@ -29,7 +29,7 @@
 
     fun leaseRenewalPath(lease: Long) = "$LEASES_PATH/$lease/renew"
 
-    /** The body of a request without parameters. */
+    /** Returns the body of a request without parameters. */
     fun encodeEmpty(): ByteArray = Cbor.encode(emptyMap<String, Any?>())
 
     fun encodeLeaseGrant(ttlMicros: Long): ByteArray = Cbor.encode(mapOf("life_ms" to ttlMicros / MICROS_PER_MILLI))
@@ -55,7 +55,7 @@
 
     fun decodeApplied(fields: Fields) = CommitResult.Applied(fields.long("era"))
 
-    /** The keys whose preconditions did not hold. */
+    /** Returns the keys whose preconditions did not hold. */
     fun decodeFailedKeys(fields: Fields): List<String> = fields.textsOrNull("failed") ?: emptyList()
 
     fun decodeChanges(fields: Fields) = WatchResult.Changes(fields.long("era"), fields.children("news").map(::decodeChange))
--- a/src/main/kotlin/linemast/store/StoreHealthProbe.kt
+++ b/src/main/kotlin/linemast/store/StoreHealthProbe.kt
@@ -6,17 +6,17 @@
 import linemast.time.SECOND_MICROS
 
 /**
- * Whether the key-value store answers this controller, by a read once a second.
+ * Checks once a second, by a read, whether the key-value store responds to this controller.
  *
- * The store may refuse one controller alone, whose open watches then merely wait: they do not tell.
+ * Open watches do not show this: when the store refuses the calls of this controller alone, its watches just go on waiting.
  */
 class StoreHealthProbe(private val store: KeyValueStore, private val clock: Clock) {
     private var failingSinceMicros: Long? = null
 
-    /** Whether the latest read was answered; true before the first. */
+    /** Whether the latest read got a response; true before the first read. */
     val isHealthy: Boolean get() = failingSinceMicros == null
 
-    /** For how long the store has not answered; 0 if it does. */
+    /** Returns for how long the store has not responded; 0 if it responds. */
     fun failingForMicros(nowMicros: Long): Long = failingSinceMicros?.let { nowMicros - it } ?: 0L
 
     /** Reads [key] once a second until the coroutine is cancelled. */
--- a/src/main/kotlin/linemast/store/StoreRateLimiter.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimiter.kt
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Delays calls to the key-value store so that this controller keeps within its share of the store's rate limits.
+ * Delays calls to the key-value store so that this controller stays within its share of the store's rate limits.
  *
- * A call that would have to wait for longer than the queue timeout of its priority fails with [StoreException.RateLimited].
+ * A call that would have to wait longer than the queue timeout of its priority fails with [StoreException.RateLimited].
  */
 internal class StoreRateLimiter(limits: StoreLimits, controllers: Int, private val clock: Clock) {
     private val log = LoggerFactory.getLogger(StoreRateLimiter::class.java)
@@ -18,9 +18,9 @@
     private val writes = TokenBucket(rates.writesPerSecond)
 
     /**
-     * Sets whether this controller leads: the leader's share of the writes is larger.
+     * Sets whether this controller is the leader, whose share of the writes is larger.
      *
-     * While two controllers take themselves for the leader, the store may refuse a call.
+     * While two controllers act as leader, the sum of all shares may exceed the limit, and the store may refuse calls.
      */
     fun setLeader(isLeader: Boolean) {
         rates.isLeader = isLeader
@@ -33,7 +33,7 @@
     /** Waits for the tokens of the [count] writes of a transaction. */
     suspend fun awaitWrites(count: Int, priority: RequestPriority) = await(writes, count, priority)
 
-    /** Takes in that the store has refused a call for its rate, although this controller kept within its share. */
+    /** Lowers the rates after the store has refused a call for its rate although this controller was within its share. */
     fun onRefused(isCommit: Boolean) {
         if (!rates.tightenAfterRefusal(isCommit)) return
         log.info("the key-value store refuses calls for their rate: from now on within its next limits")
--- a/src/main/kotlin/linemast/store/StoreRateLimits.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimits.kt
@@ -3,28 +3,29 @@
 import linemast.settings.StoreLimits
 
 /**
- * This controller's share of the store's rate limits.
+ * Computes this controller's share of the store's rate limits.
  *
- * The store's next limits take effect at a moment that is not announced. A refusal while all controllers keep within their
- * shares shows that it has come; from then on the next limits are kept, those of writes and of requests each by itself.
+ * The store's next limits take effect at an unannounced time. A call that is refused for its rate while all controllers are
+ * within their shares shows that the next limits are in effect. From then on they are applied, the limit of writes
+ * and the limit of requests separately.
  */
 class StoreRateLimits(private val limits: StoreLimits, private val controllers: Int) {
-    /** Whether this controller leads, and so has a larger share of the writes. */
+    /** Whether this controller is the leader, whose share of the writes is larger. */
     var isLeader = false
     private var clusterRequestsPerSecond = limits.rps
     private var clusterWritesPerSecond = limits.writeRps
 
-    /** Requests of any kind that this controller may send in a second. */
+    /** Number of requests of any kind that this controller may send per second. */
     val requestsPerSecond: Double get() = clusterRequestsPerSecond * USED_SHARE / controllers
 
-    /** Keys that this controller may change in a second. */
+    /** Number of keys that this controller may change per second. */
     val writesPerSecond: Double
         get() = clusterWritesPerSecond * USED_SHARE * (if (isLeader) LEADER_WEIGHT else 1.0) / (controllers - 1 + LEADER_WEIGHT)
 
-    /** Takes in that a call was refused for its rate; returns whether that changes the rates. */
+    /** Applies the next limit of writes or of requests after a call was refused for its rate; returns whether that changes a rate. */
     fun tightenAfterRefusal(isCommit: Boolean): Boolean {
         val next = limits.next ?: return false
-        // A commit counts as a request and as writes; the limit of writes is by far the likelier one to have dropped.
+        // A commit counts as a request and as writes; the limit of writes is far more likely to have been lowered.
         if (isCommit && next.writeRps < clusterWritesPerSecond) {
             clusterWritesPerSecond = next.writeRps
             return true
@@ -37,10 +38,10 @@
     }
 
     private companion object {
-        /** Share of the limits that the controllers together use. */
+        /** Share of the limits that all controllers together use. */
         const val USED_SHARE = 0.9
 
-        /** A leader's share of the writes, counted in shares of another controller. */
+        /** The leader's share of the writes, as a multiple of the share of another controller. */
         const val LEADER_WEIGHT = 2.0
     }
 }
--- a/src/main/kotlin/linemast/store/StoreResult.kt
+++ b/src/main/kotlin/linemast/store/StoreResult.kt
@@ -4,10 +4,10 @@
 import org.slf4j.Logger
 
 /**
- * The result of [call], or null if the key-value store gave none or holds a malformed record.
+ * Returns the result of [call], or null if the key-value store returned none or a record is malformed.
  *
- * The failure is logged: one of the store for debugging, as it is expected during outages, a malformed record as an error.
- * [operation] precedes the message in the log; null leaves it out. Cancellation and other exceptions pass through.
+ * Failures are logged: a failed call at debug level, because such failures are expected during outages, a malformed record as
+ * an error. [operation] precedes the message in the log unless it is null. Cancellation and other exceptions are propagated.
  */
 internal suspend fun <T> storeResultOrNull(log: Logger, operation: String? = null, call: suspend () -> T?): T? = try {
     call()
--- a/src/main/kotlin/linemast/store/TokenBucket.kt
+++ b/src/main/kotlin/linemast/store/TokenBucket.kt
@@ -3,13 +3,13 @@
 import linemast.time.SECOND_MICROS
 
 /**
- * A token bucket for calls to a service that refuses calls above a rate.
+ * A token bucket that limits the calls to a service which refuses calls above a rate.
  *
- * It is full at first and holds at most the tokens of one second. Each call leaves the share of them untouched that is
- * reserved for more urgent ones.
+ * The bucket is full at first and holds at most the tokens of one second. A call does not use the share of the tokens that is
+ * reserved for calls of higher priority.
  */
 class TokenBucket(ratePerSecond: Double) {
-    /** Tokens that are added in a second, and the most that the bucket holds; a lower rate drops what exceeds it. */
+    /** Number of tokens that are added per second, and also the capacity of the bucket; a lower rate discards excess tokens. */
     var ratePerSecond = ratePerSecond
         set(value) {
             field = value
@@ -18,16 +18,16 @@
     private var tokens = ratePerSecond
     private var lastRefillMicros: Long? = null
 
-    /** Takes [count] tokens and returns true if a call of [priority] may have them now. */
+    /** Takes [count] tokens if a call of [priority] may use them now; returns whether the tokens were taken. */
     fun tryTake(count: Int, priority: RequestPriority, nowMicros: Long): Boolean {
         refill(nowMicros)
-        // A call that asks for more than the bucket ever holds may go out alone once the bucket is full.
+        // A call that needs more tokens than the bucket can hold is allowed when the bucket is full.
         if (tokens - count < reservedTokens(priority) && tokens < ratePerSecond) return false
         tokens -= count
         return true
     }
 
-    /** How long until [count] tokens can be taken if nobody else takes any. */
+    /** Returns how long it takes until [count] tokens can be taken if no other call takes any. */
     fun waitMicros(count: Int, priority: RequestPriority, nowMicros: Long): Long {
         refill(nowMicros)
         val required = minOf(count + reservedTokens(priority), ratePerSecond)
--- a/src/main/kotlin/linemast/store/TransactionBatcher.kt
+++ b/src/main/kotlin/linemast/store/TransactionBatcher.kt
@@ -3,12 +3,12 @@
 import linemast.serialization.JsonSize
 
 /**
- * Splits writes into transactions that keep within the store's limits.
+ * Splits writes into transactions that stay within the store's limits.
  *
- * @property maxWrites most writes in a transaction.
+ * @property maxWrites maximum number of writes in a transaction.
  */
 class TransactionBatcher(private val maxWrites: Int) {
-    /** The items of [items] in their order, in as few transactions as the number and size of their writes allow. */
+    /** Splits [items], in their order, into as few transactions as the number and the size of their writes allow. */
     fun <T> pack(items: List<T>, writeOf: (T) -> Write): List<List<T>> {
         val batches = ArrayList<ArrayList<T>>()
         var batchBytes = 0
@@ -30,7 +30,7 @@
     }
 
     private companion object {
-        /** The store takes 64 KiB in a transaction; the rest is for its preconditions and what is around the values. */
+        /** The store accepts 64 KiB per transaction; the difference is left for preconditions and the encoding around the values. */
         const val MAX_TRANSACTION_BYTES = 48 * 1024
         const val PUT_OVERHEAD_BYTES = 11
     }
--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -33,26 +33,31 @@
 import org.junit.jupiter.params.provider.EnumSource
 import kotlin.random.Random
 
-/** Large dependency graphs without a leader: the controllers that are asked have to find a cancelled root by themselves. */
+/**
+ * Guards against jobs that are reported as pending although a job that they depend on was cancelled.
+ *
+ * The dependency graphs are large and there is no leader, so the controllers that get the requests have to find the
+ * cancelled root themselves.
+ */
 class DependencyCheckTest {
     enum class Graph(val dependencies: List<List<Int>>) {
-        /** Longer than any walk that takes a call for each job could go in time. */
+        /** A chain that is too long for a search with one call per job to finish before the timeout. */
         CHAIN((0..400).map { if (it == 0) emptyList() else listOf(it - 1) }),
 
-        /** Five levels of the largest size that a job may name, each job naming all of the level before. */
+        /** Five levels, each with as many jobs as a job may depend on; each job depends on all jobs of the level before. */
         FAN(listOf(emptyList<Int>()) + (0 until 5 * WIDTH).map { at -> levelBefore(at / WIDTH) }),
 
-        /** A root, two chains of sixty, and a job that names the ends of both. */
+        /** A root, two chains of sixty jobs, and a job that depends on the ends of both chains. */
         DIAMOND(
             listOf(emptyList<Int>()) + (1..60).map { listOf(it - 1) } + (61..120).map { listOf(if (it == 61) 0 else it - 1) } +
                 listOf(listOf(60, 120)),
         ),
     }
 
-    /** Three controllers with warm caches, each within its part of the store's rate; the leader is away for good. */
+    /** Three controllers with filled caches, each within its share of the store's rate limit, and no leader. */
     @ParameterizedTest
     @EnumSource(Graph::class)
-    fun `no controller reports a dependent job as pending once the cancellation time of its root is over`(graph: Graph) = runTest {
+    fun `no controller reports a dependent job as pending after the time limit of the cancellation of its root`(graph: Graph) = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(5))
         write(store, graph)
@@ -64,23 +69,23 @@
             statesBefore.count {
                 it == "pending"
             } > statesBefore.size * 9 / 10,
-            "answered while nothing is cancelled: ${statesBefore.groupingBy { it }.eachCount()}",
+            "too few pending jobs before the cancellation: ${statesBefore.groupingBy { it }.eachCount()}",
         )
         assertEquals("withdrawn", status(services[0], "POST", "/v1/jobs/${ids.first()}/cancel"))
         val cancelledMicros = clock.nowMicros()
         while (clock.nowMicros() < cancelledMicros + CANCELLATION_MICROS) poll(services, polledIds.take(3), rounds = 1)
         val statesAfter = poll(services, polledIds, rounds = 4)
-        assertTrue("pending" !in statesAfter, "called pending: ${statesAfter.groupingBy { it }.eachCount()}")
+        assertTrue("pending" !in statesAfter, "jobs pending after the time limit: ${statesAfter.groupingBy { it }.eachCount()}")
         assertTrue(
             statesAfter.count { it == "withdrawn" } > statesAfter.size * 9 / 10,
-            "answered: ${statesAfter.groupingBy { it }.eachCount()}",
+            "too few cancelled jobs after the time limit: ${statesAfter.groupingBy { it }.eachCount()}",
         )
     }
 
-    /** The last jobs of a pipeline may be submitted when its root is cancelled for long and nobody was there to pass that on. */
+    /** The last jobs of a pipeline may be submitted long after its root was cancelled, while no leader cancels dependent jobs. */
     @ParameterizedTest
     @EnumSource(Graph::class)
-    fun `a job that depends on a root cancelled long ago is accepted as cancelled`(graph: Graph) = runTest {
+    fun `a job that depends on a root cancelled long ago is cancelled when it is accepted`(graph: Graph) = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(7))
         write(store, graph)
@@ -94,9 +99,12 @@
         assertTrue("pending" !in states, "$states")
     }
 
-    /** Once a check passed its cancellation on to whoever waited for it: a user of the simulation then asked no more. */
+    /**
+     * A check runs in the scope of its controller and is cancelled when the controller stops. If this cancelled the callers too,
+     * a simulated user that waits for the result would stop polling.
+     */
     @Test
-    fun `a check that ends with its controller fails its callers with a store error and does not cancel them`() = runTest {
+    fun `when a controller stops, callers of its checks get a store exception and are not cancelled`() = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(8))
         write(store, Graph.CHAIN)
@@ -154,7 +162,7 @@
         progress = { null },
     )
 
-    /** Takes the tokens that a controller has for its calls, and rejects a call that would have to wait too long for one. */
+    /** Limits the rate of calls like a controller's rate limiter, and fails a call that would have to wait too long for a token. */
     private class RateLimitedStore(private val store: KeyValueStore, private val clock: Clock) : KeyValueStore by store {
         private val requests = TokenBucket(REQUESTS_PER_SECOND)
 
@@ -172,7 +180,7 @@
             return store.get(key, priority)
         }
 
-        /** Pages as large as the store gives them, where its stand-in gives few records a page. */
+        /** Returns pages as large as those of the real store; the pages of [SimStore] have only a few entries. */
         override suspend fun list(prefix: String, after: String?): EntryPage {
             awaitToken(RequestPriority.NORMAL)
             val entries = ArrayList<Entry>()
@@ -201,7 +209,7 @@
 
         fun id(at: Int) = "req-%06d".format(at)
 
-        /** Job numbers of the level before [level]; the root alone before the first. */
+        /** Returns the numbers of the jobs of the level before [level]; before the first level there is only the root. */
         fun levelBefore(level: Int): List<Int> = if (level == 0) listOf(0) else List(WIDTH) { 1 + (level - 1) * WIDTH + it }
     }
 }
--- a/src/test/kotlin/linemast/jobs/JobCancellationTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobCancellationTest.kt
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Cancellations, also of jobs that depend on the cancelled one. */
+/** Guards against cancellations that do not reach dependent jobs, or that a concurrent release or status query hides. */
 class JobCancellationTest {
-    /** Without a leader each controller finds the cancelled dependency and commits before it responds. */
+    /** Without a leader each controller finds the cancelled dependency itself, and commits the cancellation before it responds. */
     @Test
-    fun `a cancellation reaches all transitive dependents, at any controller and without a leader`() = runTest {
+    fun `a cancellation reaches all transitive dependents on every controller without a leader`() = runTest {
         val store = store()
         fun id(at: Int) = "req-%06d".format(at)
         submit(jobService(store), job())
-        // A chain, a fan and a diamond on its end.
+        // A chain of jobs, then 20 jobs that depend on its end, then a job that depends on all 20.
         for (at in 2..9) submit(jobService(store), job("name_id" to id(at), "awaits" to listOf(id(at - 1))))
         for (at in 10..29) submit(jobService(store), job("name_id" to id(at), "awaits" to listOf(id(9))))
         submit(jobService(store), job("name_id" to id(30), "awaits" to (10..29).map(::id)))
@@ -32,15 +32,18 @@
         assertEquals(
             201,
             submit(newController, job("name_id" to id(31), "awaits" to listOf(id(30)))),
-            "accepted although it depends on a cancelled job",
+            "a job that depends on a cancelled job is accepted",
         )
         assertEquals("withdrawn", queryState(newController, id(31)))
         assertEquals(setOf("o/${id(1)}"), store.keysUnder("o/"))
     }
 
-    /** The dependency check takes a while: a cancellation confirmed meanwhile must not be followed by an older state. */
+    /**
+     * A cancellation may be confirmed while the dependency check reads from the store. The response after the check must not
+     * contain the state from before the cancellation.
+     */
     @Test
-    fun `a job cancelled while its dependencies are read is not reported as pending`() = runTest {
+    fun `a job cancelled during the check of its dependencies is reported as cancelled`() = runTest {
         val store = store()
         submit(jobService(store), job())
         submit(jobService(store), job("name_id" to "req-000002", "awaits" to listOf("req-000001")))
@@ -53,9 +56,9 @@
         assertEquals("withdrawn", queryState(jobService(cancellingStore), "req-000002"))
     }
 
-    /** The leader releases a waiting job while its cancellation through another controller is on its way. */
+    /** The leader releases a blocked job between the reads and the commit of its cancellation by another controller. */
     @Test
-    fun `a job released while its cancellation is under way is cancelled under its new key`() = runTest {
+    fun `a job released during its cancellation is cancelled under its new key`() = runTest {
         val store = store()
         submit(jobService(store), job())
         submit(jobService(store), job("name_id" to "req-000002", "awaits" to listOf("req-000001")))
@@ -74,7 +77,7 @@
         }
         assertEquals(200, cancel(jobService(releasingStore), "req-000002"))
         assertEquals("withdrawn", store.valueOf(JobKeys.outcome("req-000002"))?.text("verdict"))
-        assertEquals(true, store.valueOf(JobKeys.open("req-000002"))?.flag("withdrawn"), "the leader sees the cancellation")
+        assertEquals(true, store.valueOf(JobKeys.open("req-000002"))?.flag("withdrawn"), "the open job has the cancelled flag")
         assertEquals(emptySet<String>(), store.keysUnder("w/"))
     }
 }
--- a/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobFormatsTest.kt
@@ -11,11 +11,12 @@
 import java.util.BitSet
 import kotlin.random.Random
 
+/** Guards against job records that change when they are stored and read, and against malformed submissions that are accepted. */
 class JobFormatsTest {
     private val seed = 99
 
     @Test
-    fun `generated jobs are the same after they were stored`() {
+    fun `generated jobs are equal after encoding and decoding`() {
         println("seed $seed")
         val random = Random(seed)
         repeat(300) {
@@ -31,7 +32,7 @@
     }
 
     @Test
-    fun `a job with one malformed field is rejected`() {
+    fun `a submission with one malformed field is rejected`() {
         val random = Random(seed)
         val malformed = listOf<Pair<String, Any?>>(
             "name_id" to "req-x", "name_id" to "../req-1", "name_id" to null, "shape" to "ring", "urgency" to "soon", "pieces" to 0,
@@ -49,7 +50,7 @@
     }
 
     @Test
-    fun `completed tasks of any number are the same after they were stored and each part fits the smallest value`() {
+    fun `sets of completed tasks are equal after encoding and decoding, and each part is below the lowest value limit`() {
         val random = Random(seed)
         for (taskCount in listOf(1, 63, 8_192, 8_193, 100_000)) {
             val done = BitSet()
--- a/src/test/kotlin/linemast/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobServiceTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
 
-/** Status codes of submissions, status queries and cancellations. */
+/** Guards against wrong status codes of submissions, status queries and cancellations. */
 class JobServiceTest {
     @Test
     fun `submissions, status queries and cancellations get the status codes of the protocol`() = runTest {
@@ -28,14 +28,14 @@
     }
 
     @Test
-    fun `a repeated submission stays accepted when its job could not be run any more`() = runTest {
+    fun `a repeated submission stays accepted when no machine type can run its job any more`() = runTest {
         val store = store()
         assertEquals(201, submit(jobService(store), job()))
         assertEquals(200, submit(jobService(store) { emptyList() }, job()))
     }
 
     @Test
-    fun `an outage, missing machine types and malformed records give 503`() = runTest {
+    fun `requests get 503 during an outage, without machine types, and for malformed records`() = runTest {
         val store = store()
         assertEquals(503, submit(jobService(store) { null }, job()))
         store.clientOf("test").commit(emptyList(), listOf(Write.Put("j/req-000001", mapOf("verdict" to 7))))
@@ -48,7 +48,7 @@
         assertEquals(listOf(503, 503), listOf(queryStatus(jobService, "req-000009"), submit(jobService, job("name_id" to "req-000008"))))
     }
 
-    /** The size of a stored job is counted in the form in which the store counts it. */
+    /** The size of a record is measured in the encoding that the store uses to check its limit. */
     @Test
     fun `a job is accepted up to the size limit of a stored value and rejected one byte above it`() = runTest {
         val record = JobRecordCodec.encode(JobRecord(JobSpecCodec.decode(Fields(job())), 0L, activated = false, cancelled = false))
@@ -61,7 +61,7 @@
     }
 
     @Test
-    fun `a job too large for a stored value is rejected at once`() = runTest {
+    fun `a job that exceeds the size limit of a stored value is rejected`() = runTest {
         val store = store()
         val jobService = jobService(store, maxValueBytes = 700)
         val unknownTypes = List(100) { "none-$it" }
--- a/src/test/kotlin/linemast/jobs/SubmissionDeferralTest.kt
+++ b/src/test/kotlin/linemast/jobs/SubmissionDeferralTest.kt
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** Submissions under admission control. */
+/** Guards against admission control that defers accepted, dependent or unrelated jobs, or that admits too much. */
 class SubmissionDeferralTest {
     @Test
-    fun `a submission beyond the share of its flow gets 429 with a delay, repeated and dependent ones are not deferred`() = runTest {
+    fun `a submission that exceeds the share of its flow gets 429 with a delay, repeated and dependent ones are not deferred`() = runTest {
         val store = store()
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val admission = AdmissionController(FlowClassifier(emptyList()), clock)
@@ -28,10 +28,10 @@
         admission.apply(AdmissionPlan(1, 1, mapOf(Flow("team", "*") to range)))
         val deferred = jobService.handle(HttpRequest("POST", "/v1/jobs", "", Cbor.encode(job("name_id" to "req-000002"))))
         assertEquals(429 to 8, deferred?.status to deferred?.retryAfterSeconds)
-        assertEquals(404, queryStatus(jobService, "req-000002"), "nothing of it is stored")
-        assertEquals(200, submit(jobService, job()), "it was accepted before")
+        assertEquals(404, queryStatus(jobService, "req-000002"), "a deferred submission stores nothing")
+        assertEquals(200, submit(jobService, job()), "a job that was accepted before is not deferred")
         assertEquals(201, submit(jobService, job("name_id" to "req-000003", "awaits" to listOf("req-000001"))))
-        assertEquals(201, submit(jobService, job("name_id" to "req-000004", "crew" to "other")), "a submission of another team")
+        assertEquals(201, submit(jobService, job("name_id" to "req-000004", "crew" to "other")), "another team is not deferred")
         assertEquals(422, submit(jobService, job("name_id" to "req-000005", "vcpus" to 9.0)))
         admission.apply(AdmissionPlan(2, 1, mapOf(Flow("team", "*") to range.copy(position = HashRing.positionOf("req-000002")))))
         assertEquals(201, submit(jobService, job("name_id" to "req-000002")))
--- a/src/test/kotlin/linemast/store/RetryPolicyTest.kt
+++ b/src/test/kotlin/linemast/store/RetryPolicyTest.kt
@@ -14,12 +14,13 @@
 import org.junit.jupiter.api.Test
 import org.slf4j.LoggerFactory
 
+/** Guards against retries that come too early or too late, and against retries of failures that no retry can repair. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class RetryPolicyTest {
     private val log = LoggerFactory.getLogger(RetryPolicyTest::class.java)
     private val retry = RetryPolicy(delayMillis = 250, malformedDelayMillis = 1_000)
 
-    /** Fails once in each way, then gives a result; notes when it is called. */
+    /** Fails once in each way and then returns a result; records the times of the calls. */
     private class FailingCall(private val scope: TestScope) {
         val calledAtMillis = ArrayList<Long>()
 
@@ -35,14 +36,14 @@
     }
 
     @Test
-    fun `a call is repeated after the delay of its failure until it returns a value`() = runTest {
+    fun `a call is repeated until it returns a value, each time after the delay that belongs to the failure`() = runTest {
         val call = FailingCall(this)
         assertEquals("result", retry.untilResult(log) { call.attempt() })
         assertEquals(listOf(0L, 250L, 500L, 1_500L), call.calledAtMillis)
     }
 
     @Test
-    fun `a loop waits after failures only, and ends when it is cancelled`() = runTest {
+    fun `an endless repetition waits only after failures and ends when it is cancelled`() = runTest {
         val calledAtMillis = ArrayList<Long>()
         val result = withTimeoutOrNull(10_000) {
             retry.repeatForever(log, "test") {
@@ -58,10 +59,10 @@
     }
 
     @Test
-    fun `other exceptions end the repetition`() {
+    fun `exceptions other than store failures and malformed records end the repetition`() {
         val failure = assertThrows(IllegalStateException::class.java) {
-            runTest { retry.repeatForever(log) { error("a fault of the program") } }
+            runTest { retry.repeatForever(log) { error("programming error") } }
         }
-        assertTrue(failure.message == "a fault of the program", "$failure")
+        assertTrue(failure.message == "programming error", "$failure")
     }
 }
--- a/src/test/kotlin/linemast/store/StoreCodecTest.kt
+++ b/src/test/kotlin/linemast/store/StoreCodecTest.kt
@@ -5,11 +5,12 @@
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Test
 
+/** Guards against encodings that the key-value store of the protocol does not understand. */
 class StoreCodecTest {
     private val value = mapOf("n" to 3L)
 
     @Test
-    fun `a transaction keeps the names of the protocol`() {
+    fun `a transaction is encoded with the names of the protocol`() {
         val body = StoreCodec.encodeTransaction(
             listOf(Precondition("leader", 7), Precondition("absent", Precondition.ABSENT)),
             listOf(Write.Put("leader", value, lease = 9), Write.Put("helm", value), Write.Delete("old")),
@@ -26,7 +27,7 @@
     }
 
     @Test
-    fun `paths keep the names of the protocol`() {
+    fun `paths have the names of the protocol`() {
         assertEquals("/keys/leader", StoreCodec.entryPath("leader"))
         assertEquals("/keys?under=jobs/&limit=500", StoreCodec.listPath("jobs/", null))
         assertEquals("/keys?under=jobs/&after=jobs/a&limit=500", StoreCodec.listPath("jobs/", "jobs/a"))
@@ -36,7 +37,7 @@
     }
 
     @Test
-    fun `changes are puts and deletes`() {
+    fun `puts and deletes in the response to a watch are decoded as changes`() {
         val news = listOf(mapOf("put" to "a", "v" to value, "stamp" to 5), mapOf("drop" to "b", "stamp" to 6))
         val result = StoreCodec.decodeChanges(Cbor.decodeMap(Cbor.encode(mapOf("era" to 6, "news" to news))))
         assertEquals(6, result.revision)
--- a/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
@@ -6,22 +6,23 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
+/** Guards against controllers that together exceed the rate limits of the key-value store, before and after the limits drop. */
 class StoreRateLimitsTest {
     private val next = StoreLimits(rps = 60.0, writeRps = 20.0, valueBytes = 2_048, txnOps = 5)
     private val limits = StoreLimits(rps = 90.0, writeRps = 40.0, valueBytes = 16_384, txnOps = 16, next = next)
 
     @Test
-    fun `three controllers together keep within the rates, before a refusal and after it`() {
+    fun `three controllers together stay within the rate limits before and after a refusal`() {
         val rates = List(3) { StoreRateLimits(limits, 3) }
         rates[1].isLeader = true
         assertTrue(rates.sumOf { it.writesPerSecond } <= 40.0 && rates.sumOf { it.requestsPerSecond } <= 90.0)
         rates.forEach { assertTrue(it.tightenAfterRefusal(isCommit = true)) }
-        assertTrue(rates.sumOf { it.writesPerSecond } <= 20.0, "the changes follow at once")
-        assertTrue(rates.sumOf { it.requestsPerSecond } > 60.0, "the other calls only when they are refused themselves")
+        assertTrue(rates.sumOf { it.writesPerSecond } <= 20.0, "the limit of writes is lowered at once")
+        assertTrue(rates.sumOf { it.requestsPerSecond } > 60.0, "the limit of requests is lowered only after a refused request")
         rates.forEach { assertTrue(it.tightenAfterRefusal(isCommit = false)) }
         assertTrue(rates.sumOf { it.requestsPerSecond } <= 60.0)
-        assertEquals(rates[0].writesPerSecond * 2, rates[1].writesPerSecond, "the leader's part stays the larger one")
-        rates.forEach { assertFalse(it.tightenAfterRefusal(isCommit = true), "nothing is left to fall to") }
+        assertEquals(rates[0].writesPerSecond * 2, rates[1].writesPerSecond, "the leader's share of the writes stays larger")
+        rates.forEach { assertFalse(it.tightenAfterRefusal(isCommit = true), "there is no lower limit to apply") }
     }
 
     @Test
@@ -33,11 +34,11 @@
     }
 
     /**
-     * The service's rate of changes drops without notice in a burst of submissions. Each controller is refused a few times at
-     * most before it keeps within its new part, and renewals, which change nothing, never wait for the burst.
+     * The store lowers its limit of writes without notice during a burst of submissions. Each controller is refused a few
+     * times at most before it stays within its new share, and lease renewals, which write nothing, never wait for the burst.
      */
     @Test
-    fun `a rate that drops in a burst refuses each controller a few times only`() {
+    fun `each controller is refused only a few times when the limit drops during a burst`() {
         val rates = List(3) { StoreRateLimits(limits, 3).also { rate -> rate.isLeader = it == 0 } }
         val requests = rates.map { TokenBucket(it.requestsPerSecond) }
         val writes = rates.map { TokenBucket(it.writesPerSecond) }
@@ -51,9 +52,9 @@
             }
             for (node in 0..2) {
                 if (nowMicros % 800_000L == 0L) {
-                    assertTrue(requests[node].tryTake(1, RequestPriority.CRITICAL, nowMicros), "a renewal waits at $nowMicros")
+                    assertTrue(requests[node].tryTake(1, RequestPriority.CRITICAL, nowMicros), "a lease renewal has to wait at $nowMicros")
                 }
-                // More submissions than fit are always there: each puts two keys.
+                // There are always more submissions than the rates allow; each writes two keys.
                 if (!requests[node].tryTake(1, RequestPriority.HIGH, nowMicros)) continue
                 if (!writes[node].tryTake(2, RequestPriority.HIGH, nowMicros)) continue
                 if (storeLimit.tryTake(2, RequestPriority.CRITICAL, nowMicros)) {
@@ -67,7 +68,7 @@
         }
         println("$accepted submissions accepted, $refusedWrites refused")
         assertTrue(refusedWrites in 1..60, "$refusedWrites refused")
-        assertEquals(0, lateRefusals, "none once all three know")
+        assertEquals(0, lateRefusals, "calls refused although all three controllers have applied the new limit")
         assertTrue(accepted > 250, "$accepted accepted")
     }
 }
--- a/src/test/kotlin/linemast/store/TokenBucketTest.kt
+++ b/src/test/kotlin/linemast/store/TokenBucketTest.kt
@@ -7,10 +7,11 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
+/** Guards against rates above the limit, and against calls of low priority that use up the tokens of urgent calls. */
 class TokenBucketTest {
     @ParameterizedTest
     @ValueSource(ints = [5])
-    fun `a bucket gives no more than its burst and rate, and critical calls find tokens reserved for them`(seed: Int) {
+    fun `a bucket grants no more than its capacity and rate, and keeps tokens reserved for critical calls`(seed: Int) {
         val random = Random(seed)
         repeat(50) {
             val rate = random.nextInt(10, 50).toDouble()
@@ -30,9 +31,9 @@
         }
     }
 
-    /** Progress of running jobs once used up the writes, and submissions were refused on a quiet day. */
+    /** Writes of the progress of running jobs can use up the rate limit, so that submissions are refused without high load. */
     @Test
-    fun `background calls leave most tokens to submissions`() {
+    fun `background calls leave tokens for submissions`() {
         val bucket = TokenBucket(20.0)
         while (bucket.tryTake(1, RequestPriority.BACKGROUND, 1)) Unit
         repeat(8) { assertTrue(bucket.tryTake(1, RequestPriority.HIGH, 1)) }
