--- a/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
@@ -113,7 +113,7 @@
     }
 
     private fun decodeShortText(fields: Fields, name: String): String =
-        fields.text(name).also { if (it.isEmpty() || it.length > MAX_LENGTH) fields.fail(name, "must have 1 to $MAX_LENGTH characters") }
+        fields.text(name).also { if (it.isEmpty() || it.length > MAX_LENGTH) fields.fail(name, "must not be empty or too long") }
 
     private fun decodeAmount(fields: Fields, name: String): Double =
         fields.number(name).also { if (it < 0 || it > MAX_AMOUNT) fields.fail(name, "is out of range") }
