--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -45,7 +45,7 @@
         CHAIN((0..400).map { if (it == 0) emptyList() else listOf(it - 1) }),
 
         /** Five levels, each with as many jobs as a job may depend on; each job depends on all jobs of the level before. */
-        FAN(listOf(emptyList<Int>()) + (0 until 5 * WIDTH).map { at -> levelBefore(at / WIDTH) }),
+        FAN(listOf(emptyList<Int>()) + (0 until 5 * WIDTH).map { index -> levelBefore(index / WIDTH) }),
 
         /** A root, two chains of sixty jobs, and a job that depends on the ends of both chains. */
         DIAMOND(
@@ -61,7 +61,7 @@
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(5))
         write(store, graph)
-        val services = List(3) { at -> service(RateLimitedStore(store.clientOf("mast-$at"), clock), clock) }
+        val services = List(3) { node -> service(RateLimitedStore(store.clientOf("mast-$node"), clock), clock) }
         val ids = graph.dependencies.indices.map(::id)
         val polledIds = ids.shuffled(Random(6)).take(30) + ids.last()
         val statesBefore = poll(services, polledIds, rounds = 4)
@@ -123,8 +123,8 @@
 
     private suspend fun poll(services: List<JobService>, ids: List<String>, rounds: Int): List<String?> = buildList {
         repeat(rounds) { round ->
-            for ((at, id) in ids.withIndex()) {
-                add(status(services[(at + round) % services.size], "GET", "/v1/jobs/$id"))
+            for ((index, id) in ids.withIndex()) {
+                add(status(services[(index + round) % services.size], "GET", "/v1/jobs/$id"))
                 delay(150)
             }
         }
@@ -137,8 +137,8 @@
 
     private suspend fun write(store: SimStore, graph: Graph) {
         val client = store.clientOf("users")
-        for ((at, dependencies) in graph.dependencies.withIndex()) {
-            val spec = testSpec(id(at), "awaits" to dependencies.map(::id))
+        for ((index, dependencies) in graph.dependencies.withIndex()) {
+            val spec = testSpec(id(index), "awaits" to dependencies.map(::id))
             val record = JobRecord(spec, 0, activated = false, cancelled = false)
             val key = if (dependencies.isEmpty()) JobKeys.open(spec.id) else JobKeys.blocked(spec.id)
             val outcome = OutcomeRecord(JobOutcome.OPEN, spec.taskCount, spec.dependencies)
@@ -207,7 +207,7 @@
         const val PAGE_ENTRIES = 500
         val TYPES = listOf(MachineType("t", 8.0, 0.0, 64.0, 10.0, 1.0, 1.0, 0.3, 30_000_000, listOf("z")))
 
-        fun id(at: Int) = "req-%06d".format(at)
+        fun id(number: Int) = "req-%06d".format(number)
 
         /** Returns the numbers of the jobs of the level before [level]; before the first level there is only the root. */
         fun levelBefore(level: Int): List<Int> = if (level == 0) listOf(0) else List(WIDTH) { 1 + (level - 1) * WIDTH + it }
--- a/src/test/kotlin/linemast/jobs/JobCancellationTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobCancellationTest.kt
@@ -16,17 +16,17 @@
     @Test
     fun `a cancellation reaches all transitive dependents on every controller without a leader`() = runTest {
         val store = store()
-        fun id(at: Int) = "req-%06d".format(at)
+        fun id(number: Int) = "req-%06d".format(number)
         submit(jobService(store), job())
         // A chain of jobs, then 20 jobs that depend on its end, then a job that depends on all 20.
-        for (at in 2..9) submit(jobService(store), job("name_id" to id(at), "awaits" to listOf(id(at - 1))))
-        for (at in 10..29) submit(jobService(store), job("name_id" to id(at), "awaits" to listOf(id(9))))
+        for (number in 2..9) submit(jobService(store), job("name_id" to id(number), "awaits" to listOf(id(number - 1))))
+        for (number in 10..29) submit(jobService(store), job("name_id" to id(number), "awaits" to listOf(id(9))))
         submit(jobService(store), job("name_id" to id(30), "awaits" to (10..29).map(::id)))
         assertEquals("pending", queryState(jobService(store), id(30)))
         assertEquals(200, cancel(jobService(store), id(1)))
         assertEquals("withdrawn", queryState(jobService(store), id(30)))
         assertEquals("withdrawn", store.valueOf("j/${id(30)}")?.text("verdict"))
-        for (at in 2..29) assertEquals("withdrawn", queryState(jobService(store), id(at)))
+        for (number in 2..29) assertEquals("withdrawn", queryState(jobService(store), id(number)))
         assertEquals(emptySet<String>(), store.keysUnder("w/"))
         val newController = jobService(store)
         assertEquals(
--- a/src/test/kotlin/linemast/jobs/JobDependencySubmissionTest.kt
+++ b/src/test/kotlin/linemast/jobs/JobDependencySubmissionTest.kt
@@ -44,7 +44,7 @@
     @Test
     fun `any accepted job may be a dependency in any state, and any number of unknown dependencies is rejected`() = runTest {
         val store = store()
-        fun id(at: Int) = "req-%06d".format(at)
+        fun id(number: Int) = "req-%06d".format(number)
         submit(jobService(store), job("name_id" to id(1)))
         submit(jobService(store), job("name_id" to id(2), "crew" to "other"))
         val done = OutcomeRecordCodec.encode(OutcomeRecord(JobOutcome.DONE, 3))
@@ -52,7 +52,7 @@
         val names = listOf(id(1), id(2), id(3))
         assertEquals(201, submit(jobService(store), job("name_id" to id(4), "awaits" to names)))
         assertEquals("pending", queryState(jobService(store), id(4)))
-        for (at in 5..67) submit(jobService(store), job("name_id" to id(at)))
+        for (number in 5..67) submit(jobService(store), job("name_id" to id(number)))
         val all = (5..67).map(::id)
         assertEquals(201, submit(jobService(store), job("name_id" to id(80), "awaits" to all)), "maximum number of dependencies")
         assertEquals(422, submit(jobService(store), job("name_id" to id(81), "awaits" to all + id(99))), "one unknown dependency")
