--- a/src/main/kotlin/linemast/domain/JobRecord.kt
+++ b/src/main/kotlin/linemast/domain/JobRecord.kt
@@ -47,7 +47,7 @@
     fun with(activated: Boolean = this.activated, cancelled: Boolean = this.cancelled) =
         JobRecord(spec, acceptedWallMicros, activated, cancelled, releasedWallMicros)
 
-    /** Returns the record of the job when it is released at [wallMicros]: it may start, and its dependencies are removed. */
+    /** Returns the record for a release at [wallMicros]: the job may start, and its dependencies are removed as no longer needed. */
     fun released(wallMicros: Long) =
         JobRecord(spec.copy(dependencies = emptyList()), acceptedWallMicros, activated = true, cancelled, wallMicros)
 
