--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -29,7 +29,7 @@
     /** Reads until it succeeds; the result says from where on changes have to be watched. */
     suspend fun load(): JobRevisions = RETRY.untilResult(log, "reading the store") {
         types()?.let { known ->
-            cluster.types = known.associateBy { it.name }
+            cluster.machineTypes = known.associateBy { it.name }
             read()
         }
     }
@@ -44,7 +44,7 @@
         cluster.load(records, machines, term.clock.nowMicros())
         applyCompletedTasks(completed.entries)
         dependencyCoordinator.load(blocked.entries)
-        cancellationFreshness.refreshedAt(sentMicros)
+        cancellationFreshness.recordRefresh(sentMicros)
         log.info("read {} open jobs and {} machines from the store", records.size, machines.size)
         return JobRevisions(open.revision, blocked.revision)
     }
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -14,7 +14,7 @@
 internal class TaskReconciliation(private val cluster: Cluster, private val timing: WorkerTiming, private val taskEndings: TaskEndings) {
     private val log = LoggerFactory.getLogger(TaskReconciliation::class.java)
 
-    /** Takes all tasks of an accepted heartbeat: found ones are adopted, missing ones are lost. */
+    /** Applies the task list of an accepted heartbeat: adopts unknown tasks, and removes placements of lost tasks. */
     fun reconcile(machine: Machine, heartbeat: Heartbeat, nowMicros: Long) {
         val reported = HashSet<TaskAttempt>()
         machine.endedTasks.clear()
@@ -23,16 +23,16 @@
             val placement = machine.placements[task.key]
             if (task.state == TaskState.ENDED) {
                 machine.endedTasks[task.key] = task
-                taskEndings.ended(machine, task, placement, nowMicros)
+                taskEndings.recordEnd(machine, task, placement, nowMicros)
             } else {
-                advance(placement ?: adopt(machine, task, nowMicros), task, nowMicros)
+                updatePhase(placement ?: adopt(machine, task, nowMicros), task, nowMicros)
             }
         }
-        machine.placements.values.filter { isLost(it, reported, nowMicros) }.forEach(::lost)
+        machine.placements.values.filter { isLost(it, reported, nowMicros) }.forEach(::removeLost)
         if (machine.placements.isNotEmpty() || machine.idleSinceMicros == 0L) machine.idleSinceMicros = nowMicros
     }
 
-    /** A placement for a task that this leader has not started. */
+    /** Adds a placement for a task that this leader has not started. */
     private fun adopt(machine: Machine, task: TaskStatus, nowMicros: Long): Placement {
         val job = cluster.jobs[task.task.job]?.takeIf { task.task.index < it.spec.taskCount }
         val placement = Placement(machine, task.task, task.attempt, job)
@@ -49,7 +49,7 @@
         if (job == null) recovery.countUnknown(attempt) else recovery.count(ReconciliationStatistics.Difference.ADOPTED)
     }
 
-    private fun advance(placement: Placement, task: TaskStatus, nowMicros: Long) {
+    private fun updatePhase(placement: Placement, task: TaskStatus, nowMicros: Long) {
         placement.phase = when (task.state) {
             TaskState.FETCHING -> Placement.Phase.FETCHING
             TaskState.WAITING_FOR_GANG -> Placement.Phase.WAITING_FOR_GANG
@@ -63,13 +63,16 @@
         if (placement.phase != Placement.Phase.FETCHING) placement.job?.let { placement.machine.images += it.spec.image }
     }
 
-    /** Where a delayed copy looks like a heartbeat, a start is not taken for lost before heartbeats had time to show it. */
+    /**
+     * Whether the task of [placement] is lost, since the heartbeat does not list it. If delayed duplicates cannot be told from
+     * heartbeats of this worker, a task counts as lost only after its start had time to appear in a heartbeat.
+     */
     private fun isLost(placement: Placement, reported: Set<TaskAttempt>, nowMicros: Long): Boolean {
         if (placement.key in reported || placement.isAssigned) return false
         return !placement.machine.heartbeats.reusesIncarnations || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
     }
 
-    private fun lost(placement: Placement) {
+    private fun removeLost(placement: Placement) {
         cluster.recovery?.count(ReconciliationStatistics.Difference.LOST)
         if (placement.phase != Placement.Phase.SENT) {
             log.info("{} on {}: not reported any more", placement.task, placement.machine.name)
