--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -63,7 +63,7 @@
     private fun execute(preemption: Preemption, gang: Job, windowMicros: Long, cycle: SchedulingCycle) {
         preemption.machine.reserveFor(gang, cycle.nowMicros + windowMicros + GangReservation.RESERVATION_MICROS)
         for (victim in preemption.victims) {
-            // A task whose start has not been sent is unassigned, so that it is not started just to be stopped.
+            // A task whose start has not been sent is only unassigned; there is nothing to stop.
             if (victim.isAssigned) {
                 cycle.unassign(victim)
             } else if (victim.stopReason == null) {
--- a/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatAcceptance.kt
@@ -5,9 +5,7 @@
 import linemast.domain.Machine
 import org.slf4j.LoggerFactory
 
-/**
- * Accepts or rejects heartbeats, and records the sequence number, the worker's incarnation and its lease of those accepted.
- */
+/** Accepts or rejects heartbeats. For each accepted one, records its order, the incarnation of its worker and the worker's lease. */
 internal class HeartbeatAcceptance(private val cluster: Cluster, private val timing: WorkerTiming) {
     private val log = LoggerFactory.getLogger(HeartbeatAcceptance::class.java)
 
--- a/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -5,7 +5,7 @@
 import linemast.domain.PendingReason
 
 /**
- * Places starving jobs before all others, so that no job is kept from starting for ever by priorities or quota limits. A job
+ * Places starving jobs before all others, so that no priority or quota limit delays a job indefinitely. A job
  * starves if it has waited for long and none of its tasks was started.
  *
  * Of a starving array a few tasks are placed first; for a starving gang machines are reserved. Starving jobs keep their rank among
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Whether a task of the unknown [job] may be stopped and its result discarded. With reconciliation after outages, not before the
-     * record of the job was looked up in the store.
+     * Whether a task of the unknown [job] may be stopped and its result discarded. If the reconciliation after an
+     * outage is enabled, this is false until the record of the job was looked up in the store.
      */
     private fun mayDiscard(job: String, nowMicros: Long): Boolean = cluster.recovery?.mayDiscard(job, nowMicros) ?: true
 
