--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -174,7 +174,7 @@
     /** Adds a placement and counts its resources as used. */
     internal fun put(placement: Placement) {
         if (placement.isAssigned) unsentAssignments += placement
-        placement.machine.put(placement)
+        placement.machine.add(placement)
         placement.job?.add(placement)
         placement.job?.let { quota.add(it.spec) }
     }
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -45,7 +45,7 @@
         previousLeaderUntilMicros = nowMicros + degradedModeMicros + LeaderLease.driftMicros(degradedModeMicros)
         for (machine in registered) {
             machine.isRegistered = true
-            machine.inherited = true
+            machine.registeredByPreviousLeader = true
             // A previous leader in degraded mode may renew the worker's lease until previousLeaderUntilMicros.
             machine.leaseEndMicros = previousLeaderUntilMicros + timing.maxLeaseMicros
             unconfirmedMachines += machine
@@ -88,7 +88,7 @@
             complete(nowMicros)
         } else if (haveMachinesChanged) {
             val shapes = unconfirmedMachines.mapTo(HashSet()) { it.shape }
-            for (job in cluster.jobs.values) if (job.unconfirmed) job.unconfirmed = shapes.any { it.allows(job.spec) }
+            for (job in cluster.jobs.values) if (job.hasUnconfirmedTasks) job.hasUnconfirmedTasks = shapes.any { it.allows(job.spec) }
             cluster.needsScheduling = true
         }
         haveMachinesChanged = false
@@ -113,12 +113,12 @@
     /** Returns the zones where most registered machines are confirmed; a machine missing there is not in a partitioned zone. */
     fun zonesMostlyReporting(): Set<String> {
         val unconfirmed = unconfirmedMachines.groupingBy { it.zone }.eachCount()
-        val registered = cluster.machines.values.filter { it.inherited }.groupingBy { it.zone }.eachCount()
+        val registered = cluster.machines.values.filter { it.registeredByPreviousLeader }.groupingBy { it.zone }.eachCount()
         return registered.filter { (zone, count) -> (unconfirmed[zone] ?: 0) * MAX_MISSING_DIVISOR <= count }.keys
     }
 
     /** Whether no unreported task of [job] can be on a machine; unconfirmed machines that cannot host the job are ignored. */
-    fun isReconciledFor(job: Job): Boolean = isReconciled || !job.unconfirmed
+    fun isReconciledFor(job: Job): Boolean = isReconciled || !job.hasUnconfirmedTasks
 
     /** Returns the [amount] that unreported tasks of previous leaders may use in [team]; all of it counts against the quota limit. */
     fun unconfirmedAmount(team: String, amount: (Job) -> Double): Double {
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -78,7 +78,7 @@
      */
     private fun isLessUrgent(placement: Placement, gang: Job): Boolean {
         val job = placement.job ?: return false
-        return job.priority > gang.priority && !job.spec.isGang && !placement.exemptFromPreemption
+        return job.priority > gang.priority && !job.spec.isGang && !placement.isExemptFromPreemption
     }
 
     /** Whether [machine] has enough vcpus once all its less urgent tasks are preempted: a cheap check that rules out most machines. */
--- a/src/main/kotlin/linemast/scheduling/KnownMachines.kt
+++ b/src/main/kotlin/linemast/scheduling/KnownMachines.kt
@@ -21,7 +21,7 @@
 
     /** Adds a machine whose first heartbeat has arrived. */
     fun add(machine: Machine) {
-        machine.baseline = machine.name in baseline
+        machine.isBaseline = machine.name in baseline
         machine.draining = machine.name in scalingIn
         machines[machine.name] = machine
         cluster.needsScheduling = true
@@ -39,7 +39,7 @@
     /** Sets which machines belong to the baseline fleet. */
     fun markBaseline(names: Set<String>) {
         baseline = names
-        machines.values.forEach { it.baseline = it.name in names }
+        machines.values.forEach { it.isBaseline = it.name in names }
     }
 
     /** Removes machines whose termination the cloud has confirmed, with their tasks. */
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -23,7 +23,7 @@
         if (job == null) cluster.recovery?.countUnknown(task.key)
         if (job == null || task.task.index >= job.spec.taskCount) return
         when (task.cause) {
-            EndCause.DONE -> recordCompletion(machine, job, task, placement, nowMicros)
+            EndCause.COMPLETED -> recordCompletion(machine, job, task, placement, nowMicros)
             EndCause.FAILED -> recordFailure(machine, job, nowMicros)
             else -> if (placement != null) log.debug("{}: ended on {}: {}", task.task, machine.name, task.cause)
         }
@@ -37,9 +37,9 @@
         // A gang completes as a whole: the completion of one of its tasks is the completion of all.
         val indices = if (job.spec.isGang) 0 until job.spec.taskCount else task.task.index..task.task.index
         for (index in indices) {
-            if (!job.markDone(index)) continue
+            if (!job.markCompleted(index)) continue
             job.storedProgress.dirtyParts.set(CompletedTaskParts.partOf(index))
-            cluster.recovery?.count(ReconciliationStatistics.Difference.RESULT)
+            cluster.recovery?.count(ReconciliationStatistics.Difference.UNSTORED_RESULT)
         }
         cluster.needsScheduling = true
     }
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -17,12 +17,12 @@
     /** Applies the task list of an accepted heartbeat: adopts unknown tasks, and removes placements of lost tasks. */
     fun reconcile(machine: Machine, heartbeat: Heartbeat, nowMicros: Long) {
         val reported = HashSet<TaskAttempt>()
-        machine.ended.clear()
+        machine.endedTasks.clear()
         for (task in heartbeat.tasks) {
             reported += task.key
             val placement = machine.placements[task.key]
             if (task.state == TaskState.ENDED) {
-                machine.ended[task.key] = task
+                machine.endedTasks[task.key] = task
                 taskEndings.recordEnd(machine, task, placement, nowMicros)
             } else {
                 updatePhase(placement ?: adopt(machine, task, nowMicros), task, nowMicros)
@@ -69,7 +69,7 @@
      */
     private fun isLost(placement: Placement, reported: Set<TaskAttempt>, nowMicros: Long): Boolean {
         if (placement.key in reported || placement.isAssigned) return false
-        return !placement.machine.heartbeats.isAmbiguous || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
+        return !placement.machine.heartbeats.reusesIncarnations || nowMicros >= placement.sentMicros + timing.maxLeaseMicros
     }
 
     private fun removeLost(placement: Placement) {
--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -49,7 +49,7 @@
             machine.leaseEndMicros,
             machine.placements.keys.toList(),
         )
-    } to fixture.cluster.jobs.values.map { it.doneCount to it.pendingCount }
+    } to fixture.cluster.jobs.values.map { it.completedCount to it.pendingCount }
 
     @Test
     fun `a delayed heartbeat does not add a terminated machine again`() {
--- a/src/test/kotlin/linemast/scheduling/StarvationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/StarvationTest.kt
@@ -19,7 +19,7 @@
             worker.heartbeatFor(20)
             worker.tasks.keys.filter { worker.tasks[it] == TaskState.RUNNING }.forEach { worker.tasks[it] = TaskState.ENDED }
         }
-        assertTrue(second.doneCount > 0 || second.placements.isNotEmpty(), "a starving array starts: no task after 160 s")
+        assertTrue(second.completedCount > 0 || second.placements.isNotEmpty(), "a starving array starts: no task after 160 s")
     }
 
     /** Two gangs each need all of both machines, while small tasks fill any free capacity: each gang has to get the machines in turn. */
@@ -31,7 +31,7 @@
         fixture.submit("req-1", 600)
         var seconds = 0
         val gangs = listOf("req-2", "req-3").map { fixture.submit(it, 2, gang = true, vcpus = 8.0) }
-        while (gangs.any { it.doneCount == 0 } && seconds < 300) {
+        while (gangs.any { it.completedCount == 0 } && seconds < 300) {
             fixture.advance(1_000_000)
             seconds++
             workers.forEach { worker ->
@@ -44,7 +44,7 @@
                     .forEach { worker.tasks[it] = TaskState.ENDED }
             }
         }
-        assertTrue(gangs.all { it.doneCount == 2 }, "both gangs complete; after $seconds s: ${gangs.map { it.doneCount }} tasks")
+        assertTrue(gangs.all { it.completedCount == 2 }, "both gangs complete; after $seconds s: ${gangs.map { it.completedCount }} tasks")
     }
 
     private fun allRunTasksOf(workers: List<FakeWorker>, job: String) =
