--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -102,7 +102,7 @@
 
     /** Initializes the state with the records and machines read from the store; heartbeats are processed from [nowMicros] on. */
     fun load(records: List<StoredJobRecord>, registered: List<Machine>, nowMicros: Long) {
-        for (stored in records) add(stored.record, stored.revision, inherited = stored.record.activated)
+        for (stored in records) addJob(stored.record, stored.revision, inherited = stored.record.activated)
         for (machine in registered) machines[machine.name] = machine
         failover.begin(registered, nowMicros)
         failover.reconcile(nowMicros)
@@ -120,7 +120,7 @@
         val job = jobs[record.spec.id]
         if (job == null) {
             // Not inherited: jobs that a previous leader activated were in the store when the state was loaded.
-            add(record, revision, inherited = false)
+            addJob(record, revision, inherited = false)
         } else {
             job.revision = maxOf(job.revision, revision)
             if (record.cancelled) cancel(job)
@@ -128,7 +128,7 @@
         needsScheduling = true
     }
 
-    private fun add(record: JobRecord, revision: Long, inherited: Boolean) {
+    private fun addJob(record: JobRecord, revision: Long, inherited: Boolean) {
         val job = Job(record, revision, inherited)
         if (job.cancelled) job.cancelledSinceMicros = clocks.monotonic.nowMicros()
         jobs[job.id] = job
@@ -167,12 +167,12 @@
     /** Assigns a task to [machine]; its start is sent in the response to the machine's next heartbeat. */
     fun assign(machine: Machine, job: Job, index: Int, attempt: Long): Placement {
         val placement = Placement(machine, TaskId(job.id, index), attempt, job)
-        put(placement)
+        add(placement)
         return placement
     }
 
     /** Adds a placement and counts its resources as used. */
-    internal fun put(placement: Placement) {
+    internal fun add(placement: Placement) {
         if (placement.isAssigned) unsentAssignments += placement
         placement.machine.add(placement)
         placement.job?.add(placement)
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -23,7 +23,7 @@
     /** Machines that may still hold tasks of a previous leader that were not reported to this one. */
     private val unconfirmedMachines = LinkedHashSet<Machine>()
 
-    /** Whether [unconfirmedMachines] has changed since [Job.unconfirmed] was last updated. */
+    /** Whether [unconfirmedMachines] has changed since [Job.hasUnconfirmedTasks] was last updated. */
     private var haveMachinesChanged = false
 
     /** Gangs that finished while machines that may hold some of their tasks were unconfirmed. */
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -38,7 +38,7 @@
         val placement = Placement(machine, task.task, task.attempt, job)
         placement.phase = Placement.Phase.SENT
         placement.sentMicros = nowMicros
-        cluster.put(placement)
+        cluster.add(placement)
         countFound(job, task.key)
         if (job != null && job.spec.isGang) job.gangAttempt.adopt(task.attempt)
         return placement
