--- a/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
@@ -49,7 +49,7 @@
     private suspend fun submitDependent(spec: JobSpec): JobResponse {
         val dependencies = BulkOutcomeReader(outcomes).read(spec.dependencies)
         spec.dependencies.firstOrNull { it !in dependencies }?.let { missing ->
-            return JobResponse.Rejected("the job depends on $missing, which was never accepted")
+            return JobResponse.Rejected("it depends on $missing, which was never accepted")
         }
         if (dependencies.values.all { it.outcome == JobOutcome.DONE }) return accept(spec.copy(dependencies = emptyList()), JobOutcome.OPEN)
         val isCancelled = dependencyCheck.dependsOnCancelled(spec.dependencies)
