--- a/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
@@ -21,7 +21,7 @@
         val heartbeat = HeartbeatCodec.decode(Cbor.decodeMap(request.body))
         peerStatusExchange.heartbeatReceived()
         leaderView.observeFencingToken(heartbeat.fencingToken)
-        val answer = leaderLifecycle.leader?.answer(heartbeat) ?: return redirect()
+        val answer = leaderLifecycle.leader?.handleHeartbeat(heartbeat) ?: return redirect()
         val body = HeartbeatCodec.encodeResponse(answer.fencingToken, answer.commands)
         return HttpResponse(HttpStatus.OK, Cbor.encode(body), stillValid = { answer.isValid(clock.nowMicros()) })
     }
--- a/src/main/kotlin/linemast/app/PeerStatusExchange.kt
+++ b/src/main/kotlin/linemast/app/PeerStatusExchange.kt
@@ -42,7 +42,7 @@
         val isFromLeader = status.isLeader && status.fencingToken >= leaderView.highestFencingToken
         if (isFromLeader && leaderView.own == null) leaderView.leaderName = status.node
         peerView.received(status)
-        leaderLifecycle.leader?.peerObservedToken(status.node, status.fencingToken)
+        leaderLifecycle.leader?.recordPeerToken(status.node, status.fencingToken)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/control/BaselineFleetStore.kt
+++ b/src/main/kotlin/linemast/control/BaselineFleetStore.kt
@@ -24,15 +24,15 @@
     suspend fun loadOrCreate(): Set<String>? {
         val stored = term.store.listAll(PREFIX).entries
         if (stored.any { it.key == FIRST_CHUNK }) return stored.flatMapTo(LinkedHashSet()) { BaselineFleetCodec.decode(it.value) }
-        val found = cloud.machines().filter { !it.spot && it.status != FAILED }.map { it.name }
-        if (found.isEmpty() && mayListLag()) return null
-        if (!write(found, stored)) return null
-        log.info("baseline fleet: {} machines", found.size)
-        return found.toSet()
+        val foundNames = cloud.machines().filter { !it.spot && it.status != STATUS_FAILED }.map { it.name }
+        if (foundNames.isEmpty() && mayEmptyListBeStale()) return null
+        if (!write(foundNames, stored)) return null
+        log.info("baseline fleet: {} machines", foundNames.size)
+        return foundNames.toSet()
     }
 
     /** Only a list that stays empty for long enough says that there is no baseline fleet. */
-    private fun mayListLag() = term.clock.nowMicros() < electedMicros + LAGS_UNTIL_EMPTY * listLagMicros
+    private fun mayEmptyListBeStale() = term.clock.nowMicros() < electedMicros + LIST_LAGS_UNTIL_EMPTY_IS_TRUSTED * listLagMicros
 
     /** Chunks that are [stored] without the first one are left from a leader that failed half-way. */
     private suspend fun write(names: List<String>, stored: List<Entry>): Boolean {
@@ -46,19 +46,19 @@
 
     private fun chunkSize(names: List<String>): Int {
         val maxNameBytes = names.maxOfOrNull { JsonSize.of(it) + SEPARATOR_BYTES } ?: 1
-        return ((term.limits.maxValueBytes - FRAME_BYTES) / maxNameBytes).coerceIn(1, MAX_CHUNK_NAMES)
+        return ((term.limits.maxValueBytes - CHUNK_OVERHEAD_BYTES) / maxNameBytes).coerceIn(1, MAX_CHUNK_NAMES)
     }
 
     private companion object {
         const val PREFIX = "standing/"
         const val FIRST_CHUNK = "standing/0"
-        const val FAILED = "failed"
+        const val STATUS_FAILED = "failed"
         const val MAX_CHUNK_NAMES = 200
         const val SEPARATOR_BYTES = 1
 
         /** What the stored form of a chunk holds besides the names. */
-        const val FRAME_BYTES = 11
-        const val LAGS_UNTIL_EMPTY = 2
+        const val CHUNK_OVERHEAD_BYTES = 11
+        const val LIST_LAGS_UNTIL_EMPTY_IS_TRUSTED = 2
     }
 }
 
--- a/src/main/kotlin/linemast/control/BlockedJobStore.kt
+++ b/src/main/kotlin/linemast/control/BlockedJobStore.kt
@@ -23,7 +23,7 @@
     private val log = LoggerFactory.getLogger(BlockedJobStore::class.java)
 
     /** A cancelled pipeline may have thousands of jobs: with few commits at a time none times out in the queue for a token. */
-    private val cancellations = Semaphore(MAX_CONCURRENT_CANCELLATIONS)
+    private val cancellationPermits = Semaphore(MAX_CONCURRENT_CANCELLATIONS)
 
     /** Moves the record of [job] to the open jobs; it can be scheduled from then on. */
     fun release(job: BlockedJob) {
@@ -33,7 +33,7 @@
             val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Delete(key))
             val preconditions = listOf(Precondition(key, job.revision))
             val result = storeResultOrNull(log) { term.commit(preconditions, writes, RequestPriority.HIGH) }
-            settle(listOf(job), result) { revision ->
+            applyResult(listOf(job), result) { revision ->
                 log.info("{}: released: all that it depends on is done", job.id)
                 cluster.putJob(record, revision)
             }
@@ -41,40 +41,40 @@
     }
 
     /** Stores that [jobs] are cancelled with one of their dependencies, in as many transactions as that takes. */
-    fun cancel(jobs: List<BlockedJob>) = jobs.chunked(term.limits.maxTxnOps / WRITES_PER_CANCELLATION).forEach(::cancelTogether)
+    fun cancel(jobs: List<BlockedJob>) = jobs.chunked(term.limits.maxTxnOps / WRITES_PER_CANCELLATION).forEach(::cancelInOneTransaction)
 
-    private fun cancelTogether(jobs: List<BlockedJob>) {
+    private fun cancelInOneTransaction(jobs: List<BlockedJob>) {
         term.scope.launch {
             val preconditions = jobs.map { Precondition(JobKeys.waiting(it.id), it.revision) }
-            val writes = jobs.flatMap(::cancellationOf)
-            val result = cancellations.withPermit {
+            val writes = jobs.flatMap(::cancellationWrites)
+            val result = cancellationPermits.withPermit {
                 storeResultOrNull(log) { term.commit(preconditions, writes, RequestPriority.HIGH) }
             }
-            settle(jobs, result) { log.info("{}: cancelled with a job that they depend on", jobs.map { it.id }) }
+            applyResult(jobs, result) { log.info("{}: cancelled with a job that they depend on", jobs.map { it.id }) }
         }
     }
 
-    private fun cancellationOf(job: BlockedJob): List<Write> {
+    private fun cancellationWrites(job: BlockedJob): List<Write> {
         val outcome = OutcomeRecord(JobOutcome.CANCELLED, job.record.spec.taskCount)
         return listOf(Write.Put(JobKeys.outcome(job.id), OutcomeRecordCodec.encode(outcome)), Write.Delete(JobKeys.waiting(job.id)))
     }
 
-    private suspend fun settle(jobs: List<BlockedJob>, result: TermCommitResult?, onApplied: (Long) -> Unit) = when (result) {
-        is TermCommitResult.Applied -> term.loop.run {
+    private suspend fun applyResult(jobs: List<BlockedJob>, result: TermCommitResult?, onApplied: (Long) -> Unit) = when (result) {
+        is TermCommitResult.Applied -> term.eventLoop.enqueue {
             jobs.forEach { graph.remove(it.id) }
             onApplied(result.revision)
         }
-        is TermCommitResult.Conflict -> retryLater(jobs, endedIds = result.failedKeys.map { it.removePrefix(JobKeys.WAITING_PREFIX) })
+        is TermCommitResult.Conflict -> retryAfterDelay(jobs, endedIds = result.failedKeys.map { it.removePrefix(JobKeys.WAITING_PREFIX) })
         TermCommitResult.LeadershipLost -> term.lease.end()
-        TermCommitResult.NoResult, null -> retryLater(jobs, endedIds = emptyList())
+        TermCommitResult.NoResult, null -> retryAfterDelay(jobs, endedIds = emptyList())
     }
 
     /** A job whose record changed is not blocked any more: its user cancelled it, or a commit without an answer was applied. */
-    private suspend fun retryLater(jobs: List<BlockedJob>, endedIds: List<String>) {
+    private suspend fun retryAfterDelay(jobs: List<BlockedJob>, endedIds: List<String>) {
         RETRY.pause()
-        term.loop.run {
+        term.eventLoop.enqueue {
             endedIds.forEach(graph::remove)
-            graph.commitFailed(jobs.filter { it.id !in endedIds })
+            graph.markCommitFailed(jobs.filter { it.id !in endedIds })
         }
     }
 
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -29,7 +29,7 @@
     private val log = LoggerFactory.getLogger(CloudOperations::class.java)
 
     /** Starts the requests of [actions]. */
-    fun run(actions: ScalingActions) {
+    fun execute(actions: ScalingActions) {
         actions.scaleOuts.forEach { request -> term.scope.launch { scaleOut(request) } }
         if (!actions.scaleIns.isEmpty) executor.split(actions.scaleIns).forEach(::scaleIn)
     }
@@ -39,10 +39,10 @@
         repeat(MAX_SCALE_OUT_ATTEMPTS) {
             if (!term.lease.mayIssueCommands(term.clock.nowMicros())) return@repeat
             val result = requestScaleOut(request)
-            if (result != ScaleOutResult.Unknown) return term.loop.run { scaleOutFinished(request, result) }
+            if (result != ScaleOutResult.Unknown) return term.eventLoop.enqueue { scaleOutFinished(request, result) }
             delay(RETRY_MILLIS)
         }
-        term.loop.run {
+        term.eventLoop.enqueue {
             fleet.scaleOutAbandoned(request)
             autoscaler.replanSoon()
         }
@@ -59,13 +59,13 @@
     fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult) {
         val now = term.clock.nowMicros()
         if (result == ScaleOutResult.Unknown) return fleet.scaleOutAbandoned(request)
-        val granted = (result as? ScaleOutResult.Granted)?.names
-        if (granted == null) {
+        val grantedNames = (result as? ScaleOutResult.Granted)?.names
+        if (grantedNames == null) {
             fleet.scaleOutRefused(request, cluster.types, now)
         } else {
-            fleet.scaleOutGranted(request, granted, cluster.types, now)
+            fleet.scaleOutGranted(request, grantedNames, cluster.types, now)
         }
-        if ((granted?.size ?: 0) < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
+        if ((grantedNames?.size ?: 0) < request.number || fleet.hasDeferredDemand) autoscaler.replanSoon()
     }
 
     private fun scaleIn(batch: ScaleInBatch) {
@@ -76,7 +76,7 @@
         }
         term.scope.launch {
             val isConfirmed = requestScaleIn(batch)
-            term.loop.run {
+            term.eventLoop.enqueue {
                 if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.scalingIn = false }
             }
         }
@@ -94,7 +94,7 @@
     fun scaleInConfirmed(names: List<String>) {
         fleet.scaleInConfirmed(names)
         cluster.markTerminated(names)
-        machineRegistryStore.remove(names)
+        machineRegistryStore.unregister(names)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -20,10 +20,11 @@
 
     /** Writes [parts] of [job] if neither its record nor these parts have changed. */
     suspend fun commit(job: Job, parts: List<CompletedTaskPart>): TermCommitResult {
-        val revisions = parts.map { Precondition(JobKeys.donePart(job.id, it.part), job.storedProgress.partRevisions[it.part] ?: 0L) }
+        val partPreconditions =
+            parts.map { Precondition(JobKeys.donePart(job.id, it.index), job.storedProgress.partRevisions[it.index] ?: 0L) }
         return term.commit(
-            listOf(Precondition(JobKeys.open(job.id), job.revision)) + revisions,
-            parts.map { Write.Put(JobKeys.donePart(job.id, it.part), it.encoded) },
+            listOf(Precondition(JobKeys.open(job.id), job.revision)) + partPreconditions,
+            parts.map { Write.Put(JobKeys.donePart(job.id, it.index), it.encoded) },
             RequestPriority.BACKGROUND,
         )
     }
@@ -51,9 +52,9 @@
 }
 
 /** One part of a job's completed tasks as it was at some moment, in its stored form. */
-internal class CompletedTaskPart(val part: Int, val encoded: Map<String, Any?>) {
+internal class CompletedTaskPart(val index: Int, val encoded: Map<String, Any?>) {
     /** Whether the part of [job] still is what it was. */
-    fun isCurrent(job: Job): Boolean = CompletedTasksCodec.encode(job.done, part) == encoded
+    fun isUnchanged(job: Job): Boolean = CompletedTasksCodec.encode(job.done, index) == encoded
 
     companion object {
         /** The parts of [job] that changed since they were last stored, at most [maxParts]. */
--- a/src/main/kotlin/linemast/control/DependencyCoordinator.kt
+++ b/src/main/kotlin/linemast/control/DependencyCoordinator.kt
@@ -34,7 +34,7 @@
     }
 
     /** Applies a change of one record; a malformed one is logged and skipped. */
-    fun changed(change: KeyChange) {
+    fun apply(change: KeyChange) {
         val value = change.value ?: return graph.remove(change.key.removePrefix(JobKeys.WAITING_PREFIX))
         try {
             graph.put(JobRecordCodec.decode(value), change.revision)
@@ -43,18 +43,18 @@
         }
     }
 
-    override fun jobEnded(id: String, outcome: JobOutcome) {
-        graph.outcomeKnown(id, outcome)
-        step()
+    override fun onJobEnded(id: String, outcome: JobOutcome) {
+        graph.recordOutcome(id, outcome)
+        startDueActions()
     }
 
     /** Starts the commits and reads that are due. */
-    fun step() {
-        if (graph.isEmpty && !forecast.isPropagated) return
-        val step = graph.nextStep(::isActive, term.clock.nowMicros())
-        step.released.forEach(blockedJobStore::release)
-        blockedJobStore.cancel(step.cancelled)
-        step.outcomesToRead.forEach(::readOutcome)
+    fun startDueActions() {
+        if (graph.isEmpty && !forecast.hasInheritedRequirements) return
+        val actions = graph.nextActions(::isActive, term.clock.nowMicros())
+        actions.toRelease.forEach(blockedJobStore::release)
+        blockedJobStore.cancel(actions.toCancel)
+        actions.outcomesToRead.forEach(::readOutcome)
         forecast.updateIfDue()
     }
 
@@ -64,7 +64,7 @@
         term.scope.launch {
             val entry = storeResultOrNull(log) { term.store.get(JobKeys.outcome(id)) } ?: return@launch
             val outcome = storeResultOrNull(log) { OutcomeRecordCodec.decode(entry.value).outcome } ?: return@launch
-            term.loop.run { jobEnded(id, outcome) }
+            term.eventLoop.enqueue { onJobEnded(id, outcome) }
         }
     }
 }
--- a/src/main/kotlin/linemast/control/DependencyForecast.kt
+++ b/src/main/kotlin/linemast/control/DependencyForecast.kt
@@ -11,37 +11,37 @@
 /** Applies priorities and deadlines of blocked jobs to the jobs they depend on, and predicts blocked jobs for the planner. */
 internal class DependencyForecast(private val term: LeaderTerm, private val cluster: Cluster, private val graph: DependencyGraph) {
     /** Null before the first update. */
-    private var updatedMicros: Long? = null
+    private var lastUpdateMicros: Long? = null
 
     /** Whether jobs have inherited requirements, which have to be taken back when no job is blocked any more. */
-    var isPropagated = false
+    var hasInheritedRequirements = false
         private set
 
     /** Updates jobs and predictions unless that was done a short time ago. */
     fun updateIfDue() {
         val now = term.clock.nowMicros()
-        updatedMicros?.let { if (now - it < INTERVAL_MICROS) return }
-        updatedMicros = now
-        isPropagated = !graph.isEmpty
+        lastUpdateMicros?.let { if (now - it < UPDATE_INTERVAL_MICROS) return }
+        lastUpdateMicros = now
+        hasInheritedRequirements = !graph.isEmpty
         val requirements = graph.inheritedRequirements(::durationMicros)
-        cluster.jobs.values.forEach { it.inherit(requirements[it.id]) }
-        cluster.waitingStages = graph.predictedStarts(::remainingMicros, ::durationMicros).map { stageOf(it, requirements) }
+        cluster.jobs.values.forEach { it.applyRequirement(requirements[it.id]) }
+        cluster.waitingStages = graph.predictedStarts(::remainingMicros, ::durationMicros).map { toWaitingStage(it, requirements) }
     }
 
-    private fun stageOf(start: PredictedStart, requirements: Map<String, InheritedRequirement>): WaitingStage {
+    private fun toWaitingStage(start: PredictedStart, requirements: Map<String, InheritedRequirement>): WaitingStage {
         val record = start.job.record
         val job = Job(record.released(term.wallMicros() + start.startsInMicros), start.job.revision, inherited = false)
-        job.inherit(requirements[job.id])
+        job.applyRequirement(requirements[job.id])
         return WaitingStage(job, record.spec.dependencies.toSet(), start.startsInMicros)
     }
 
-    private fun Job.inherit(requirement: InheritedRequirement?) {
+    private fun Job.applyRequirement(requirement: InheritedRequirement?) {
         priority = minOf(spec.priority, requirement?.priority ?: spec.priority)
         requiredEndWallMicros = requirement?.endByWallMicros
     }
 
     /** How long a job that has not started will take, from the end of its last dependency. */
-    private fun durationMicros(record: JobRecord): Long = cluster.times.estimateMicros(record.spec) + HANDOVER_MICROS
+    private fun durationMicros(record: JobRecord): Long = cluster.times.estimateMicros(record.spec) + DEPENDENT_START_DELAY_MICROS
 
     /** How long a running job still takes; null for one that is not running. */
     private fun remainingMicros(id: String): Long? {
@@ -50,16 +50,16 @@
         if (hasPendingTasks && job.placements.isEmpty()) return null
         val taskMicros = cluster.times.estimateMicros(job)
         val now = term.clock.nowMicros()
-        val ofPlacedTasks =
+        val placedTasksMicros =
             job.placements.maxOfOrNull { if (it.isRunning) taskMicros - (now - it.runningSinceMicros) else taskMicros } ?: 0L
-        val ofPendingTasks = if (hasPendingTasks) taskMicros else 0L
-        return maxOf(ofPlacedTasks, ofPendingTasks) + HANDOVER_MICROS
+        val pendingTasksMicros = if (hasPendingTasks) taskMicros else 0L
+        return maxOf(placedTasksMicros, pendingTasksMicros) + DEPENDENT_START_DELAY_MICROS
     }
 
     private companion object {
-        const val INTERVAL_MICROS = 1_000_000L
+        const val UPDATE_INTERVAL_MICROS = 1_000_000L
 
         /** From the end of a job to the start of a dependent: two heartbeats and an image fetch. */
-        const val HANDOVER_MICROS = 4_000_000L
+        const val DEPENDENT_START_DELAY_MICROS = 4_000_000L
     }
 }
--- a/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
@@ -14,8 +14,8 @@
     private val isReplicated: Boolean,
 ) {
     /** What a response may carry at [nowMicros]; null if there must be no response, since it would renew the worker's lease. */
-    fun at(nowMicros: Long): CommandPermission? =
-        if (!mayRenewWorkerLeases(nowMicros) || isCutOff(nowMicros)) null else permittedCommands(nowMicros)
+    fun permissionAt(nowMicros: Long): CommandPermission? =
+        if (!mayRenewWorkerLeases(nowMicros) || isProbablyPartitioned(nowMicros)) null else permittedCommands(nowMicros)
 
     private fun mayRenewWorkerLeases(nowMicros: Long) =
         lease.mayAnswerHeartbeats(nowMicros) && nowMicros < cancellationFreshness.renewalsAllowedUntilMicros
@@ -30,5 +30,6 @@
      * Neither the store nor a peer answers: most likely this controller is partitioned off, and another one leads. In an
      * outage of the store alone the peers are still reachable. Workers are better redirected than kept in degraded mode.
      */
-    private fun isCutOff(nowMicros: Long): Boolean = !lease.mayIssueCommands(nowMicros) && isReplicated && !peers.hasReachablePeer
+    private fun isProbablyPartitioned(nowMicros: Long): Boolean =
+        !lease.mayIssueCommands(nowMicros) && isReplicated && !peers.hasReachablePeer
 }
--- a/src/main/kotlin/linemast/control/HeartbeatResponder.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatResponder.kt
@@ -9,7 +9,7 @@
 
 /** Passes heartbeats to the cluster state and makes the responses. */
 internal class HeartbeatResponder(
-    private val events: LeaderEventQueue,
+    private val eventQueue: LeaderEventQueue,
     private val lease: LeaderLease,
     private val clock: Clock,
     private val cluster: Cluster,
@@ -21,13 +21,13 @@
         if (heartbeat.fencingToken > lease.fencingToken) return null
         val response = CompletableDeferred<HeartbeatResponse?>()
         // Queued until the store has been read: a leader that knows no cancellations renews nothing.
-        val isQueued = events.tryRun { response.complete(handle(heartbeat)) }
+        val isQueued = eventQueue.tryEnqueue { response.complete(handle(heartbeat)) }
         return if (isQueued) response.await() else null
     }
 
     private fun handle(heartbeat: Heartbeat): HeartbeatResponse? {
         val now = clock.nowMicros()
-        val permission = permissions.at(now) ?: return null
+        val permission = permissions.permissionAt(now) ?: return null
         val commands = cluster.heartbeat(heartbeat, now, permission) ?: return null
         return HeartbeatResponse(lease.fencingToken, commands, cancellationFreshness, lease)
     }
--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -14,7 +14,7 @@
 /** Adopts the scale-out and scale-in intents of previous leaders into a new leader's state, before its first decision. */
 internal class InheritedIntents(
     private val term: LeaderTerm,
-    private val duties: WriteAheadCloudActionExecutor,
+    private val executor: WriteAheadCloudActionExecutor,
     private val cluster: Cluster,
     private val fleet: Fleet,
     private val cloudOperations: CloudOperations,
@@ -22,13 +22,13 @@
     private val log = LoggerFactory.getLogger(InheritedIntents::class.java)
 
     /** Returns once all intents are read and marked; what is left to be carried out goes on in the term's scope. */
-    suspend fun takeOver() {
-        RETRY.untilResult(log) { duties.load() }
-        val pendingIntents = PendingIntentResolver(duties, this, term.loop::run)
+    suspend fun adopt() {
+        RETRY.untilResult(log) { executor.load() }
+        val pendingIntents = PendingIntentResolver(executor, this, term.eventLoop::enqueue)
         cluster.markScalingIn(pendingIntents.machinesScalingIn)
         fleet.markScalingIn(pendingIntents.machinesScalingIn)
         pendingIntents.scaleOuts.forEach(fleet::addPendingScaleOut)
-        term.scope.launch { duties.run() }
+        term.scope.launch { executor.run() }
         pendingIntents.start(term.scope)
     }
 
--- a/src/main/kotlin/linemast/control/JobActivationStore.kt
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -25,7 +25,7 @@
         while (true) {
             val revision = job.revision
             when (storeResultOrNull(log) { commitActivation(job) } ?: TermCommitResult.NoResult) {
-                is TermCommitResult.Applied -> return term.loop.run {
+                is TermCommitResult.Applied -> return term.eventLoop.enqueue {
                     job.activation = Job.Activation.ACTIVE
                     cluster.dirty = true
                 }
--- a/src/main/kotlin/linemast/control/JobOutcomeStore.kt
+++ b/src/main/kotlin/linemast/control/JobOutcomeStore.kt
@@ -12,11 +12,11 @@
 /** Is told when a job has reached a terminal outcome. Called in a turn of the leader's event loop. */
 internal fun interface JobOutcomeListener {
     /** The store holds [outcome] for the job [id]. */
-    fun jobEnded(id: String, outcome: JobOutcome)
+    fun onJobEnded(id: String, outcome: JobOutcome)
 }
 
 /** Commits the ends of jobs: their outcome, and that their record is gone. */
-internal class JobOutcomeStore(private val term: LeaderTerm, private val completedTasks: CompletedTaskStore) {
+internal class JobOutcomeStore(private val term: LeaderTerm, private val completedTaskStore: CompletedTaskStore) {
     /** Commits that all tasks of [job] are done; a conflict if the store has another outcome already. */
     suspend fun commitDone(job: Job): TermCommitResult {
         val entry = term.store.get(JobKeys.outcome(job.id), RequestPriority.HIGH) ?: return TermCommitResult.Conflict(emptyList())
@@ -32,11 +32,11 @@
     /** Deletes the record, and as many parts of the completed tasks as the transaction has room for; the others after it. */
     private suspend fun commitEnd(job: Job, writes: List<Write>, precondition: Precondition): TermCommitResult {
         val partKeys = job.storedProgress.partRevisions.keys.map { JobKeys.donePart(job.id, it) }
-        val required = writes + Write.Delete(JobKeys.open(job.id))
-        val room = term.limits.maxTxnOps - required.size
-        val deletions = partKeys.take(room).map { Write.Delete(it) }
-        val result = term.commit(listOf(precondition), required + deletions, RequestPriority.HIGH)
-        if (result is TermCommitResult.Applied) completedTasks.delete(partKeys.drop(room))
+        val requiredWrites = writes + Write.Delete(JobKeys.open(job.id))
+        val remainingOps = term.limits.maxTxnOps - requiredWrites.size
+        val deletions = partKeys.take(remainingOps).map { Write.Delete(it) }
+        val result = term.commit(listOf(precondition), requiredWrites + deletions, RequestPriority.HIGH)
+        if (result is TermCommitResult.Applied) completedTaskStore.delete(partKeys.drop(remainingOps))
         return result
     }
 }
--- a/src/main/kotlin/linemast/control/JobStatistics.kt
+++ b/src/main/kotlin/linemast/control/JobStatistics.kt
@@ -8,7 +8,11 @@
 import linemast.scheduling.Cluster
 
 /** Counts of the leader's jobs and their tasks. */
-internal class JobStatistics(private val loop: LeaderLoop, private val cluster: Cluster, private val flows: FlowClassifier) {
+internal class JobStatistics(
+    private val eventLoop: LeaderEventLoop,
+    private val cluster: Cluster,
+    private val flowClassifier: FlowClassifier,
+) {
     /** Task counts of a job; null if the leader has no such job. */
     fun progressOf(id: String): JobProgress? = cluster.jobs[id]?.let(::progressOf)
 
@@ -18,11 +22,12 @@
     /** Unfinished jobs of each flow, counted in a turn of the event loop. */
     suspend fun unfinishedJobsByFlow(): Map<Flow, Int> {
         val counts = CompletableDeferred<Map<Flow, Int>>()
-        loop.run { counts.complete(countUnfinishedJobs()) }
+        eventLoop.enqueue { counts.complete(countUnfinishedJobs()) }
         return counts.await()
     }
 
-    private fun countUnfinishedJobs() = cluster.jobs.values.filter { !it.finished }.groupingBy { flows.flowOf(it.spec) }.eachCount()
+    private fun countUnfinishedJobs() =
+        cluster.jobs.values.filter { !it.finished }.groupingBy { flowClassifier.flowOf(it.spec) }.eachCount()
 
     private fun progressOf(job: Job) = JobProgress(job.doneCount, job.runningCount)
 }
--- a/src/main/kotlin/linemast/control/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -17,12 +17,12 @@
 internal class JobStore(
     private val term: LeaderTerm,
     private val cluster: Cluster,
-    private val completedTasks: CompletedTaskStore,
+    private val completedTaskStore: CompletedTaskStore,
     private val openJobUpdates: OpenJobUpdates,
     private val outcomeListener: JobOutcomeListener,
 ) {
     private val log = LoggerFactory.getLogger(JobStore::class.java)
-    private val outcomes = JobOutcomeStore(term, completedTasks)
+    private val jobOutcomeStore = JobOutcomeStore(term, completedTaskStore)
 
     /** Stores the changed parts of the completed tasks of [job], or its end if all its tasks are done. */
     fun storeProgress(job: Job) {
@@ -30,11 +30,11 @@
         term.scope.launch {
             val parts = CompletedTaskPart.changed(job, term.limits.maxTxnOps)
             val isDone = job.isDone
-            val result = storeResultOrNull(log) { if (isDone) outcomes.commitDone(job) else completedTasks.commit(job, parts) }
-            term.loop.run {
-                settle(job, result) { revision ->
-                    partsStored(job, parts, revision)
-                    if (isDone) finish(job) else keepChanged(job, parts)
+            val result = storeResultOrNull(log) { if (isDone) jobOutcomeStore.commitDone(job) else completedTaskStore.commit(job, parts) }
+            term.eventLoop.enqueue {
+                finishWrite(job, result) { revision ->
+                    recordStoredParts(job, parts, revision)
+                    if (isDone) finish(job) else markChangedPartsDirty(job, parts)
                 }
             }
         }
@@ -44,52 +44,52 @@
     fun deleteCancelled(job: Job) {
         job.storedProgress.isWriting = true
         term.scope.launch {
-            val result = storeResultOrNull(log) { outcomes.commitCancelled(job) }
-            term.loop.run { settle(job, result) { cluster.jobs.remove(job.id) } }
+            val result = storeResultOrNull(log) { jobOutcomeStore.commitCancelled(job) }
+            term.eventLoop.enqueue { finishWrite(job, result) { cluster.jobs.remove(job.id) } }
         }
     }
 
     /** Ends the write of [job]; without a result the cluster state asks for the write again. */
-    private fun settle(job: Job, result: TermCommitResult?, onApplied: (Long) -> Unit) {
+    private fun finishWrite(job: Job, result: TermCommitResult?, onApplied: (Long) -> Unit) {
         job.storedProgress.isWriting = false
         when (result) {
             is TermCommitResult.Applied -> onApplied(result.revision)
-            is TermCommitResult.Conflict -> refresh(job)
+            is TermCommitResult.Conflict -> reload(job)
             TermCommitResult.LeadershipLost -> term.lease.end()
             TermCommitResult.NoResult, null -> Unit
         }
     }
 
-    private fun partsStored(job: Job, parts: List<CompletedTaskPart>, revision: Long) {
+    private fun recordStoredParts(job: Job, parts: List<CompletedTaskPart>, revision: Long) {
         for (part in parts) {
-            job.storedProgress.dirtyParts.clear(part.part)
-            job.storedProgress.partRevisions[part.part] = revision
+            job.storedProgress.dirtyParts.clear(part.index)
+            job.storedProgress.partRevisions[part.index] = revision
         }
     }
 
     /** Tasks completed while the write was under way are in the next one. */
-    private fun keepChanged(job: Job, parts: List<CompletedTaskPart>) =
-        parts.filterNot { it.isCurrent(job) }.forEach { job.storedProgress.dirtyParts.set(it.part) }
+    private fun markChangedPartsDirty(job: Job, parts: List<CompletedTaskPart>) =
+        parts.filterNot { it.isUnchanged(job) }.forEach { job.storedProgress.dirtyParts.set(it.index) }
 
     private fun finish(job: Job) {
         log.info("{}: done, {} tasks", job.id, job.spec.taskCount)
         cluster.finish(job)
-        outcomeListener.jobEnded(job.id, JobOutcome.DONE)
+        outcomeListener.onJobEnded(job.id, JobOutcome.DONE)
     }
 
     /**
      * Reads [job] again, since its record is not what it was taken for: most likely its user has cancelled it, or a write
      * without an answer has been applied. A missing record means that the job has ended.
      */
-    private fun refresh(job: Job) {
+    private fun reload(job: Job) {
         term.scope.launch {
             val key = JobKeys.open(job.id)
             val read = storeResultOrNull(log) { Result.success(term.store.get(key)) } ?: return@launch
-            val parts = storeResultOrNull(log) { completedTasks.read(job.id) } ?: return@launch
-            term.loop.run {
+            val parts = storeResultOrNull(log) { completedTaskStore.read(job.id) } ?: return@launch
+            term.eventLoop.enqueue {
                 val entry = read.getOrNull()
                 openJobUpdates.apply(KeyChange(key, entry?.value, entry?.revision ?: 0L))
-                if (entry != null) parts.forEach { completedTasks.apply(job, it, it.key.substringAfterLast('/').toInt()) }
+                if (entry != null) parts.forEach { completedTaskStore.apply(job, it, it.key.substringAfterLast('/').toInt()) }
             }
         }
     }
--- a/src/main/kotlin/linemast/control/JobWatcher.kt
+++ b/src/main/kotlin/linemast/control/JobWatcher.kt
@@ -25,10 +25,10 @@
         val prefix: String
         val waitMicros: Long
 
-        fun changed(changes: List<KeyChange>)
+        fun applyChanges(changes: List<KeyChange>)
 
         /** All entries, after changes were missed. */
-        fun listed(page: EntryPage)
+        fun applyAll(page: EntryPage)
 
         /** Everything that the store held when the call was sent at [sentMicros] has been applied. */
         fun refreshedAt(sentMicros: Long)
@@ -38,9 +38,9 @@
         override val prefix = JobKeys.OPEN_PREFIX
         override val waitMicros = OPEN_WATCH_MICROS
 
-        override fun changed(changes: List<KeyChange>) = changes.forEach(openJobUpdates::apply)
+        override fun applyChanges(changes: List<KeyChange>) = changes.forEach(openJobUpdates::apply)
 
-        override fun listed(page: EntryPage) = openJobUpdates.applyAll(page)
+        override fun applyAll(page: EntryPage) = openJobUpdates.applyAll(page)
 
         override fun refreshedAt(sentMicros: Long) = cancellationFreshness.refreshedAt(sentMicros)
     }
@@ -49,9 +49,9 @@
         override val prefix = JobKeys.WAITING_PREFIX
         override val waitMicros = BLOCKED_WATCH_MICROS
 
-        override fun changed(changes: List<KeyChange>) = changes.forEach(dependencyCoordinator::changed)
+        override fun applyChanges(changes: List<KeyChange>) = changes.forEach(dependencyCoordinator::apply)
 
-        override fun listed(page: EntryPage) = dependencyCoordinator.reload(page.entries)
+        override fun applyAll(page: EntryPage) = dependencyCoordinator.reload(page.entries)
 
         override fun refreshedAt(sentMicros: Long) = Unit
     }
@@ -72,16 +72,16 @@
         val sentMicros = term.clock.nowMicros()
         return when (val result = term.store.watch(subscription.prefix, revision, subscription.waitMicros)) {
             is WatchResult.Changes -> {
-                term.loop.run {
-                    subscription.changed(result.changes)
+                term.eventLoop.enqueue {
+                    subscription.applyChanges(result.changes)
                     subscription.refreshedAt(sentMicros)
                 }
                 maxOf(revision, result.revision)
             }
             WatchResult.TooOld -> {
                 val page = term.store.listAll(subscription.prefix)
-                term.loop.run {
-                    subscription.listed(page)
+                term.eventLoop.enqueue {
+                    subscription.applyAll(page)
                     subscription.refreshedAt(sentMicros)
                 }
                 page.revision
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -14,19 +14,19 @@
  */
 class Leader(environment: LeaderEnvironment, lease: LeaderLease, private val scope: CoroutineScope) {
     /** A connection has one heartbeat under way, so that there is room for all of them: none is refused in a burst. */
-    private val events = LeaderEventQueue(environment.configuration.settings.processLimits.fdLimit)
+    private val eventQueue = LeaderEventQueue(environment.configuration.settings.processLimits.fdLimit)
     private val term = LeaderTerm(
         environment.store,
         lease,
         scope,
-        events,
+        eventQueue,
         environment.clock,
         environment.wallMicros,
         environment.configuration.settings.storeLimits,
     )
     private val components = LeaderComponents(environment, term)
     private val responder = HeartbeatResponder(
-        events,
+        eventQueue,
         lease,
         environment.clock,
         components.cluster,
@@ -38,19 +38,19 @@
             isReplicated = environment.configuration.settings.members.isNotEmpty(),
         ),
     )
-    private val previousLeaders = PreviousLeaders(
+    private val previousLeaderTracker = PreviousLeaderTracker(
         components.cluster,
-        events,
+        eventQueue,
         environment.clock,
         lease.fencingToken,
         environment.configuration.settings.members.map { it.nodeName },
     )
 
     /** The response to [heartbeat], which renews the worker's lease; null if there must be none. */
-    suspend fun answer(heartbeat: Heartbeat): HeartbeatResponse? = responder.respond(heartbeat)
+    suspend fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse? = responder.respond(heartbeat)
 
     /** The controller [node] has seen [fencingToken]. */
-    fun peerObservedToken(node: String, fencingToken: Long) = previousLeaders.peerObservedToken(node, fencingToken)
+    fun recordPeerToken(node: String, fencingToken: Long) = previousLeaderTracker.recordPeerToken(node, fencingToken)
 
     /** Task counts of a job; null if the leader has no such job. */
     fun progressOf(id: String): JobProgress? = components.jobStatistics.progressOf(id)
@@ -61,20 +61,20 @@
     /** Leads until it is cancelled. */
     suspend fun run() {
         val revisions = components.stateLoader.load()
-        components.inheritedIntents?.takeOver()
-        previousLeaders.stateLoaded()
+        components.inheritedIntents?.adopt()
+        previousLeaderTracker.onStateLoaded()
         components.jobWatcher.start(revisions)
         scope.launch { tickRegularly() }
-        components.admission?.let { scope.launch { it.run() } }
+        components.admissionLeader?.let { scope.launch { it.run() } }
         components.reconciliationMonitor?.let { scope.launch { it.run(scope) } }
         scope.launch { components.machineListWatcher.run() }
-        events.process()
+        eventQueue.process()
     }
 
     private suspend fun tickRegularly() {
         while (true) {
             delay(TICK_MILLIS)
-            events.run(components.ticker::tick)
+            eventQueue.enqueue(components.ticker::tick)
         }
     }
 
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -23,11 +23,11 @@
     private val configuration = environment.configuration
     private val settings = configuration.settings
     private val features = configuration.features
-    private val times = RunTimeEstimates()
-    private val planner = Planner(settings, configuration.policy, times)
-    private val flows = FlowClassifier(settings.objectives)
-    private val recovery = features.recovery?.let(::StateReconciliation)
-    private val effects = StoreEffects()
+    private val runTimeEstimates = RunTimeEstimates()
+    private val planner = Planner(settings, configuration.policy, runTimeEstimates)
+    private val flowClassifier = FlowClassifier(settings.objectives)
+    private val stateReconciliation = features.recovery?.let(::StateReconciliation)
+    private val storeEffects = StoreEffects()
 
     /** Up to when this term knows every cancellation. */
     val cancellationFreshness = CancellationFreshness(settings.workers)
@@ -39,22 +39,22 @@
             term.lease.fencingToken,
             LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros),
         ),
-        effects,
-        times,
+        storeEffects,
+        runTimeEstimates,
         planner,
         LeaderClocks(term.clock, term.wallMicros),
         cancellationFreshness,
-        OptionalPolicies(startTurns = features.admission?.let { FlowRoundRobin(flows) }, recovery),
+        OptionalPolicies(startTurns = features.admission?.let { FlowRoundRobin(flowClassifier) }, stateReconciliation),
     )
 
     /** Reads and writes of the reconciliation after an outage; null if it is not enabled. */
-    val reconciliationMonitor = recovery?.let {
-        ReconciliationMonitor(term.store, term.lease, term.clock, term.wallMicros, it, cluster::isReconciled, term.loop::run)
+    val reconciliationMonitor = stateReconciliation?.let {
+        ReconciliationMonitor(term.store, term.lease, term.clock, term.wallMicros, it, cluster::isReconciled, term.eventLoop::enqueue)
     }
-    val jobStatistics = JobStatistics(term.loop, cluster, flows)
+    val jobStatistics = JobStatistics(term.eventLoop, cluster, flowClassifier)
 
     /** Makes the admission plan; null without fair admission. */
-    val admission = features.admission?.let {
+    val admissionLeader = features.admission?.let {
         val limits = term.limits
         AdmissionLeader(
             term.store,
@@ -71,12 +71,12 @@
     private val autoscaler = Autoscaler(cluster, fleet, planner, configuration.policy)
     private val machineRegistryStore = MachineRegistryStore(term, cluster)
     private val baselineFleetStore = BaselineFleetStore(term, environment.cloud, settings.cloudLimits.listLagMicros)
-    private val duties = features.duties?.let {
+    private val writeAheadExecutor = features.duties?.let {
         WriteAheadCloudActionExecutor(it, term.store, environment.cloud, term.clock, term.wallMicros, term.lease, term.limits)
     }
     private val cloudOperations = CloudOperations(
         term,
-        duties ?: DirectCloudActionExecutor(environment.cloud),
+        writeAheadExecutor ?: DirectCloudActionExecutor(environment.cloud),
         cluster,
         fleet,
         autoscaler,
@@ -84,7 +84,7 @@
     )
 
     /** Intents of previous leaders; null without single-holder duties. */
-    val inheritedIntents = duties?.let { InheritedIntents(term, it, cluster, fleet, cloudOperations) }
+    val inheritedIntents = writeAheadExecutor?.let { InheritedIntents(term, it, cluster, fleet, cloudOperations) }
     val machineListWatcher = MachineListWatcher(
         term,
         environment.cloud,
@@ -101,7 +101,7 @@
     private val jobStore = JobStore(term, cluster, completedTaskStore, openJobUpdates, dependencyCoordinator)
     val stateLoader = StateLoader(
         term,
-        environment.types,
+        environment.machineTypes,
         cluster,
         completedTaskStore,
         machineRegistryStore,
@@ -121,6 +121,6 @@
     )
 
     init {
-        effects.connect(cluster, JobActivationStore(term, cluster), jobStore, machineRegistryStore)
+        storeEffects.connect(cluster, JobActivationStore(term, cluster), jobStore, machineRegistryStore)
     }
 }
--- a/src/main/kotlin/linemast/control/LeaderEnvironment.kt
+++ b/src/main/kotlin/linemast/control/LeaderEnvironment.kt
@@ -33,5 +33,5 @@
     /** What the other controllers last said of themselves. */
     val peers: PeerView,
     /** The cloud's machine types; null until they are known. */
-    val types: () -> List<MachineType>?,
+    val machineTypes: () -> List<MachineType>?,
 )
--- a/src/main/kotlin/linemast/control/LeaderTerm.kt
+++ b/src/main/kotlin/linemast/control/LeaderTerm.kt
@@ -19,7 +19,7 @@
     /** Ends with the term. */
     val scope: CoroutineScope,
     /** Owns the leader's state. */
-    val loop: LeaderLoop,
+    val eventLoop: LeaderEventLoop,
     val clock: Clock,
     /** Time of day in microseconds. */
     val wallMicros: () -> Long,
--- a/src/main/kotlin/linemast/control/LeaderTicker.kt
+++ b/src/main/kotlin/linemast/control/LeaderTicker.kt
@@ -19,10 +19,10 @@
         val now = term.clock.nowMicros()
         if (!term.lease.mayIssueCommands(now)) return
         stepDownPolicy.stepDownIfDue(now)
-        dependencyCoordinator.step()
+        dependencyCoordinator.startDueActions()
         cluster.tick(now)
-        utilizationLog.step(now)
-        cloudOperations.run(autoscaler.step(term.wallMicros(), now))
+        utilizationLog.logIfDue(now)
+        cloudOperations.execute(autoscaler.step(term.wallMicros(), now))
         storeNewPlan()
     }
 
--- a/src/main/kotlin/linemast/control/MachineListWatcher.kt
+++ b/src/main/kotlin/linemast/control/MachineListWatcher.kt
@@ -15,7 +15,7 @@
     private val term: LeaderTerm,
     private val cloud: Cloud,
     /** How many calls the cloud takes. */
-    private val callsPerSecond: Double,
+    private val maxCallsPerSecond: Double,
     private val cluster: Cluster,
     private val fleet: Fleet,
     private val machineRegistryStore: MachineRegistryStore,
@@ -27,9 +27,9 @@
     suspend fun run() {
         while (true) {
             try {
-                if (fleet.baselineMachines == null) findBaselineFleet()
+                if (fleet.baselineMachines == null) loadBaselineFleet()
                 val machines = cloud.machines()
-                term.loop.run { apply(machines) }
+                term.eventLoop.enqueue { apply(machines) }
             } catch (e: CloudException) {
                 log.debug("machine list: {}", e.message)
             } catch (e: StoreException) {
@@ -39,9 +39,9 @@
         }
     }
 
-    private suspend fun findBaselineFleet() {
+    private suspend fun loadBaselineFleet() {
         val names = baselineFleetStore.loadOrCreate() ?: return
-        term.loop.run {
+        term.eventLoop.enqueue {
             fleet.baselineMachines = names
             cluster.markBaseline(names)
         }
@@ -50,14 +50,14 @@
     private fun apply(machines: List<ListedMachine>) {
         val now = term.clock.nowMicros()
         fleet.updateFromList(machines, cluster.types, now)
-        val absent = cluster.removeUnlisted(fleet.machines.keys, now)
-        if (absent.isNotEmpty()) machineRegistryStore.remove(absent)
+        val unlisted = cluster.removeUnlisted(fleet.machines.keys, now)
+        if (unlisted.isNotEmpty()) machineRegistryStore.unregister(unlisted)
     }
 
     /** A large fleet takes several calls to list: they are spread so that scaling keeps most of the cloud's rate. */
     private fun pollIntervalMillis(machines: Int): Long {
         val calls = machines / MAX_MACHINES_PER_LIST_CALL + 1
-        return maxOf(MIN_POLL_INTERVAL_MILLIS, (calls * SECOND_MILLIS / (callsPerSecond * MAX_RATE_SHARE)).toLong())
+        return maxOf(MIN_POLL_INTERVAL_MILLIS, (calls * SECOND_MILLIS / (maxCallsPerSecond * MAX_LIST_RATE_SHARE)).toLong())
     }
 
     private companion object {
@@ -65,6 +65,6 @@
         const val SECOND_MILLIS = 1_000L
 
         /** Of the calls that the cloud takes, for its list. */
-        const val MAX_RATE_SHARE = 0.25
+        const val MAX_LIST_RATE_SHARE = 0.25
     }
 }
--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -16,32 +16,32 @@
 internal class MachineRegistryStore(private val term: LeaderTerm, private val cluster: Cluster) {
     private val log = LoggerFactory.getLogger(MachineRegistryStore::class.java)
     private val registry = MachineRegistry(term.limits.maxValueBytes)
-    private val writes = Mutex()
-    private var isAdding = false
+    private val writeMutex = Mutex()
+    private var isRegistering = false
 
     /** The machines that the store holds; those of unknown types are left out. */
     suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.PREFIX).entries, cluster.types)
 
     /** Stores [machines] and calls [onStored] in the leader's event loop; does nothing while an earlier call is under way. */
-    fun add(machines: List<Machine>, onStored: () -> Unit) {
-        if (isAdding) return
-        isAdding = true
+    fun register(machines: List<Machine>, onStored: () -> Unit) {
+        if (isRegistering) return
+        isRegistering = true
         term.scope.launch {
-            val stored = write { registry.with(machines) }
-            term.loop.run {
-                isAdding = false
-                if (stored) onStored()
+            val isStored = write { registry.with(machines) }
+            term.eventLoop.enqueue {
+                isRegistering = false
+                if (isStored) onStored()
             }
         }
     }
 
     /** Deletes the machines with [names] from the list; a failure leaves them there. */
-    fun remove(names: List<String>) {
+    fun unregister(names: List<String>) {
         term.scope.launch { write { registry.without(names) } }
     }
 
     /** Writes one change of the list at a time; after a write without a definite result the list is read again. */
-    private suspend fun write(change: () -> Map<String, Map<String, Any?>>): Boolean = writes.withLock {
+    private suspend fun write(change: () -> Map<String, Map<String, Any?>>): Boolean = writeMutex.withLock {
         for ((key, value) in change()) {
             val preconditions = listOf(Precondition(key, registry.revisionOf(key)))
             val result = storeResultOrNull(log) { term.commit(preconditions, listOf(Write.Put(key, value))) }
--- a/src/main/kotlin/linemast/control/PlanStore.kt
+++ b/src/main/kotlin/linemast/control/PlanStore.kt
@@ -18,27 +18,27 @@
     fun write(jobs: Collection<Job>) {
         val plans = jobs.take(MAX_PLANS).mapNotNull { job -> planner.planOf(job)?.let { PlanCodec.encode(job.id, it) } }
         term.scope.launch {
-            val fitting = fitting(plans)
-            storeResultOrNull(log) { term.commit(emptyList(), listOf(Write.Put(KEY, value(fitting))), RequestPriority.BACKGROUND) }
+            val storedPlans = limitToValueSize(plans)
+            storeResultOrNull(log) { term.commit(emptyList(), listOf(Write.Put(KEY, encode(storedPlans))), RequestPriority.BACKGROUND) }
         }
     }
 
-    private fun fitting(plans: List<Map<String, Any?>>): List<Map<String, Any?>> {
+    private fun limitToValueSize(plans: List<Map<String, Any?>>): List<Map<String, Any?>> {
         var fitting = plans
-        while (fitting.isNotEmpty() && JsonSize.of(value(fitting)) > term.limits.maxValueBytes) {
-            fitting = fitting.dropLast((fitting.size + DROPPED_PARTS - 1) / DROPPED_PARTS)
+        while (fitting.isNotEmpty() && JsonSize.of(encode(fitting)) > term.limits.maxValueBytes) {
+            fitting = fitting.dropLast((fitting.size + TRIM_DIVISOR - 1) / TRIM_DIVISOR)
         }
         return fitting
     }
 
-    private fun value(plans: List<Map<String, Any?>>) = PlanCodec.encode(term.wallMicros(), plans)
+    private fun encode(plans: List<Map<String, Any?>>) = PlanCodec.encode(term.wallMicros(), plans)
 
     private companion object {
         const val KEY = "plan"
         const val MAX_PLANS = 40
 
         /** As long as the plans do not fit, one in this many is left out. */
-        const val DROPPED_PARTS = 4
+        const val TRIM_DIVISOR = 4
     }
 }
 
--- a/src/main/kotlin/linemast/control/PreviousLeaders.kt
+++ b/src/main/kotlin/linemast/control/PreviousLeaderTracker.kt
@@ -9,9 +9,9 @@
  * A controller that has seen this term's fencing token accepts no lower one; once all other controllers have seen it, every
  * previous leader has ended.
  */
-internal class PreviousLeaders(
+internal class PreviousLeaderTracker(
     private val cluster: Cluster,
-    private val events: LeaderEventQueue,
+    private val eventQueue: LeaderEventQueue,
     private val clock: Clock,
     private val fencingToken: Long,
     private val peerNames: List<String>,
@@ -20,19 +20,19 @@
     private val informedPeers = HashSet<String>()
 
     /** The controller [node] has seen [fencingToken], which may be an earlier one. */
-    fun peerObservedToken(node: String, fencingToken: Long) {
+    fun recordPeerToken(node: String, fencingToken: Long) {
         if (fencingToken < this.fencingToken || !informedPeers.add(node)) return
-        endIfAllPeersKnow()
+        endPreviousLeadersIfAllPeersInformed()
     }
 
     /** The cluster state has been read from the store, so that it can take the news. */
-    fun stateLoaded() {
+    fun onStateLoaded() {
         isStateLoaded = true
-        endIfAllPeersKnow()
+        endPreviousLeadersIfAllPeersInformed()
     }
 
-    private fun endIfAllPeersKnow() {
+    private fun endPreviousLeadersIfAllPeersInformed() {
         if (!isStateLoaded || !informedPeers.containsAll(peerNames)) return
-        events.tryRun { cluster.endPreviousLeaders(clock.nowMicros()) }
+        eventQueue.tryEnqueue { cluster.endPreviousLeaders(clock.nowMicros()) }
     }
 }
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -17,9 +17,9 @@
 /** Reads what the store holds of jobs and machines when a term begins. */
 internal class StateLoader(
     private val term: LeaderTerm,
-    private val types: () -> List<MachineType>?,
+    private val machineTypes: () -> List<MachineType>?,
     private val cluster: Cluster,
-    private val completedTasks: CompletedTaskStore,
+    private val completedTaskStore: CompletedTaskStore,
     private val machineRegistryStore: MachineRegistryStore,
     private val dependencyCoordinator: DependencyCoordinator,
     private val cancellationFreshness: CancellationFreshness,
@@ -28,8 +28,8 @@
 
     /** Reads until it succeeds; the result says from where on changes have to be watched. */
     suspend fun load(): JobRevisions = RETRY.untilResult(log, "reading the store") {
-        types()?.let { known ->
-            cluster.types = known.associateBy { it.name }
+        machineTypes()?.let { knownTypes ->
+            cluster.types = knownTypes.associateBy { it.name }
             read()
         }
     }
@@ -51,13 +51,13 @@
 
     /** Parts of jobs that have ended were left by a leader that failed before it had deleted them. */
     private fun applyCompletedTasks(entries: List<Entry>) {
-        val orphaned = ArrayList<String>()
+        val orphanedKeys = ArrayList<String>()
         for (entry in entries) {
             val (id, part) = entry.key.removePrefix(JobKeys.DONE_PREFIX).split('/')
             val job = cluster.jobs[id]
-            if (job == null) orphaned += entry.key else completedTasks.apply(job, entry, part.toInt())
+            if (job == null) orphanedKeys += entry.key else completedTaskStore.apply(job, entry, part.toInt())
         }
-        completedTasks.delete(orphaned)
+        completedTaskStore.delete(orphanedKeys)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/control/StepDownPolicy.kt
+++ b/src/main/kotlin/linemast/control/StepDownPolicy.kt
@@ -11,7 +11,7 @@
 
     /** Steps down if one of the reasons holds at [nowMicros]. */
     fun stepDownIfDue(nowMicros: Long) {
-        stepDownIfWorkersAreLost(nowMicros)
+        stepDownIfWorkersReachOnlyPeers(nowMicros)
         stepDownIfAttemptNumbersAreExhausted()
     }
 
@@ -19,7 +19,7 @@
      * The workers reach other controllers but not this one: as long as it renewed its lease, they would be redirected
      * here until their own leases expire.
      */
-    private fun stepDownIfWorkersAreLost(nowMicros: Long) {
+    private fun stepDownIfWorkersReachOnlyPeers(nowMicros: Long) {
         if (!cluster.isMostlyMissingHeartbeats(nowMicros) || !peers.peerReceivesHeartbeats) return
         log.info("stepping down: workers send their heartbeats to other controllers and do not get through here")
         lease.stepDown()
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -13,28 +13,28 @@
  */
 internal class StoreEffects : ClusterEffects {
     private lateinit var cluster: Cluster
-    private lateinit var activations: JobActivationStore
-    private lateinit var jobs: JobStore
-    private lateinit var machineRegistry: MachineRegistryStore
+    private lateinit var jobActivationStore: JobActivationStore
+    private lateinit var jobStore: JobStore
+    private lateinit var machineRegistryStore: MachineRegistryStore
 
     /** Sets the writers; to be called once, before the first event. */
-    fun connect(cluster: Cluster, activations: JobActivationStore, jobs: JobStore, machineRegistry: MachineRegistryStore) {
+    fun connect(cluster: Cluster, jobActivationStore: JobActivationStore, jobStore: JobStore, machineRegistryStore: MachineRegistryStore) {
         this.cluster = cluster
-        this.activations = activations
-        this.jobs = jobs
-        this.machineRegistry = machineRegistry
+        this.jobActivationStore = jobActivationStore
+        this.jobStore = jobStore
+        this.machineRegistryStore = machineRegistryStore
     }
 
-    override fun storeActivation(job: Job) = activations.activate(job)
+    override fun storeActivation(job: Job) = jobActivationStore.activate(job)
 
-    override fun storeDone(job: Job) = jobs.storeProgress(job)
+    override fun storeDone(job: Job) = jobStore.storeProgress(job)
 
-    override fun dropCancelled(job: Job) = jobs.deleteCancelled(job)
+    override fun dropCancelled(job: Job) = jobStore.deleteCancelled(job)
 
-    override fun storeMachines(machines: List<Machine>) = machineRegistry.add(machines) {
+    override fun storeMachines(machines: List<Machine>) = machineRegistryStore.register(machines) {
         machines.forEach { it.isRegistered = true }
         cluster.dirty = true
     }
 
-    override fun dropMachines(names: List<String>) = machineRegistry.remove(names)
+    override fun dropMachines(names: List<String>) = machineRegistryStore.unregister(names)
 }
--- a/src/main/kotlin/linemast/control/UtilizationLog.kt
+++ b/src/main/kotlin/linemast/control/UtilizationLog.kt
@@ -7,18 +7,21 @@
 import linemast.time.SECOND_MICROS
 import org.slf4j.LoggerFactory
 
-/** Logs at `debug`, each [PERIOD_MICROS], what the machines are used for: running tasks, image fetches, checkpoints, idle capacity. */
+/**
+ * Logs at `debug`, each [LOG_INTERVAL_MICROS], what the machines are used for: running tasks, image fetches, checkpoints,
+ * idle capacity.
+ */
 internal class UtilizationLog(private val cluster: Cluster, private val fleet: Fleet) {
     private val log = LoggerFactory.getLogger(UtilizationLog::class.java)
 
     /** Null before the first lines. */
-    private var loggedMicros: Long? = null
+    private var lastLoggedMicros: Long? = null
 
     /** Logs if the last lines are old enough and the level is enabled. */
-    fun step(nowMicros: Long) {
+    fun logIfDue(nowMicros: Long) {
         if (!log.isDebugEnabled) return
-        loggedMicros?.let { if (nowMicros < it + PERIOD_MICROS) return }
-        loggedMicros = nowMicros
+        lastLoggedMicros?.let { if (nowMicros < it + LOG_INTERVAL_MICROS) return }
+        lastLoggedMicros = nowMicros
         logMachines(cluster.machines.values.filter { nowMicros < it.leaseEndMicros })
         logJobs()
     }
@@ -53,6 +56,6 @@
     }
 
     private companion object {
-        const val PERIOD_MICROS = 10 * SECOND_MICROS
+        const val LOG_INTERVAL_MICROS = 10 * SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
@@ -17,23 +17,23 @@
     /**
      * What is to be done next.
      *
-     * @property released jobs to release, since all their dependencies are done.
-     * @property cancelled jobs to cancel, since one of their dependencies was cancelled.
+     * @property toRelease jobs to release, since all their dependencies are done.
+     * @property toCancel jobs to cancel, since one of their dependencies was cancelled.
      * @property outcomesToRead ids of jobs whose outcome has to be read from the store.
      */
-    class Step(val released: List<BlockedJob>, val cancelled: List<BlockedJob>, val outcomesToRead: List<String>)
+    class Actions(val toRelease: List<BlockedJob>, val toCancel: List<BlockedJob>, val outcomesToRead: List<String>)
 
     private val blocked = LinkedHashMap<String, BlockedJob>()
 
     /** The blocked jobs by the ids of their dependencies. */
-    private val dependents = LinkedHashMap<String, LinkedHashSet<BlockedJob>>()
+    private val dependentsById = LinkedHashMap<String, LinkedHashSet<BlockedJob>>()
 
     /** Terminal outcomes of dependencies. */
     private val outcomes = HashMap<String, JobOutcome>()
     private val nextReadMicros = HashMap<String, Long>()
 
     /** Jobs whose dependencies are all done, and which are not released yet. */
-    private val ready = LinkedHashSet<BlockedJob>()
+    private val readyToRelease = LinkedHashSet<BlockedJob>()
 
     /** Jobs with a cancelled dependency, and which are not cancelled yet. */
     private val toCancel = LinkedHashSet<BlockedJob>()
@@ -49,13 +49,13 @@
         val job = BlockedJob(record, revision)
         blocked[id] = job
         for (dependency in job.dependencies) {
-            dependents.getOrPut(dependency) { LinkedHashSet() } += job
+            dependentsById.getOrPut(dependency) { LinkedHashSet() } += job
             outcomes[dependency]?.let { applyOutcome(job, dependency, it) }
         }
         if (job in toCancel) {
-            outcomeKnown(id, JobOutcome.CANCELLED)
+            recordOutcome(id, JobOutcome.CANCELLED)
         } else if (job.unmetDependencies.isEmpty()) {
-            ready += job
+            readyToRelease += job
         }
     }
 
@@ -65,23 +65,23 @@
     /** Removes a job that is not blocked any more: released, or cancelled. */
     fun remove(id: String) {
         val job = blocked.remove(id) ?: return
-        ready -= job
+        readyToRelease -= job
         toCancel -= job
         job.dependencies.forEach { removeDependent(it, job) }
     }
 
     private fun removeDependent(dependency: String, job: BlockedJob) {
-        val others = dependents[dependency] ?: return
-        others -= job
-        if (others.isNotEmpty()) return
-        dependents -= dependency
+        val remaining = dependentsById[dependency] ?: return
+        remaining -= job
+        if (remaining.isNotEmpty()) return
+        dependentsById -= dependency
         outcomes -= dependency
         nextReadMicros -= dependency
     }
 
     /** The store holds [outcome] for the job [id]; one that is not terminal will be read again. */
-    fun outcomeKnown(id: String, outcome: JobOutcome) {
-        if (!outcome.isTerminal || id !in dependents) return
+    fun recordOutcome(id: String, outcome: JobOutcome) {
+        if (!outcome.isTerminal || id !in dependentsById) return
         outcomes[id] = outcome
         val queue = ArrayDeque(listOf(id))
         while (queue.isNotEmpty()) queue += applyOutcomeToDependents(queue.removeFirst())
@@ -91,30 +91,31 @@
     private fun applyOutcomeToDependents(id: String): List<String> {
         val outcome = outcomes[id] ?: return emptyList()
         val cancelled = ArrayList<String>()
-        for (job in dependents[id].orEmpty()) {
+        for (job in dependentsById[id].orEmpty()) {
             applyOutcome(job, id, outcome)
-            if (job in toCancel && job.id in dependents && outcomes.put(job.id, JobOutcome.CANCELLED) == null) cancelled += job.id
+            if (job in toCancel && job.id in dependentsById && outcomes.put(job.id, JobOutcome.CANCELLED) == null) cancelled += job.id
         }
         return cancelled
     }
 
     private fun applyOutcome(job: BlockedJob, dependency: String, outcome: JobOutcome) {
         if (outcome == JobOutcome.CANCELLED) {
-            ready -= job
+            readyToRelease -= job
             toCancel += job
         } else if (job.unmetDependencies.remove(dependency) && job.unmetDependencies.isEmpty() && job !in toCancel) {
-            ready += job
+            readyToRelease += job
         }
     }
 
     /** What is to be committed and read now; [isActive] tells the jobs that are known to be neither done nor cancelled. */
-    fun nextStep(isActive: (String) -> Boolean, nowMicros: Long): Step {
-        val released = ready.filter { !it.isBeingCommitted }
-        val cancelled = toCancel.filter { !it.isBeingCommitted }
-        (released + cancelled).forEach { it.isBeingCommitted = true }
-        val outcomesToRead = dependents.keys.filter { isOutcomeMissing(it, isActive) && isReadDue(it, nowMicros) }.take(MAX_OUTCOME_READS)
+    fun nextActions(isActive: (String) -> Boolean, nowMicros: Long): Actions {
+        val toRelease = readyToRelease.filter { !it.isBeingCommitted }
+        val newCancellations = toCancel.filter { !it.isBeingCommitted }
+        (toRelease + newCancellations).forEach { it.isBeingCommitted = true }
+        val outcomesToRead =
+            dependentsById.keys.filter { isOutcomeMissing(it, isActive) && isReadDue(it, nowMicros) }.take(MAX_OUTCOME_READS)
         outcomesToRead.forEach { nextReadMicros[it] = nowMicros + READ_INTERVAL_MICROS }
-        return Step(released, cancelled, outcomesToRead)
+        return Actions(toRelease, newCancellations, outcomesToRead)
     }
 
     private fun isOutcomeMissing(id: String, isActive: (String) -> Boolean) = id !in outcomes && id !in blocked && !isActive(id)
@@ -122,7 +123,7 @@
     private fun isReadDue(id: String, nowMicros: Long): Boolean = nextReadMicros[id]?.let { nowMicros >= it } ?: true
 
     /** The commit of [jobs] was refused or gave no answer: the next step holds them again. */
-    fun commitFailed(jobs: List<BlockedJob>) = jobs.forEach { it.isBeingCommitted = false }
+    fun markCommitFailed(jobs: List<BlockedJob>) = jobs.forEach { it.isBeingCommitted = false }
 
     /** What is required of each job that blocked jobs depend on, by its id; [durationMicros] tells how long a job takes. */
     fun inheritedRequirements(durationMicros: (JobRecord) -> Long): Map<String, InheritedRequirement> =
@@ -134,11 +135,11 @@
      * [remainingMicros] tells how long a running job still takes, [durationMicros] how long a blocked one will take.
      */
     fun predictedStarts(remainingMicros: (String) -> Long?, durationMicros: (JobRecord) -> Long): List<PredictedStart> {
-        val prediction = StartPrediction(::isWaiting, { dependents[it].orEmpty() }, remainingMicros, durationMicros)
+        val prediction = StartPrediction(::isAwaitingDependencies, { dependentsById[it].orEmpty() }, remainingMicros, durationMicros)
         return prediction.predict(blocked.values)
     }
 
-    private fun isWaiting(job: BlockedJob) = job !in toCancel && job.unmetDependencies.isNotEmpty()
+    private fun isAwaitingDependencies(job: BlockedJob) = job !in toCancel && job.unmetDependencies.isNotEmpty()
 
     private companion object {
         const val READ_INTERVAL_MICROS = 1_500_000L
--- a/src/main/kotlin/linemast/control/dependencies/InheritedRequirement.kt
+++ b/src/main/kotlin/linemast/control/dependencies/InheritedRequirement.kt
@@ -47,15 +47,15 @@
     private fun visit(job: BlockedJob) {
         val requirement = InheritedRequirement.own(job.record).mergedWith(requirements[job.id])
         val startBy = requirement.endByWallMicros?.minus(durationMicros(job.record))
-        val ofDependencies = requirement.copy(endByWallMicros = startBy)
-        job.dependencies.forEach { add(it, ofDependencies) }
+        val dependencyRequirement = requirement.copy(endByWallMicros = startBy)
+        job.dependencies.forEach { addRequirement(it, dependencyRequirement) }
     }
 
-    private fun add(id: String, requirement: InheritedRequirement) {
-        val before = requirements[id]
-        val after = requirement.mergedWith(before)
-        if (after == before) return
-        requirements[id] = after
+    private fun addRequirement(id: String, requirement: InheritedRequirement) {
+        val previous = requirements[id]
+        val merged = requirement.mergedWith(previous)
+        if (merged == previous) return
+        requirements[id] = merged
         blocked[id]?.let { queue += it }
     }
 }
--- a/src/main/kotlin/linemast/control/dependencies/StartPrediction.kt
+++ b/src/main/kotlin/linemast/control/dependencies/StartPrediction.kt
@@ -8,7 +8,7 @@
 /** Predicts when blocked jobs can start. */
 internal class StartPrediction(
     /** Whether a job is still going to be released when its dependencies are done. */
-    private val isWaiting: (BlockedJob) -> Boolean,
+    private val isAwaitingDependencies: (BlockedJob) -> Boolean,
     private val dependentsOf: (String) -> Collection<BlockedJob>,
     /** How long a running job still takes; null for a job that is not running. */
     private val remainingMicros: (String) -> Long?,
@@ -23,7 +23,7 @@
         var visits = 0
         while (queue.isNotEmpty() && visits++ < MAX_VISITS) {
             val job = queue.removeFirst()
-            if (!isWaiting(job) || job.id in starts) continue
+            if (!isAwaitingDependencies(job) || job.id in starts) continue
             val startsInMicros = startsInMicros(job) ?: continue
             starts[job.id] = PredictedStart(job, startsInMicros)
             queue += dependentsOf(job.id)
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -18,7 +18,7 @@
 
 /** The names of a baseline fleet of any size are stored within the limits of the store, and read back whole. */
 class BaselineFleetStoreTest {
-    private class ListingCloud(private val names: List<String>) : Cloud {
+    private class FixedListCloud(private val names: List<String>) : Cloud {
         override suspend fun types(): List<MachineType> = emptyList()
 
         override suspend fun machines() = names.map { ListedMachine(it, "", "small", "z", false, "running", 0L) }
@@ -50,7 +50,7 @@
         client.commit(emptyList(), listOf(Write.Put(LeaderKeys.LEADER, emptyMap())))
         val limits = StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = store.valueBytes, txnOps = txnOps)
         val term = testTerm(client, backgroundScope, clock, limits)
-        fun fleet() = BaselineFleetStore(term, ListingCloud(names), listLagMicros = 10_000_000)
-        return store to (fleet().loadOrCreate() to fleet().loadOrCreate())
+        fun baselineFleetStore() = BaselineFleetStore(term, FixedListCloud(names), listLagMicros = 10_000_000)
+        return store to (baselineFleetStore().loadOrCreate() to baselineFleetStore().loadOrCreate())
     }
 }
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -42,24 +42,24 @@
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
         client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
         val fixture = ClusterFixture()
-        val first = fixture.submit("req-1", 2)
+        val dependency = fixture.submit("req-1", 2)
         FakeWorker(fixture, "host-000001").heartbeatFor(3)
         val coordinator = coordinator(client, fixture)
         coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
-        coordinator.step()
+        coordinator.startDueActions()
         assertEquals(listOf("req-2"), fixture.cluster.waitingStages.map { it.job.id })
-        assertEquals(JobPriority.HIGH, first.priority)
-        fixture.cluster.finish(first)
-        val other = fixture.submit("req-3", 1)
-        coordinator.jobEnded("req-1", JobOutcome.DONE)
+        assertEquals(JobPriority.HIGH, dependency.priority)
+        fixture.cluster.finish(dependency)
+        val unrelated = fixture.submit("req-3", 1)
+        coordinator.onJobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(1_000)
         assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves it")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
-        coordinator.changed(KeyChange(JobKeys.waiting("req-2"), null, 9))
+        coordinator.apply(KeyChange(JobKeys.waiting("req-2"), null, 9))
         fixture.pass(2_000_000)
-        coordinator.step()
+        coordinator.startDueActions()
         assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
-        assertNull(other.requiredEndWallMicros)
+        assertNull(unrelated.requiredEndWallMicros)
         assertEquals(
             listOf(true, true),
             Fields(store.valueOf("o/req-2")?.map.orEmpty()).let {
@@ -73,20 +73,20 @@
     fun `a job cancelled just before its release is carried out stays cancelled`() = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(2))
-        val inner = store.clientOf("mast-0")
+        val client = store.clientOf("mast-0")
         val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, activated = false, cancelled = false)
-        inner.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        inner.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
-        val racing = object : KeyValueStore by inner {
+        client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
+        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
+        val storeCancellingBeforeCommit = object : KeyValueStore by client {
             override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-                inner.commit(emptyList(), listOf(Write.Delete(JobKeys.waiting("req-2"))))
-                return inner.commit(preconditions, writes, priority)
+                client.commit(emptyList(), listOf(Write.Delete(JobKeys.waiting("req-2"))))
+                return client.commit(preconditions, writes, priority)
             }
         }
         val fixture = ClusterFixture()
-        val coordinator = coordinator(racing, fixture)
-        coordinator.load(inner.list(JobKeys.WAITING_PREFIX, null).entries)
-        coordinator.jobEnded("req-1", JobOutcome.DONE)
+        val coordinator = coordinator(storeCancellingBeforeCommit, fixture)
+        coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
+        coordinator.onJobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(5_000)
         assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "nothing brings it back")
         assertEquals(emptySet<String>(), fixture.cluster.jobs.keys)
--- a/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
@@ -36,9 +36,9 @@
         val graph = DependencyGraph()
         val depth = 30_000
         for (id in depth downTo 1) graph.put(blockedRecord(id, listOf(id - 1)), id.toLong())
-        graph.outcomeKnown("req-0", JobOutcome.CANCELLED)
-        assertEquals(depth, graph.nextStep({ false }, 0).cancelled.size)
-        assertEquals(0, graph.nextStep({ false }, 0).cancelled.size, "each is committed once at a time")
+        graph.recordOutcome("req-0", JobOutcome.CANCELLED)
+        assertEquals(depth, graph.nextActions({ false }, 0).toCancel.size)
+        assertEquals(0, graph.nextActions({ false }, 0).toCancel.size, "each is committed once at a time")
     }
 
     @Test
@@ -49,9 +49,9 @@
         graph.put(blockedRecord(4, listOf(2, 3), "urgency" to "high", "due_s" to 100.0), 1)
         val durations = mapOf("req-2" to 30_000_000L, "req-3" to 10_000_000L, "req-4" to 5_000_000L)
         val requirements = graph.inheritedRequirements { durations.getValue(it.spec.id) }
-        val due = 1_000 + 100_000_000L
-        assertEquals(due - 5_000_000, requirements.getValue("req-2").endByWallMicros)
-        assertEquals(due - 35_000_000, requirements.getValue("req-1").endByWallMicros, "the critical path counts")
+        val deadline = 1_000 + 100_000_000L
+        assertEquals(deadline - 5_000_000, requirements.getValue("req-2").endByWallMicros)
+        assertEquals(deadline - 35_000_000, requirements.getValue("req-1").endByWallMicros, "the critical path counts")
         assertEquals(setOf(JobPriority.HIGH), requirements.values.map { it.priority }.toSet())
         graph.remove("req-4")
         assertEquals(JobPriority.NORMAL, graph.inheritedRequirements { 0 }.getValue("req-1").priority)
@@ -68,9 +68,9 @@
         assertEquals(emptyList<Pair<String, Long>>(), predicted(), "the second dependency does not run yet")
         remaining["req-2"] = 50L
         assertEquals(listOf("req-3" to 50L, "req-4" to 57L), predicted(), "the last of them counts, and a blocked job passes it on")
-        graph.outcomeKnown("req-2", JobOutcome.DONE)
+        graph.recordOutcome("req-2", JobOutcome.DONE)
         assertEquals(listOf("req-3" to 20L, "req-4" to 27L), predicted())
-        graph.outcomeKnown("req-1", JobOutcome.CANCELLED)
+        graph.recordOutcome("req-1", JobOutcome.CANCELLED)
         assertEquals(emptyList<Pair<String, Long>>(), predicted())
     }
 }
@@ -84,22 +84,22 @@
     private val outcomes = arrayOfNulls<JobOutcome>(count)
     private val graph = DependencyGraph()
     private val blocked = HashSet<Int>()
-    private val unseen = dependencies.keys.filter { dependencies.getValue(it).isNotEmpty() }.shuffled(random).toMutableList()
+    private val notYetAdded = dependencies.keys.filter { dependencies.getValue(it).isNotEmpty() }.shuffled(random).toMutableList()
     private val active = dependencies.keys.filterTo(HashSet()) { dependencies.getValue(it).isEmpty() }
     private var revision = 0L
     private var nowMicros = 0L
 
     fun step() {
         nowMicros += 300_000
-        if (unseen.isNotEmpty() && random.nextInt(3) == 0) showBlockedJob(unseen.removeLast())
+        if (notYetAdded.isNotEmpty() && random.nextInt(3) == 0) addBlockedJob(notYetAdded.removeLast())
         if (active.isNotEmpty() && random.nextInt(8) == 0) endActiveJob(active.random(random))
-        val step = graph.nextStep({ numberOf(it) in active }, nowMicros)
-        step.released.forEach(::release)
-        step.cancelled.forEach(::cancel)
-        step.outcomesToRead.forEach(::readOutcome)
+        val actions = graph.nextActions({ numberOf(it) in active }, nowMicros)
+        actions.toRelease.forEach(::release)
+        actions.toCancel.forEach(::cancel)
+        actions.outcomesToRead.forEach(::readOutcome)
     }
 
-    private fun showBlockedJob(id: Int) {
+    private fun addBlockedJob(id: Int) {
         blocked += id
         graph.put(blockedRecord(id, dependencies.getValue(id)), ++revision)
     }
@@ -109,13 +109,13 @@
         val outcome = if (random.nextInt(6) == 0) JobOutcome.CANCELLED else JobOutcome.DONE
         outcomes[id] = outcome
         // News of it may never come: then the outcome has to be read.
-        if (random.nextBoolean()) graph.outcomeKnown("req-$id", outcome)
+        if (random.nextBoolean()) graph.recordOutcome("req-$id", outcome)
     }
 
     private fun release(job: BlockedJob) {
         val id = numberOf(job.id)
         assertTrue(dependencies.getValue(id).all { outcomes[it] == JobOutcome.DONE }, "$id is released too early")
-        if (random.nextInt(3) == 0) return graph.commitFailed(listOf(job))
+        if (random.nextInt(3) == 0) return graph.markCommitFailed(listOf(job))
         graph.remove(job.id)
         blocked -= id
         active += id
@@ -124,14 +124,14 @@
     private fun cancel(job: BlockedJob) {
         val id = numberOf(job.id)
         assertTrue(dependsOnCancelled(id), "$id depends on nothing that was cancelled")
-        if (random.nextInt(3) == 0) return graph.commitFailed(listOf(job))
+        if (random.nextInt(3) == 0) return graph.markCommitFailed(listOf(job))
         outcomes[id] = JobOutcome.CANCELLED
         graph.remove(job.id)
         blocked -= id
     }
 
     private fun readOutcome(jobId: String) {
-        if (random.nextInt(4) != 0) graph.outcomeKnown(jobId, outcomes[numberOf(jobId)] ?: JobOutcome.OPEN)
+        if (random.nextInt(4) != 0) graph.recordOutcome(jobId, outcomes[numberOf(jobId)] ?: JobOutcome.OPEN)
     }
 
     fun checkAllEnded(description: String) {
