--- a/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
@@ -127,7 +127,7 @@
 
     private fun release(job: BlockedJob) {
         val id = numberOf(job.id)
-        assertTrue(dependencies.getValue(id).all { outcomes[it] == JobOutcome.DONE }, "job $id is released before its dependencies are done")
+        assertTrue(dependencies.getValue(id).all { outcomes[it] == JobOutcome.DONE }, "job $id is released with an unmet dependency")
         if (random.nextInt(3) == 0) return graph.markCommitFailed(listOf(job))
         graph.remove(job.id)
         blocked -= id
