--- a/src/main/kotlin/linemast/control/dependencies/InheritedRequirement.kt
+++ b/src/main/kotlin/linemast/control/dependencies/InheritedRequirement.kt
@@ -30,7 +30,8 @@
 /**
  * Propagates priorities and deadlines from blocked jobs to the jobs that they depend on, directly or through other jobs.
  *
- * A dependency has to end by the time at which its dependent must start, so that the durations along a critical path add up.
+ * A deadline is propagated back along each path: a dependency has to end by the time at which its dependent must start, so
+ * that the durations along a critical path add up.
  */
 internal class RequirementPropagation(private val blocked: Map<String, BlockedJob>, private val durationMicros: (JobRecord) -> Long) {
     private val requirements = HashMap<String, InheritedRequirement>()
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -59,7 +59,7 @@
         val unrelated = fixture.submit("req-3", 1)
         coordinator.onJobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(1_000)
-        assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "the release moves the record to the open jobs")
+        assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves the record")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
         coordinator.apply(KeyChange(JobKeys.waiting("req-2"), null, 9))
         fixture.pass(2_000_000)
@@ -94,7 +94,7 @@
         coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
         coordinator.onJobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(5_000)
-        assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "the release brings a cancelled job back")
+        assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "a release does not bring a cancelled job back")
         assertEquals(emptySet<String>(), fixture.cluster.jobs.keys)
     }
 
--- a/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
@@ -37,7 +37,7 @@
     }
 
     @Test
-    fun `a chain of 30,000 jobs is cancelled without a stack overflow`() {
+    fun `a deep chain of jobs is cancelled without recursion`() {
         val graph = DependencyGraph()
         val depth = 30_000
         for (id in depth downTo 1) graph.put(blockedRecord(id, listOf(id - 1)), id.toLong())
@@ -136,7 +136,7 @@
 
     private fun cancel(job: BlockedJob) {
         val id = numberOf(job.id)
-        assertTrue(dependsOnCancelled(id), "job $id has no cancelled dependency")
+        assertTrue(dependsOnCancelled(id), "job $id is cancelled only with one of its dependencies")
         if (random.nextInt(3) == 0) return graph.markCommitFailed(listOf(job))
         outcomes[id] = JobOutcome.CANCELLED
         graph.remove(job.id)
@@ -148,7 +148,7 @@
     }
 
     fun checkAllEnded(description: String) {
-        assertEquals(emptySet<Int>(), blocked, "$description: jobs stay blocked for ever")
+        assertEquals(emptySet<Int>(), blocked, "$description: no job stays blocked for ever")
         assertTrue(graph.isEmpty)
         for (id in 0 until count) {
             val isCancelledWithDependency = outcomes[id] == JobOutcome.CANCELLED && dependencies.getValue(id).any(::isCancelled)
