--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -24,7 +24,7 @@
     private val planning = JobPlanning(cluster, planner)
     private val missingMachines = MissingMachines(cluster, fleet)
     private val demand = DemandMonitor()
-    private val constraints = ScaleOutConstraints(::maxSlots, cluster::isClosedTo)
+    private val constraints = ScaleOutConstraints(::maxSlots, cluster::isExcluded)
     private val fullPlanTimer = IntervalTimer(policy.longIntervalMicros)
     private val newJobsTimer = IntervalTimer(NEW_JOBS_MICROS)
     private val scalingTimer = IntervalTimer(policy.shortIntervalMicros)
@@ -45,7 +45,7 @@
         if (!isPlanDue && !scalingTimer.isDue(nowMicros)) return ScalingActions.NONE
         val jobs = JobRanking.sorted(cluster.jobs.values, cluster.quota, planner, wallMicros).map { it.job }
         if (isPlanDue) {
-            repeat(newJobCount) { demand.jobSubmitted(nowMicros) }
+            repeat(newJobCount) { demand.recordSubmission(nowMicros) }
             plan(jobs, isFullPlanDue, wallMicros, nowMicros)
         }
         scalingTimer.restart(nowMicros)
@@ -61,11 +61,11 @@
     }
 
     /** A request was refused or granted in part: the next machine shape is requested without waiting out the interval. */
-    fun replanSoon() = scalingTimer.expire()
+    fun scaleSoon() = scalingTimer.expire()
 
     private fun scale(jobs: List<Job>, nowMicros: Long): ScalingActions {
-        val demands = planner.scaleOutDemands(jobs, { it.baseline }, nowMicros)
-        val scaleOuts = fleet.planScaleOut(demands, cluster.types.values, cluster.machines, constraints, nowMicros)
+        val demands = planner.scaleOutDemands(jobs, { it.isBaseline }, nowMicros)
+        val scaleOuts = fleet.planScaleOut(demands, cluster.machineTypes.values, cluster.machines, constraints, nowMicros)
         val scalingOut = demands.filter { it.slots >= 1.0 }.map { it.job }
         val scaleIns = fleet.planScaleIn(cluster.machines, neededBy(scalingOut, jobs), demand.hasCeased(), nowMicros)
         logScaleIns(scaleIns)
@@ -84,7 +84,7 @@
         val needed = HashMap<MachineShape, Boolean>()
         val neededBaseline = HashMap<MachineShape, Boolean>()
         return { machine ->
-            if (machine.baseline) {
+            if (machine.isBaseline) {
                 neededBaseline.getOrPut(machine.shape) { hasPendingTasksFor(machine.shape, all) }
             } else {
                 needed.getOrPut(machine.shape) { hasPendingTasksFor(machine.shape, scalingOut) }
@@ -93,7 +93,7 @@
     }
 
     private fun hasPendingTasksFor(shape: MachineShape, jobs: List<Job>): Boolean =
-        jobs.any { it.pendingCount > 0 && shape.allows(it.spec) && !cluster.isClosedTo(shape.type, shape.spot, it) }
+        jobs.any { it.pendingCount > 0 && shape.allows(it.spec) && !cluster.isExcluded(shape.type, shape.spot, it) }
 
     /** No machines are requested for a job beyond what its team's quota lets it use at once. */
     private fun maxSlots(job: Job): Double {
--- a/src/main/kotlin/linemast/control/BaselineFleetStore.kt
+++ b/src/main/kotlin/linemast/control/BaselineFleetStore.kt
@@ -29,7 +29,7 @@
     suspend fun loadOrCreate(): Set<String>? {
         val stored = term.store.listAll(PREFIX).entries
         if (stored.any { it.key == FIRST_CHUNK }) return stored.flatMapTo(LinkedHashSet()) { BaselineFleetCodec.decode(it.value) }
-        val foundNames = cloud.machines().filter { !it.spot && it.status != STATUS_FAILED }.map { it.name }
+        val foundNames = cloud.listMachines().filter { !it.spot && it.status != STATUS_FAILED }.map { it.name }
         if (foundNames.isEmpty() && mayEmptyListBeStale()) return null
         if (!write(foundNames, stored)) return null
         log.info("baseline fleet: {} machines", foundNames.size)
--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -21,23 +21,25 @@
     /** Writes [parts] of [job] if neither the job's record nor these parts have changed in the store. */
     suspend fun commit(job: Job, parts: List<CompletedTaskPart>): TermCommitResult {
         val partPreconditions =
-            parts.map { Precondition(JobKeys.donePart(job.id, it.index), job.storedProgress.partRevisions[it.index] ?: 0L) }
+            parts.map {
+            Precondition(JobKeys.completedTasksPart(job.id, it.index), job.storedProgress.partRevisions[it.index] ?: 0L)
+        }
         return term.commit(
             listOf(Precondition(JobKeys.open(job.id), job.revision)) + partPreconditions,
-            parts.map { Write.Put(JobKeys.donePart(job.id, it.index), it.encoded) },
+            parts.map { Write.Put(JobKeys.completedTasksPart(job.id, it.index), it.encoded) },
             RequestPriority.BACKGROUND,
         )
     }
 
     /** Returns the stored parts of a job. */
-    suspend fun read(jobId: String): List<Entry> = term.store.listAll("${JobKeys.DONE_PREFIX}$jobId/").entries
+    suspend fun read(jobId: String): List<Entry> = term.store.listAll("${JobKeys.COMPLETED_TASKS_PREFIX}$jobId/").entries
 
     /** Marks the tasks of the stored part [entry] as done and records its revision. */
     fun apply(job: Job, entry: Entry, part: Int) {
         val tasks = BitSet()
         CompletedTasksCodec.decode(entry.value, part, tasks)
         job.storedProgress.partRevisions[part] = entry.revision
-        tasks.stream().forEach { job.markDone(it) }
+        tasks.stream().forEach { job.markCompleted(it) }
     }
 
     /** Deletes parts of jobs that have ended; the next leader deletes those whose deletion fails. */
@@ -54,13 +56,13 @@
 /** A snapshot of one part of a job's completed tasks, in its stored form. */
 internal class CompletedTaskPart(val index: Int, val encoded: Map<String, Any?>) {
     /** Whether this part of [job] has not changed since the snapshot. */
-    fun isUnchanged(job: Job): Boolean = CompletedTasksCodec.encode(job.done, index) == encoded
+    fun isUnchanged(job: Job): Boolean = CompletedTasksCodec.encode(job.completedTasks, index) == encoded
 
     companion object {
         /** Returns snapshots of the parts of [job] that changed since they were last written, at most [maxParts]. */
         fun changed(job: Job, maxParts: Int): List<CompletedTaskPart> {
             val parts = job.storedProgress.dirtyParts.stream().limit(maxParts.toLong()).toArray()
-            return parts.map { CompletedTaskPart(it, CompletedTasksCodec.encode(job.done, it)) }
+            return parts.map { CompletedTaskPart(it, CompletedTasksCodec.encode(job.completedTasks, it)) }
         }
     }
 }
--- a/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
+++ b/src/main/kotlin/linemast/control/HeartbeatPermissions.kt
@@ -18,10 +18,10 @@
         if (!mayRenewWorkerLeases(nowMicros) || isProbablyPartitioned(nowMicros)) null else permittedCommands(nowMicros)
 
     private fun mayRenewWorkerLeases(nowMicros: Long) =
-        lease.mayAnswerHeartbeats(nowMicros) && nowMicros < cancellationFreshness.renewalsAllowedUntilMicros
+        lease.mayRespondToHeartbeats(nowMicros) && nowMicros < cancellationFreshness.renewalsAllowedUntilMicros
 
     private fun permittedCommands(nowMicros: Long): CommandPermission = when {
-        !lease.mayIssueCommands(nowMicros) -> CommandPermission.NO_COMMANDS
+        !lease.mayIssueCommands(nowMicros) -> CommandPermission.CANCELLATIONS_ONLY
         nowMicros < cancellationFreshness.startsAllowedUntilMicros -> CommandPermission.ALL
         else -> CommandPermission.NO_STARTS
     }
--- a/src/main/kotlin/linemast/control/JobOutcomeStore.kt
+++ b/src/main/kotlin/linemast/control/JobOutcomeStore.kt
@@ -31,7 +31,7 @@
 
     /** Deletes the record and as many parts of the completed tasks as fit the transaction; deletes the other parts after it. */
     private suspend fun commitEnd(job: Job, writes: List<Write>, precondition: Precondition): TermCommitResult {
-        val partKeys = job.storedProgress.partRevisions.keys.map { JobKeys.donePart(job.id, it) }
+        val partKeys = job.storedProgress.partRevisions.keys.map { JobKeys.completedTasksPart(job.id, it) }
         val requiredWrites = writes + Write.Delete(JobKeys.open(job.id))
         val remainingOps = term.limits.maxTxnOps - requiredWrites.size
         val deletions = partKeys.take(remainingOps).map { Write.Delete(it) }
--- a/src/main/kotlin/linemast/control/JobStatistics.kt
+++ b/src/main/kotlin/linemast/control/JobStatistics.kt
@@ -29,5 +29,5 @@
     private fun countUnfinishedJobs() =
         cluster.jobs.values.filter { !it.finished }.groupingBy { flowClassifier.flowOf(it.spec) }.eachCount()
 
-    private fun progressOf(job: Job) = JobProgress(job.doneCount, job.runningCount)
+    private fun progressOf(job: Job) = JobProgress(job.completedCount, job.runningCount)
 }
--- a/src/main/kotlin/linemast/control/JobWatcher.kt
+++ b/src/main/kotlin/linemast/control/JobWatcher.kt
@@ -42,11 +42,11 @@
 
         override fun applyAll(page: EntryPage) = openJobUpdates.applyAll(page)
 
-        override fun refreshedAt(sentMicros: Long) = cancellationFreshness.refreshedAt(sentMicros)
+        override fun refreshedAt(sentMicros: Long) = cancellationFreshness.recordRefresh(sentMicros)
     }
 
     private val blockedJobs = object : Subscription {
-        override val prefix = JobKeys.WAITING_PREFIX
+        override val prefix = JobKeys.BLOCKED_PREFIX
         override val waitMicros = BLOCKED_WATCH_MICROS
 
         override fun applyChanges(changes: List<KeyChange>) = changes.forEach(dependencyCoordinator::apply)
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -44,7 +44,7 @@
         planner,
         LeaderClocks(term.clock, term.wallMicros),
         cancellationFreshness,
-        OptionalPolicies(startTurns = features.admission?.let { FlowRoundRobin(flowClassifier) }, stateReconciliation),
+        OptionalPolicies(roundRobin = features.admission?.let { FlowRoundRobin(flowClassifier) }, stateReconciliation),
     )
 
     /** Performs the store reads and writes of the reconciliation after an outage; null if the reconciliation is not enabled. */
--- a/src/main/kotlin/linemast/control/MachineListWatcher.kt
+++ b/src/main/kotlin/linemast/control/MachineListWatcher.kt
@@ -28,7 +28,7 @@
         while (true) {
             try {
                 if (fleet.baselineMachines == null) loadBaselineFleet()
-                val machines = cloud.machines()
+                val machines = cloud.listMachines()
                 term.eventLoop.enqueue { apply(machines) }
             } catch (e: CloudException) {
                 log.debug("machine list: call failed, retried at the next poll: {}", e.message)
@@ -49,7 +49,7 @@
 
     private fun apply(machines: List<ListedMachine>) {
         val now = term.clock.nowMicros()
-        fleet.updateFromList(machines, cluster.types, now)
+        fleet.updateFromList(machines, cluster.machineTypes, now)
         val unlisted = cluster.removeUnlisted(fleet.machines.keys, now)
         if (unlisted.isNotEmpty()) machineRegistryStore.unregister(unlisted)
     }
--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -20,7 +20,7 @@
     private var isRegistering = false
 
     /** Reads the registered machines from the store; machines of unknown types are left out. */
-    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.PREFIX).entries, cluster.types)
+    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.PREFIX).entries, cluster.machineTypes)
 
     /** Registers [machines], then calls [onStored] on the event loop; does nothing while an earlier call is in progress. */
     fun register(machines: List<Machine>, onStored: () -> Unit) {
--- a/src/main/kotlin/linemast/control/PreviousLeaderTracker.kt
+++ b/src/main/kotlin/linemast/control/PreviousLeaderTracker.kt
@@ -33,6 +33,6 @@
 
     private fun endPreviousLeadersIfAllPeersInformed() {
         if (!isStateLoaded || !informedPeers.containsAll(peerNames)) return
-        eventQueue.tryEnqueue { cluster.endPreviousLeaders(clock.nowMicros()) }
+        eventQueue.tryEnqueue { cluster.recordPreviousLeadersEnded(clock.nowMicros()) }
     }
 }
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -25,16 +25,16 @@
         this.machineRegistryStore = machineRegistryStore
     }
 
-    override fun storeActivation(job: Job) = jobActivationStore.activate(job)
+    override fun persistActivation(job: Job) = jobActivationStore.activate(job)
 
-    override fun storeDone(job: Job) = jobStore.storeProgress(job)
+    override fun persistProgress(job: Job) = jobStore.storeProgress(job)
 
-    override fun dropCancelled(job: Job) = jobStore.deleteCancelled(job)
+    override fun deleteCancelledJob(job: Job) = jobStore.deleteCancelled(job)
 
-    override fun storeMachines(machines: List<Machine>) = machineRegistryStore.register(machines) {
+    override fun registerMachines(machines: List<Machine>) = machineRegistryStore.register(machines) {
         machines.forEach { it.isRegistered = true }
-        cluster.dirty = true
+        cluster.needsScheduling = true
     }
 
-    override fun dropMachines(names: List<String>) = machineRegistryStore.unregister(names)
+    override fun unregisterMachines(names: List<String>) = machineRegistryStore.unregister(names)
 }
--- a/src/main/kotlin/linemast/scheduling/Scheduler.kt
+++ b/src/main/kotlin/linemast/scheduling/Scheduler.kt
@@ -10,8 +10,8 @@
 /**
  * Assigns pending tasks to machines.
  *
- * Each cycle drops all assignments whose start has not left and makes them anew, by rank: within quota first, then by
- * priority, then by deadline, then by age. A start leaves with the response to the machine's next heartbeat.
+ * Each cycle removes all assignments whose start has not been sent and assigns the tasks again by rank: jobs within their quota
+ * first, then by priority, then by deadline, then by age. A start is sent in the response to the machine's next heartbeat.
  */
 internal class Scheduler(private val cluster: Cluster, settings: Settings, roundRobin: FlowRoundRobin? = null) {
     private val scarceTypes = ScarceTypes()
@@ -21,7 +21,7 @@
     private val machineReadiness = MachineReadiness(cluster, settings.workers.heartbeatIntervalMicros)
 
     private val timing = PreemptionTiming(settings)
-    private val estimates = CompletionEstimates(cluster.times)
+    private val estimates = CompletionEstimates(cluster.runTimeEstimates)
     private val taskPreemption = TaskPreemption(cluster, timing.gracePeriodMicros)
     private val reservation = GangReservation(cluster, estimates)
     private val gangPreemption = GangPreemption(cluster, timing, estimates, taskPreemption, reservation)
@@ -30,19 +30,19 @@
     private val gangs = GangPlacement(cluster, gangPreemption, pendingReasons)
     private val starvationGuard = StarvationGuard(cluster, roundRobin, arrays, gangs, reservation)
 
-    /** See [ScarceTypes.isClosedTo]. */
-    fun isClosedTo(type: MachineType, spot: Boolean, spec: JobSpec): Boolean = scarceTypes.isClosedTo(type, spot, spec)
+    /** See [ScarceTypes.isExcluded]. */
+    fun isExcluded(type: MachineType, spot: Boolean, spec: JobSpec): Boolean = scarceTypes.isExcluded(type, spot, spec)
 
-    /** See [MachineReadiness.isFresh]. */
-    fun isFresh(machine: Machine, nowMicros: Long): Boolean = machineReadiness.isFresh(machine, nowMicros)
+    /** See [MachineReadiness.hasRecentHeartbeat]. */
+    fun hasRecentHeartbeat(machine: Machine, nowMicros: Long): Boolean = machineReadiness.hasRecentHeartbeat(machine, nowMicros)
 
     /** See [JobReadiness.isStartable]. */
     fun isStartable(job: Job, nowMicros: Long): Boolean = jobReadiness.isStartable(job, nowMicros)
 
-    /** Assigns what can be assigned now, and preempts tasks where that is needed and allowed. */
+    /** Assigns all pending tasks that can be assigned now, and preempts tasks where that is needed and allowed. */
     fun runCycle(nowMicros: Long) {
-        cluster.dropAssignments()
-        cluster.dirty = false
+        cluster.removeAssignments()
+        cluster.needsScheduling = false
         val ranked = rankJobs(nowMicros)
         val jobs = ranked.map { it.job }
         val ready = jobs.filter { it.pendingCount > 0 && jobReadiness.prepare(it, nowMicros) }
@@ -56,7 +56,7 @@
 
     private fun rankJobs(nowMicros: Long): List<RankedJob> {
         val ranked = JobRanking.sorted(cluster.jobs.values, cluster.quota, cluster.planner, cluster.wallMicros())
-        scarceTypes.learn(ranked.map { it.job.spec }, cluster.types.values, nowMicros)
+        scarceTypes.learn(ranked.map { it.job.spec }, cluster.machineTypes.values, nowMicros)
         for ((job, withinQuota) in ranked) {
             job.withinQuota = withinQuota
             if (job.spec.isGang) expectedGangs.observe(job.spec)
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Arrays beyond their quota get at most their bookings on static machines. Those within their quota have no such limit, or
-     * other bookings would take the capacity that tasks were preempted for.
+     * Places the [ready] jobs by rank. Arrays beyond their quota run at most their planned number of tasks on baseline machines.
+     * Arrays within their quota have no such limit; otherwise jobs with planned tasks would take the capacity for which tasks were
+     * preempted.
      */
     private fun placeByRank(ready: List<Job>, cycle: SchedulingCycle) {
         for (job in ready) {
@@ -83,7 +84,10 @@
         }
     }
 
-    /** Arrays take free capacity beyond their bookings: first on machines without the image of another job, then on any. */
+    /**
+     * Places arrays on the remaining free capacity, beyond their planned tasks on baseline machines: first on machines that are not
+     * left to a job whose image they have, then on any machine.
+     */
     private fun placeRemainingArrays(ready: List<Job>, cycle: SchedulingCycle) {
         val arrayJobs = ready.filter { !it.spec.isGang }
         for (job in arrayJobs) if (job.pendingCount > 0) arrays.place(job, cycle)
@@ -95,7 +99,7 @@
         val preemption = QuotaPreemption(cycle, cluster, timing, estimates, taskPreemption)
         for (job in ready) {
             if (!job.withinQuota || job.spec.isGang || job.pendingCount == 0) continue
-            preemption.preemptFor(job, minOf(job.pendingCount, cycle.headroom.tasksOf(job)))
+            preemption.preemptFor(job, minOf(job.pendingCount, cycle.headroom.remainingTasksOf(job)))
         }
     }
 }
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -24,9 +24,9 @@
  */
 class BaselineFleetStoreTest {
     private class FixedListCloud(private val names: List<String>) : Cloud {
-        override suspend fun types(): List<MachineType> = emptyList()
+        override suspend fun listMachineTypes(): List<MachineType> = emptyList()
 
-        override suspend fun machines() = names.map { ListedMachine(it, "", "small", "z", false, "running", 0L) }
+        override suspend fun listMachines() = names.map { ListedMachine(it, "", "small", "z", false, "running", 0L) }
 
         override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult = ScaleOutResult.NoCapacity
 
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -46,12 +46,12 @@
                 cancelled = false,
             )
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
+        client.commit(emptyList(), listOf(Write.Put(JobKeys.blocked("req-2"), JobRecordCodec.encode(blocked))))
         val fixture = ClusterFixture()
         val dependency = fixture.submit("req-1", 2)
         FakeWorker(fixture, "host-000001").heartbeatFor(3)
         val coordinator = coordinator(client, fixture)
-        coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
+        coordinator.load(client.list(JobKeys.BLOCKED_PREFIX, null).entries)
         coordinator.startDueActions()
         assertEquals(listOf("req-2"), fixture.cluster.waitingStages.map { it.job.id })
         assertEquals(JobPriority.HIGH, dependency.priority)
@@ -61,8 +61,8 @@
         testScheduler.advanceTimeBy(1_000)
         assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves the record")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
-        coordinator.apply(KeyChange(JobKeys.waiting("req-2"), null, 9))
-        fixture.pass(2_000_000)
+        coordinator.apply(KeyChange(JobKeys.blocked("req-2"), null, 9))
+        fixture.advance(2_000_000)
         coordinator.startDueActions()
         assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
         assertNull(unrelated.requiredEndWallMicros)
@@ -82,16 +82,16 @@
         val client = store.clientOf("mast-0")
         val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, activated = false, cancelled = false)
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        client.commit(emptyList(), listOf(Write.Put(JobKeys.waiting("req-2"), JobRecordCodec.encode(blocked))))
+        client.commit(emptyList(), listOf(Write.Put(JobKeys.blocked("req-2"), JobRecordCodec.encode(blocked))))
         val storeCancellingBeforeCommit = object : KeyValueStore by client {
             override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-                client.commit(emptyList(), listOf(Write.Delete(JobKeys.waiting("req-2"))))
+                client.commit(emptyList(), listOf(Write.Delete(JobKeys.blocked("req-2"))))
                 return client.commit(preconditions, writes, priority)
             }
         }
         val fixture = ClusterFixture()
         val coordinator = coordinator(storeCancellingBeforeCommit, fixture)
-        coordinator.load(client.list(JobKeys.WAITING_PREFIX, null).entries)
+        coordinator.load(client.list(JobKeys.BLOCKED_PREFIX, null).entries)
         coordinator.onJobEnded("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(5_000)
         assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "a release does not bring a cancelled job back")
@@ -99,7 +99,12 @@
     }
 
     private fun TestScope.coordinator(store: KeyValueStore, fixture: ClusterFixture) = DependencyCoordinator(
-        testTerm(store, backgroundScope, Clock { fixture.now }, StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = 8_192, txnOps = 5)),
+        testTerm(
+            store,
+            backgroundScope,
+            Clock { fixture.nowMicros },
+            StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = 8_192, txnOps = 5),
+        ),
         fixture.cluster,
     )
 }
--- a/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CandidateMachinesTest.kt
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** By kind and free capacity, a job finds the same machines as by an exhaustive search of the fleet. */
+/** Guards against an index by kind and free capacity that finds other machines for a job than an exhaustive search of the fleet. */
 class CandidateMachinesTest {
     private val types = listOf(
         MachineType("small", 4.0, 0.0, 16.0, 10.0, 1.0, 0.4, 0.1, 30_000_000, listOf("a", "b")),
@@ -41,18 +41,18 @@
                     "${job.spec.jobClass} ${job.spec.vcpus}",
                 )
                 compared += expected.size
-                // What is placed shows in the next search, by the free capacity and by the machines left idle.
+                // The next search must reflect the placed task, in the free capacity and in the number of idle machines.
                 val machine = expected.randomOrNull(random) ?: continue
                 val placement = Placement(machine, TaskId(job.id, job.nextPending(0)), 1, job)
-                machine.put(placement)
-                candidateMachines.assigned(placement)
+                machine.add(placement)
+                candidateMachines.recordAssigned(placement)
                 for (other in machines) {
                     val expectedWithheld = isWithheldByDefinition(job.spec, other, machines, scarceTypes)
                     assertEquals(expectedWithheld, candidateMachines.isWithheld(job.spec, other))
                 }
             }
         }
-        assertTrue(compared > 10_000, "only $compared machines were compared")
+        assertTrue(compared > 10_000, "only $compared candidates were compared, too few for the test to be meaningful")
     }
 
     private fun nextHeartbeatOrder(machine: Machine) = machine.name.hashCode() and 3
@@ -65,8 +65,8 @@
                 { it.reservedFor !== job && scarceTypes.scarcityOf(it.type, it.spot, job.spec).isScarce },
                 { it.reservedFor !== job && job.withinQuota && job.spec.image !in it.images },
                 { if (it.reservedFor !== job && job.withinQuota) nextHeartbeatOrder(it) else 0 },
-                { it.reservedFor !== job && !it.baseline },
-                { if (it.reservedFor === job || it.baseline) 0.0 else it.pricePerVcpu },
+                { it.reservedFor !== job && !it.isBaseline },
+                { if (it.reservedFor === job || it.isBaseline) 0.0 else it.pricePerVcpu },
                 { if (it.reservedFor === job) 0.0 else it.type.vcpus + it.type.gpus * 16 },
                 { it.reservedFor !== job && job.spec.image !in it.images },
                 { if (it.reservedFor === job) 0.0 else it.freeVcpus },
@@ -75,17 +75,17 @@
 
     private fun isWithheldByDefinition(spec: JobSpec, machine: Machine, machines: List<Machine>, scarceTypes: ScarceTypes): Boolean {
         val scarcity = scarceTypes.scarcityOf(machine.type, machine.spot, spec)
-        if (!scarcity.isScarce || scarcity.isClosed) return scarcity.isClosed
+        if (!scarcity.isScarce || scarcity.isExcluded) return scarcity.isExcluded
         return machine.placements.isEmpty() && machines.count { it.type.name in scarcity.neededTypes && it.placements.isEmpty() } <= 1
     }
 
     private fun machine(number: Int, jobs: List<Job>, random: Random): Machine {
         val machine = Machine("host-%06d".format(number), types.random(random), listOf("a", "b").random(random), random.nextBoolean())
-        machine.baseline = !machine.spot && random.nextBoolean()
+        machine.isBaseline = !machine.spot && random.nextBoolean()
         repeat(random.nextInt(4)) { machine.images += "img-${random.nextInt(3)}" }
         repeat(random.nextInt(6)) { at ->
             val job = jobs.random(random)
-            if (machine.fits(job)) machine.put(Placement(machine, TaskId("req-99", at), 1, job))
+            if (machine.fits(job)) machine.add(Placement(machine, TaskId("req-99", at), 1, job))
         }
         if (random.nextInt(6) == 0) machine.reservation = Reservation(jobs.random(random), untilMicros = 0)
         if (random.nextInt(8) == 0) jobs.random(random).failedOn += machine.name
