--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -39,7 +39,7 @@
         repeat(MAX_SCALE_OUT_ATTEMPTS) {
             if (!term.lease.mayIssueCommands(term.clock.nowMicros())) return@repeat
             val result = requestScaleOut(request)
-            if (result != ScaleOutResult.Unknown) return term.eventLoop.enqueue { scaleOutFinished(request, result) }
+            if (result != ScaleOutResult.Unknown) return term.eventLoop.enqueue { recordScaleOutResult(request, result) }
             delay(RETRY_MILLIS)
         }
         term.eventLoop.enqueue {
@@ -56,7 +56,7 @@
     }
 
     /** Applies the result of a scale-out request. */
-    fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult) {
+    fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) {
         val now = term.clock.nowMicros()
         if (result == ScaleOutResult.Unknown) return fleet.recordScaleOutAbandoned(request)
         val grantedNames = (result as? ScaleOutResult.Granted)?.names
@@ -77,7 +77,7 @@
         term.scope.launch {
             val isConfirmed = requestScaleIn(batch)
             term.eventLoop.enqueue {
-                if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.isScalingIn = false }
+                if (isConfirmed) recordScaleInConfirmed(names) else names.forEach { fleet.machines[it]?.isScalingIn = false }
             }
         }
     }
@@ -91,7 +91,7 @@
     }
 
     /** Removes the machines [names] from the leader's state and the registry: the cloud has confirmed that they are gone. */
-    fun scaleInConfirmed(names: List<String>) {
+    fun recordScaleInConfirmed(names: List<String>) {
         fleet.recordScaleInConfirmed(names)
         cluster.markTerminated(names)
         machineRegistryStore.unregister(names)
--- a/src/main/kotlin/linemast/control/DependencyCoordinator.kt
+++ b/src/main/kotlin/linemast/control/DependencyCoordinator.kt
@@ -43,7 +43,7 @@
         }
     }
 
-    override fun onJobEnded(id: String, outcome: JobOutcome) {
+    override fun recordOutcome(id: String, outcome: JobOutcome) {
         graph.recordOutcome(id, outcome)
         startDueActions()
     }
@@ -64,7 +64,7 @@
         term.scope.launch {
             val entry = storeResultOrNull(log) { term.store.get(JobKeys.outcome(id)) } ?: return@launch
             val outcome = storeResultOrNull(log) { OutcomeRecordCodec.decode(entry.value).outcome } ?: return@launch
-            term.eventLoop.enqueue { onJobEnded(id, outcome) }
+            term.eventLoop.enqueue { recordOutcome(id, outcome) }
         }
     }
 }
--- a/src/main/kotlin/linemast/control/DependencyForecast.kt
+++ b/src/main/kotlin/linemast/control/DependencyForecast.kt
@@ -41,7 +41,8 @@
     }
 
     /** Estimates how long a job that has not started will take, from the end of its last dependency. */
-    private fun durationMicros(record: JobRecord): Long = cluster.runTimeEstimates.estimateMicros(record.spec) + DEPENDENT_START_DELAY_MICROS
+    private fun durationMicros(record: JobRecord): Long =
+        cluster.runTimeEstimates.estimateMicros(record.spec) + DEPENDENT_START_DELAY_MICROS
 
     /** Estimates how long a running job still takes; null for a job that is not running. */
     private fun remainingMicros(id: String): Long? {
--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -38,9 +38,9 @@
 
     override fun isFree(machineName: String): Boolean = cluster.isFree(machineName)
 
-    override fun recordScaleInConfirmed(names: List<String>) = cloudOperations.scaleInConfirmed(names)
+    override fun recordScaleInConfirmed(names: List<String>) = cloudOperations.recordScaleInConfirmed(names)
 
-    override fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) = cloudOperations.scaleOutFinished(request, result)
+    override fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) = cloudOperations.recordScaleOutResult(request, result)
 
     private companion object {
         val RETRY = RetryPolicy(delayMillis = 250)
--- a/src/main/kotlin/linemast/control/JobOutcomeStore.kt
+++ b/src/main/kotlin/linemast/control/JobOutcomeStore.kt
@@ -11,8 +11,8 @@
 
 /** Listens for terminal outcomes of jobs. Called on the leader's event loop. */
 internal fun interface JobOutcomeListener {
-    /** Called when the store holds the terminal [outcome] for the job [id]. */
-    fun onJobEnded(id: String, outcome: JobOutcome)
+    /** Records that the store holds the terminal [outcome] for the job [id]. */
+    fun recordOutcome(id: String, outcome: JobOutcome)
 }
 
 /** Commits the ends of jobs: writes the outcome and deletes the record. */
--- a/src/main/kotlin/linemast/control/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -25,7 +25,7 @@
     private val jobOutcomeStore = JobOutcomeStore(term, completedTaskStore)
 
     /** Writes the changed parts of the completed tasks of [job], or the job's end if all its tasks are done. */
-    fun storeProgress(job: Job) {
+    fun persistProgress(job: Job) {
         job.storedProgress.isWriting = true
         term.scope.launch {
             val parts = CompletedTaskPart.changed(job, term.limits.maxTxnOps)
@@ -74,7 +74,7 @@
     private fun finish(job: Job) {
         log.info("{}: done, {} tasks", job.id, job.spec.taskCount)
         cluster.finish(job)
-        outcomeListener.onJobEnded(job.id, JobOutcome.DONE)
+        outcomeListener.recordOutcome(job.id, JobOutcome.DONE)
     }
 
     /**
--- a/src/main/kotlin/linemast/control/JobWatcher.kt
+++ b/src/main/kotlin/linemast/control/JobWatcher.kt
@@ -30,8 +30,8 @@
         /** Applies all entries of [page], since changes were missed. */
         fun applyAll(page: EntryPage)
 
-        /** Called when everything that the store held at [sentMicros], when the call was sent, has been applied. */
-        fun refreshedAt(sentMicros: Long)
+        /** Records that everything that the store held at [sentMicros], when the call was sent, has been applied. */
+        fun recordRefresh(sentMicros: Long)
     }
 
     private val openJobs = object : Subscription {
@@ -42,7 +42,7 @@
 
         override fun applyAll(page: EntryPage) = openJobUpdates.applyAll(page)
 
-        override fun refreshedAt(sentMicros: Long) = cancellationFreshness.recordRefresh(sentMicros)
+        override fun recordRefresh(sentMicros: Long) = cancellationFreshness.recordRefresh(sentMicros)
     }
 
     private val blockedJobs = object : Subscription {
@@ -53,7 +53,7 @@
 
         override fun applyAll(page: EntryPage) = dependencyCoordinator.reload(page.entries)
 
-        override fun refreshedAt(sentMicros: Long) = Unit
+        override fun recordRefresh(sentMicros: Long) = Unit
     }
 
     /** Starts watching, in the term's scope, for changes after [revisions]. */
@@ -74,7 +74,7 @@
             is WatchResult.Changes -> {
                 term.eventLoop.enqueue {
                     subscription.applyChanges(result.changes)
-                    subscription.refreshedAt(sentMicros)
+                    subscription.recordRefresh(sentMicros)
                 }
                 maxOf(revision, result.revision)
             }
@@ -82,7 +82,7 @@
                 val page = term.store.listAll(subscription.prefix)
                 term.eventLoop.enqueue {
                     subscription.applyAll(page)
-                    subscription.refreshedAt(sentMicros)
+                    subscription.recordRefresh(sentMicros)
                 }
                 page.revision
             }
--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -62,7 +62,7 @@
     suspend fun run() {
         val revisions = components.stateLoader.load()
         components.inheritedIntents?.adopt()
-        previousLeaderTracker.onStateLoaded()
+        previousLeaderTracker.recordStateLoaded()
         components.jobWatcher.start(revisions)
         scope.launch { tickRegularly() }
         components.admissionLeader?.let { scope.launch { it.run() } }
--- a/src/main/kotlin/linemast/control/OpenJobUpdates.kt
+++ b/src/main/kotlin/linemast/control/OpenJobUpdates.kt
@@ -19,7 +19,7 @@
         try {
             val record = JobRecordCodec.decode(value)
             cluster.applyJobRecord(record, change.revision)
-            if (record.cancelled) outcomeListener.onJobEnded(record.spec.id, JobOutcome.CANCELLED)
+            if (record.cancelled) outcomeListener.recordOutcome(record.spec.id, JobOutcome.CANCELLED)
         } catch (e: MalformedException) {
             log.error("{}: malformed record: {}; the change is ignored", change.key, e.message)
         }
--- a/src/main/kotlin/linemast/control/PreviousLeaderTracker.kt
+++ b/src/main/kotlin/linemast/control/PreviousLeaderTracker.kt
@@ -25,8 +25,8 @@
         endPreviousLeadersIfAllPeersInformed()
     }
 
-    /** Called when the cluster state has been loaded from the store; only then can previous leaders be ended in it. */
-    fun onStateLoaded() {
+    /** Records that the cluster state has been loaded from the store; only then can it apply the end of previous leaders. */
+    fun recordStateLoaded() {
         isStateLoaded = true
         endPreviousLeadersIfAllPeersInformed()
     }
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -27,7 +27,7 @@
 
     override fun persistActivation(job: Job) = jobActivationStore.activate(job)
 
-    override fun persistProgress(job: Job) = jobStore.storeProgress(job)
+    override fun persistProgress(job: Job) = jobStore.persistProgress(job)
 
     override fun deleteCancelledJob(job: Job) = jobStore.deleteCancelled(job)
 
