--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -40,7 +40,8 @@
 
     override fun recordScaleInConfirmed(names: List<String>) = cloudOperations.recordScaleInConfirmed(names)
 
-    override fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) = cloudOperations.recordScaleOutResult(request, result)
+    override fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) =
+        cloudOperations.recordScaleOutResult(request, result)
 
     private companion object {
         val RETRY = RetryPolicy(delayMillis = 250)
