--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -20,8 +20,7 @@
 
     /** Writes [parts] of [job] if neither the job's record nor these parts have changed in the store. */
     suspend fun commit(job: Job, parts: List<CompletedTaskPart>): TermCommitResult {
-        val partPreconditions =
-            parts.map {
+        val partPreconditions = parts.map {
             Precondition(JobKeys.completedTasksPart(job.id, it.index), job.storedProgress.partRevisions[it.index] ?: 0L)
         }
         return term.commit(
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -40,7 +40,7 @@
                 val names = List(machines) { "host-%06d".format(it + 998_000) }
                 val (store, loaded) = loadTwice(names, txnOps)
                 assertEquals(emptyList<String>(), store.tooLarge, "$machines machines, $txnOps changes: exceeds the store's limits")
-                assertEquals(names.toSet(), loaded.first, "the leader that writes the names returns all of them")
+                assertEquals(names.toSet(), loaded.first)
                 assertEquals(names.toSet(), loaded.second, "the next leader reads all names back")
             }
         }
