--- a/src/main/kotlin/linemast/control/JobActivationStore.kt
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -33,7 +33,7 @@
                 is TermCommitResult.Conflict, TermCommitResult.NoResult -> Unit
             }
             if (job.cancelled || job.finished) return
-            // If the job's record has changed meanwhile, the next attempt, which reads it again, needs no wait.
+            // If the job's record has changed since the attempt began, the next attempt reads the new record without a wait.
             if (revision == job.revision) RETRY.pause()
         }
     }
--- a/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
@@ -121,7 +121,7 @@
         active -= id
         val outcome = if (random.nextInt(6) == 0) JobOutcome.CANCELLED else JobOutcome.DONE
         outcomes[id] = outcome
-        // The graph may never be told the outcome: then it has to read it.
+        // In half of the cases the graph is not informed of the outcome, so that it has to request a read of the outcome.
         if (random.nextBoolean()) graph.recordOutcome("req-$id", outcome)
     }
 
