--- a/src/main/kotlin/linemast/control/Leader.kt
+++ b/src/main/kotlin/linemast/control/Leader.kt
@@ -8,25 +8,25 @@
 import linemast.leadership.LeaderLease
 
 /**
- * One term of leadership, from reading the store to losing the leadership.
+ * One term of leadership: begins with reading the store and ends with the loss of the leadership.
  *
- * The cluster state is touched in the turns of the event loop alone, which [run] processes; everything else queues events.
+ * Only the event loop, which [run] processes, reads and changes the cluster state; other coroutines enqueue actions.
  */
 class Leader(environment: LeaderEnvironment, lease: LeaderLease, private val scope: CoroutineScope) {
-    /** A connection has one heartbeat under way, so that there is room for all of them: none is refused in a burst. */
-    private val events = LeaderEventQueue(environment.configuration.settings.processLimits.fdLimit)
+    /** Has room for one heartbeat of each connection, the most that can be in progress at once: a burst of heartbeats fits. */
+    private val eventQueue = LeaderEventQueue(environment.configuration.settings.processLimits.fdLimit)
     private val term = LeaderTerm(
         environment.store,
         lease,
         scope,
-        events,
+        eventQueue,
         environment.clock,
         environment.wallMicros,
         environment.configuration.settings.storeLimits,
     )
     private val components = LeaderComponents(environment, term)
     private val responder = HeartbeatResponder(
-        events,
+        eventQueue,
         lease,
         environment.clock,
         components.cluster,
@@ -38,43 +38,43 @@
             isReplicated = environment.configuration.settings.members.isNotEmpty(),
         ),
     )
-    private val previousLeaders = PreviousLeaders(
+    private val previousLeaderTracker = PreviousLeaderTracker(
         components.cluster,
-        events,
+        eventQueue,
         environment.clock,
         lease.fencingToken,
         environment.configuration.settings.members.map { it.nodeName },
     )
 
-    /** The response to [heartbeat], which renews the worker's lease; null if there must be none. */
-    suspend fun answer(heartbeat: Heartbeat): HeartbeatResponse? = responder.respond(heartbeat)
+    /** Returns the response to [heartbeat], which renews the worker's lease, or null if the leader must not respond. */
+    suspend fun handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse? = responder.respond(heartbeat)
 
-    /** The controller [node] has seen [fencingToken]. */
-    fun peerObservedToken(node: String, fencingToken: Long) = previousLeaders.peerObservedToken(node, fencingToken)
+    /** Records that the controller [node] has seen [fencingToken]. */
+    fun recordPeerToken(node: String, fencingToken: Long) = previousLeaderTracker.recordPeerToken(node, fencingToken)
 
-    /** Task counts of a job; null if the leader has no such job. */
+    /** Returns the task counts of job [id], or null if the leader has no such job. */
     fun progressOf(id: String): JobProgress? = components.jobStatistics.progressOf(id)
 
-    /** Task counts of all jobs. */
+    /** Returns the task counts of all jobs by job id. */
     fun progress(): Map<String, JobProgress> = components.jobStatistics.progress()
 
-    /** Leads until it is cancelled. */
+    /** Loads the state, then leads until the coroutine is cancelled. */
     suspend fun run() {
         val revisions = components.stateLoader.load()
-        components.inheritedIntents?.takeOver()
-        previousLeaders.stateLoaded()
+        components.inheritedIntents?.adopt()
+        previousLeaderTracker.recordStateLoaded()
         components.jobWatcher.start(revisions)
         scope.launch { tickRegularly() }
-        components.admission?.let { scope.launch { it.run() } }
+        components.admissionLeader?.let { scope.launch { it.run() } }
         components.reconciliationMonitor?.let { scope.launch { it.run(scope) } }
         scope.launch { components.machineListWatcher.run() }
-        events.process()
+        eventQueue.process()
     }
 
     private suspend fun tickRegularly() {
         while (true) {
             delay(TICK_MILLIS)
-            events.run(components.ticker::tick)
+            eventQueue.enqueue(components.ticker::tick)
         }
     }
 
--- a/src/main/kotlin/linemast/control/StoreEffects.kt
+++ b/src/main/kotlin/linemast/control/StoreEffects.kt
@@ -6,35 +6,35 @@
 import linemast.scheduling.ClusterEffects
 
 /**
- * Passes what the cluster state wants stored to the store writers.
+ * Forwards the writes that the cluster state requests to the stores of this package.
  *
- * The writers change the cluster state when the store has answered, so that each side needs the other; [connect] closes the
- * circle before the first event.
+ * The cluster state and the stores need each other, since a store changes the cluster state when a write has been applied.
+ * So this object is created first, and [connect] sets the stores before the first event.
  */
 internal class StoreEffects : ClusterEffects {
     private lateinit var cluster: Cluster
-    private lateinit var activations: JobActivationStore
-    private lateinit var jobs: JobStore
-    private lateinit var machineRegistry: MachineRegistryStore
+    private lateinit var jobActivationStore: JobActivationStore
+    private lateinit var jobStore: JobStore
+    private lateinit var machineRegistryStore: MachineRegistryStore
 
-    /** Sets the writers; to be called once, before the first event. */
-    fun connect(cluster: Cluster, activations: JobActivationStore, jobs: JobStore, machineRegistry: MachineRegistryStore) {
+    /** Sets the cluster state and the stores; to be called once, before the first event. */
+    fun connect(cluster: Cluster, jobActivationStore: JobActivationStore, jobStore: JobStore, machineRegistryStore: MachineRegistryStore) {
         this.cluster = cluster
-        this.activations = activations
-        this.jobs = jobs
-        this.machineRegistry = machineRegistry
+        this.jobActivationStore = jobActivationStore
+        this.jobStore = jobStore
+        this.machineRegistryStore = machineRegistryStore
     }
 
-    override fun persistActivation(job: Job) = activations.activate(job)
+    override fun persistActivation(job: Job) = jobActivationStore.activate(job)
 
-    override fun persistProgress(job: Job) = jobs.storeProgress(job)
+    override fun persistProgress(job: Job) = jobStore.persistProgress(job)
 
-    override fun deleteCancelledJob(job: Job) = jobs.deleteCancelled(job)
+    override fun deleteCancelledJob(job: Job) = jobStore.deleteCancelled(job)
 
-    override fun registerMachines(machines: List<Machine>) = machineRegistry.add(machines) {
+    override fun registerMachines(machines: List<Machine>) = machineRegistryStore.register(machines) {
         machines.forEach { it.isRegistered = true }
         cluster.needsScheduling = true
     }
 
-    override fun unregisterMachines(names: List<String>) = machineRegistry.remove(names)
+    override fun unregisterMachines(names: List<String>) = machineRegistryStore.unregister(names)
 }
