--- a/src/main/kotlin/linemast/app/ArchiveTraining.kt
+++ b/src/main/kotlin/linemast/app/ArchiveTraining.kt
@@ -44,10 +44,10 @@
     private suspend fun sendRequests(client: HttpClient) {
         delay(STARTUP_MILLIS)
         for (round in 1..ROUNDS) {
-            post(client, "/v1/jobs", job())
+            post(client, "/v1/jobs", jobBody())
             get(client, "/v1/jobs/$JOB")
             get(client, "/healthz")
-            post(client, "/agent/beat", heartbeat(round))
+            post(client, "/agent/beat", heartbeatBody(round))
             delay(ROUND_MILLIS)
         }
         post(client, "/v1/jobs/$JOB/cancel", emptyMap())
@@ -61,14 +61,14 @@
         client.call("POST", path, Cbor.encode(body), SECOND_MICROS)
     }
 
-    private fun job(): Map<String, Any?> = mapOf(
+    private fun jobBody(): Map<String, Any?> = mapOf(
         "name_id" to JOB, "lane" to "lane", "crew" to "team", "shape" to "sweep", "urgency" to "normal",
         "pieces" to 3, "vcpus" to 1.0, "gpus" to 0.0, "memory_gb" to 1.0, "bundle" to "img", "pull_gb" to 1.0,
         "builds" to null, "yard" to null, "same_place" to false, "apart" to false, "loaners" to true,
         "guess_s" to 10.0, "mark_every_s" to 0.0, "mark_s" to 0.0, "due_s" to 60.0,
     )
 
-    private fun heartbeat(round: Int): Map<String, Any?> = mapOf(
+    private fun heartbeatBody(round: Int): Map<String, Any?> = mapOf(
         "rig" to "host-000001", "addr" to "127.0.0.1:9", "build" to "type", "yard" to "zone", "loaners" to false,
         "watch" to 1, "tick" to round, "helm" to 1, "recall_s" to null,
         "pieces" to listOf(
--- a/src/main/kotlin/linemast/app/CommandLineOptions.kt
+++ b/src/main/kotlin/linemast/app/CommandLineOptions.kt
@@ -35,14 +35,14 @@
     val spec = CommandSpec.create().name("linemast").version(VERSION)
     spec.usageMessage().description("A controller of the linemast cluster scheduler.")
     spec.addOption(fileOption(CONFIG_OPTION, "The settings file (TOML)."))
-    spec.addOption(flag(CHECK_OPTION, "Check the settings and exit."))
+    spec.addOption(flagOption(CHECK_OPTION, "Check the settings and exit."))
     spec.addOption(fileOption(POLICY_OPTION, "The operators' own settings (Lua); see docs/operations.md."))
     spec.addOption(fileOption(DUTIES_OPTION, "Enables single-holder duties (TOML); see docs/operations-duties.md."))
     spec.addOption(fileOption(ADMISSION_OPTION, "Enables fair admission (TOML); see docs/operations-admission.md."))
     spec.addOption(fileOption(RECOVERY_OPTION, "Enables the reconciliation after a total outage (TOML); see docs/operations-recovery.md."))
-    spec.addOption(flag(ACTIONS_OPTION, "Print the latest actions at the cloud from the store, audited, and exit."))
+    spec.addOption(flagOption(ACTIONS_OPTION, "Print the latest actions at the cloud from the store, audited, and exit."))
     spec.addOption(fileOption(ACTIONS_HTML_OPTION, "With --actions: also write them as an HTML page."))
-    spec.addOption(flag(TRAINING_OPTION, "Run the usual paths once on loopback and exit; the build makes its class-data archive so."))
+    spec.addOption(flagOption(TRAINING_OPTION, "Run the usual paths once on loopback and exit; the build makes its class-data archive so."))
     spec.addOption(OptionSpec.builder("--help", "-h").usageHelp(true).description("Show this help.").build())
     spec.addOption(OptionSpec.builder("--version").versionHelp(true).description("Show the version.").build())
     return spec
@@ -51,5 +51,5 @@
 private fun fileOption(name: String, description: String): OptionSpec =
     OptionSpec.builder(name).paramLabel("FILE").type(Path::class.java).description(description).build()
 
-private fun flag(name: String, description: String): OptionSpec =
+private fun flagOption(name: String, description: String): OptionSpec =
     OptionSpec.builder(name).type(java.lang.Boolean.TYPE).arity("0").description(description).build()
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -35,7 +35,7 @@
         var handler: suspend (HttpRequest) -> HttpResponse = node::route
         if (log.isDebugEnabled) {
             val metrics = Metrics(clock)
-            handler = metrics.measured(handler)
+            handler = metrics.measureLatency(handler)
             loop.onIteration = metrics::recordIteration
             launch { metrics.run() }
         }
--- a/src/main/kotlin/linemast/app/HealthCheck.kt
+++ b/src/main/kotlin/linemast/app/HealthCheck.kt
@@ -21,10 +21,10 @@
      * controller: in an outage of the store itself, taking all controllers out would only delay the return.
      */
     private fun isHealthy(): Boolean =
-        machineTypes.types != null && (healthProbe.failingForMicros(clock.nowMicros()) < UNHEALTHY_MICROS || !peerView.peerReachesStore)
+        machineTypes.types != null && (healthProbe.failingForMicros(clock.nowMicros()) < MAX_FAILING_MICROS || !peerView.peerReachesStore)
 
     private companion object {
         /** Longer than an outage takes to show in the status of peers: a second between probes, one between statuses. */
-        const val UNHEALTHY_MICROS = 3_500_000L
+        const val MAX_FAILING_MICROS = 3_500_000L
     }
 }
--- a/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
@@ -19,11 +19,11 @@
     /** The response to a heartbeat. Throws [linemast.serialization.MalformedException] if its body cannot be decoded. */
     suspend fun respond(request: HttpRequest): HttpResponse {
         val heartbeat = HeartbeatCodec.decode(Cbor.decodeMap(request.body))
-        peerStatusExchange.heartbeatReceived()
+        peerStatusExchange.recordHeartbeat()
         leaderView.observeFencingToken(heartbeat.fencingToken)
-        val answer = leaderLifecycle.leader?.answer(heartbeat) ?: return redirect()
-        val body = HeartbeatCodec.encodeResponse(answer.fencingToken, answer.commands)
-        return HttpResponse(HttpStatus.OK, Cbor.encode(body), stillValid = { answer.isValid(clock.nowMicros()) })
+        val response = leaderLifecycle.leader?.answer(heartbeat) ?: return redirect()
+        val body = HeartbeatCodec.encodeResponse(response.fencingToken, response.commands)
+        return HttpResponse(HttpStatus.OK, Cbor.encode(body), isStillValid = { response.isValid(clock.nowMicros()) })
     }
 
     private fun redirect(): HttpResponse {
--- a/src/main/kotlin/linemast/app/Metrics.kt
+++ b/src/main/kotlin/linemast/app/Metrics.kt
@@ -22,9 +22,9 @@
     private var lastLoggedMicros = clock.nowMicros()
 
     /** A handler that passes requests on to [handler] and records their latency. */
-    fun measured(handler: suspend (HttpRequest) -> HttpResponse): suspend (HttpRequest) -> HttpResponse = { request ->
+    fun measureLatency(handler: suspend (HttpRequest) -> HttpResponse): suspend (HttpRequest) -> HttpResponse = { request ->
         val start = clock.nowMicros()
-        handler(request).also { record(kind(request), clock.nowMicros() - start) }
+        handler(request).also { record(requestKind(request), clock.nowMicros() - start) }
     }
 
     /** Records that an iteration of the event loop took [micros]. */
@@ -34,7 +34,7 @@
         latencies.getOrPut(kind) { Histogram(MAX_MICROS, SIGNIFICANT_DIGITS) }.recordValue(micros.coerceIn(0, MAX_MICROS))
     }
 
-    private fun kind(request: HttpRequest): String = when {
+    private fun requestKind(request: HttpRequest): String = when {
         request.path == "/v1/jobs" -> "submit"
         request.path.endsWith("/cancel") -> "cancel"
         request.path.startsWith("/v1/jobs/") -> "status"
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -71,7 +71,7 @@
     suspend fun route(request: HttpRequest): HttpResponse = router.route(request)
 
     /** What this controller tells its peers now. */
-    fun peerStatus(): PeerStatus = peerStatusExchange.current()
+    fun peerStatus(): PeerStatus = peerStatusExchange.buildStatus()
 
     /** Takes in a status that has arrived from another controller. */
     fun receivePeerStatus(status: PeerStatus) = peerStatusExchange.receive(status)
--- a/src/main/kotlin/linemast/app/PeerStatusExchange.kt
+++ b/src/main/kotlin/linemast/app/PeerStatusExchange.kt
@@ -18,12 +18,12 @@
     private var lastHeartbeatMicros = NEVER_MICROS
 
     /** Takes note of a worker's heartbeat to this controller. */
-    fun heartbeatReceived() {
+    fun recordHeartbeat() {
         lastHeartbeatMicros = clock.nowMicros()
     }
 
     /** What this controller tells its peers now. */
-    fun current(): PeerStatus {
+    fun buildStatus(): PeerStatus {
         val leader = leaderLifecycle.leader
         val receivesHeartbeats = clock.nowMicros() - lastHeartbeatMicros < HEARTBEAT_RECENT_MICROS
         return PeerStatus(
--- a/src/main/kotlin/linemast/app/RequestRouter.kt
+++ b/src/main/kotlin/linemast/app/RequestRouter.kt
@@ -8,14 +8,14 @@
 /** Routes the requests of users, workers and the load balancer. */
 internal class RequestRouter(
     private val healthCheck: HealthCheck,
-    private val heartbeats: HeartbeatEndpoint,
-    private val jobs: JobService,
+    private val heartbeatEndpoint: HeartbeatEndpoint,
+    private val jobService: JobService,
 ) {
     /** The response to [request]; 404 if no handler knows its method and path. */
     suspend fun route(request: HttpRequest): HttpResponse = when (request.path) {
         "/healthz" -> if (request.method == "GET") healthCheck.respond() else notFound()
-        "/agent/beat" -> if (request.method == "POST") heartbeats.respond(request) else notFound()
-        else -> jobs.handle(request) ?: notFound()
+        "/agent/beat" -> if (request.method == "POST") heartbeatEndpoint.respond(request) else notFound()
+        else -> jobService.handle(request) ?: notFound()
     }
 
     private fun notFound() = HttpResponse(HttpStatus.NOT_FOUND)
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -14,9 +14,9 @@
 import linemast.transport.Address
 import linemast.transport.EventLoop
 import linemast.transport.HttpClient
-import linemast.transport.HttpReply
+import linemast.transport.HttpClientResponse
 import linemast.transport.HttpStatus
-import linemast.transport.NoAnswerException
+import linemast.transport.NoResponseException
 
 /** The cloud's API over HTTP, within its limit of calls per second. */
 class CloudClient(loop: EventLoop, address: Address, limits: CloudLimits, private val clock: Clock) : Cloud {
@@ -62,25 +62,25 @@
     }
 
     /** Any body that cannot be read means trouble of the cloud rather than a lack of capacity. */
-    private fun isNoCapacity(response: HttpReply): Boolean = try {
+    private fun isNoCapacity(response: HttpClientResponse): Boolean = try {
         CloudCodec.isNoCapacity(response.fields())
     } catch (e: MalformedException) {
         false
     }
 
     /** Waits until the limit of calls allows this one, then makes it. */
-    private suspend fun call(method: String, path: String, body: ByteArray?, priority: RequestPriority): HttpReply {
+    private suspend fun call(method: String, path: String, body: ByteArray?, priority: RequestPriority): HttpClientResponse {
         while (!rateLimiter.tryTake(1, priority, clock.nowMicros())) {
             delay(rateLimiter.waitMicros(1, priority, clock.nowMicros()) / MICROS_PER_MILLI + 1)
         }
         return try {
             http.call(method, path, body, CALL_TIMEOUT_MICROS)
-        } catch (e: NoAnswerException) {
+        } catch (e: NoResponseException) {
             throw CloudException.NoResponse(e.message ?: "no answer", e)
         }
     }
 
-    private fun <T> decode(response: HttpReply, decode: (Fields) -> T): T {
+    private fun <T> decode(response: HttpClientResponse, decode: (Fields) -> T): T {
         if (response.status != HttpStatus.OK) throw errorStatus(response, "a query")
         return try {
             decode(response.fields())
@@ -89,7 +89,7 @@
         }
     }
 
-    private fun errorStatus(response: HttpReply, call: String) =
+    private fun errorStatus(response: HttpClientResponse, call: String) =
         CloudException.ErrorStatus(response.status, "the cloud answered ${response.status} to $call")
 
     private companion object {
--- a/src/main/kotlin/linemast/cloud/CloudCodec.kt
+++ b/src/main/kotlin/linemast/cloud/CloudCodec.kt
@@ -31,7 +31,7 @@
         zone = fields.text("yard"),
         spot = fields.flagOrNull("loaners") ?: false,
         status = fields.text("status"),
-        ageMicros = fields.microsOrNull("age_s") ?: 0L,
+        ageMicros = fields.durationMicrosOrNull("age_s") ?: 0L,
     )
 
     /** The body of a scale-out request. */
--- a/src/main/kotlin/linemast/cloud/MachineTypeCodec.kt
+++ b/src/main/kotlin/linemast/cloud/MachineTypeCodec.kt
@@ -25,7 +25,7 @@
             fetchGbPerSecond = fields.numberOrNull("fetch_gb_per_s") ?: 1.0,
             price = price,
             spotPrice = fields.numberOrNull("market_price") ?: price,
-            startupMicros = fields.microsOrNull("startup_s") ?: 0L,
+            startupMicros = fields.durationMicrosOrNull("startup_s") ?: 0L,
             zones = fields.textsOrNull("yards") ?: emptyList(),
         )
     }
--- a/src/main/kotlin/linemast/serialization/Fields.kt
+++ b/src/main/kotlin/linemast/serialization/Fields.kt
@@ -8,9 +8,9 @@
  * that names it.
  *
  * @property map the values as they were decoded.
- * @property where path of the map in an error message; empty for the outermost one.
+ * @property mapPath path of the map in an error message; empty for the outermost one.
  */
-class Fields(val map: Map<String, Any?>, private val where: String = "") {
+class Fields(val map: Map<String, Any?>, private val mapPath: String = "") {
     /** Whether the field is there and not null. */
     fun has(name: String): Boolean = map[name] != null
 
@@ -49,17 +49,17 @@
     }
 
     /** A duration given in seconds, as whole microseconds. */
-    fun micros(name: String): Long = microsOrNull(name) ?: missing(name)
+    fun durationMicros(name: String): Long = durationMicrosOrNull(name) ?: missing(name)
 
     /** A duration given in seconds, as whole microseconds; null if the field is absent. */
-    fun microsOrNull(name: String): Long? = numberOrNull(name)?.let { (it * MICROS_PER_SECOND).toLong() }
+    fun durationMicrosOrNull(name: String): Long? = numberOrNull(name)?.let { (it * MICROS_PER_SECOND).toLong() }
 
     /** The map of a field that must be there. */
     fun child(name: String): Fields = childOrNull(name) ?: missing(name)
 
     /** The map of a field; null if it is absent. */
     @Suppress("UNCHECKED_CAST")
-    fun childOrNull(name: String): Fields? = typed<Map<String, Any?>>(name, "a map")?.let { Fields(it, path(name)) }
+    fun childOrNull(name: String): Fields? = typed<Map<String, Any?>>(name, "a map")?.let { Fields(it, fieldPath(name)) }
 
     /** The list of a field that must be there. */
     fun list(name: String): List<Any?> = typed<List<Any?>>(name, "a list") ?: missing(name)
@@ -72,20 +72,20 @@
     @Suppress("UNCHECKED_CAST")
     fun children(name: String): List<Fields> = (typed<List<Any?>>(name, "a list") ?: emptyList()).mapIndexed { index, item ->
         val map = item as? Map<String, Any?> ?: fail(name, "must hold maps only")
-        Fields(map, "${path(name)}[$index]")
+        Fields(map, "${fieldPath(name)}[$index]")
     }
 
     /** Rejects the input because of field [name]; [problem] completes the sentence that begins with the name. */
-    fun fail(name: String, problem: String): Nothing = throw MalformedException("${path(name)}: $problem")
+    fun fail(name: String, problem: String): Nothing = throw MalformedException("${fieldPath(name)}: $problem")
 
     private fun missing(name: String): Nothing = fail(name, "is missing")
 
-    private fun path(name: String) = if (where.isEmpty()) name else "$where.$name"
+    private fun fieldPath(name: String) = if (mapPath.isEmpty()) name else "$mapPath.$name"
 
-    private inline fun <reified T> typed(name: String, wanted: String): T? = when (val value = map[name]) {
+    private inline fun <reified T> typed(name: String, expected: String): T? = when (val value = map[name]) {
         null -> null
         is T -> value
-        else -> fail(name, "must be $wanted")
+        else -> fail(name, "must be $expected")
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -67,7 +67,8 @@
     private fun objective(fields: Fields): Objective {
         val kind = fields.text("kind")
         val jobClass = fields.textOrNull("class")
-        val withinMicros = fields.microsOrNull("within_s") ?: fields.numberOrNull("within_ms")?.let { (it * MICROS_PER_MILLI).toLong() }
+        val withinMicros =
+            fields.durationMicrosOrNull("within_s") ?: fields.numberOrNull("within_ms")?.let { (it * MICROS_PER_MILLI).toLong() }
         // Nothing depends on the share of jobs that an objective is for, but a malformed one is refused like any other field.
         fields.numberOrNull("share")
         val factor = fields.numberOrNull("times") ?: 1.0
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -8,9 +8,9 @@
 import linemast.transport.Address
 import linemast.transport.EventLoop
 import linemast.transport.HttpClient
-import linemast.transport.HttpReply
+import linemast.transport.HttpClientResponse
 import linemast.transport.HttpStatus
-import linemast.transport.NoAnswerException
+import linemast.transport.NoResponseException
 
 /**
  * The key-value store over HTTP, within this controller's share of the store's rate limits.
@@ -52,7 +52,7 @@
     }
 
     /** The status alone says that nothing was applied; a body that cannot be read only leaves the keys unknown. */
-    private fun failedKeys(response: HttpReply): List<String> =
+    private fun failedKeys(response: HttpClientResponse): List<String> =
         runCatching { StoreCodec.decodeFailedKeys(response.fields()) }.getOrDefault(emptyList())
 
     override suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult {
@@ -88,11 +88,11 @@
         body: ByteArray?,
         priority: RequestPriority,
         timeoutMicros: Long = CALL_TIMEOUT_MICROS,
-    ): HttpReply {
+    ): HttpClientResponse {
         rateLimiter.awaitRequest(priority)
         val response = try {
             client.call(method, path, body, timeoutMicros)
-        } catch (e: NoAnswerException) {
+        } catch (e: NoResponseException) {
             throw StoreException.NoResponse(e.message ?: "no answer")
         }
         if (response.status == HttpStatus.TOO_MANY_REQUESTS) rateLimiter.onRefused(isCommit = path == StoreCodec.COMMIT_PATH)
@@ -100,9 +100,9 @@
         return response
     }
 
-    private fun throwErrorStatus(response: HttpReply): Nothing = throw StoreException.ErrorStatus(response.status)
+    private fun throwErrorStatus(response: HttpClientResponse): Nothing = throw StoreException.ErrorStatus(response.status)
 
-    private inline fun <T> decode(response: HttpReply, decodeBody: (Fields) -> T): T {
+    private inline fun <T> decode(response: HttpClientResponse, decodeBody: (Fields) -> T): T {
         if (response.status != HttpStatus.OK) throwErrorStatus(response)
         return try {
             decodeBody(response.fields())
--- a/src/main/kotlin/linemast/transport/Connection.kt
+++ b/src/main/kotlin/linemast/transport/Connection.kt
@@ -42,15 +42,15 @@
     }
 
     private fun append(received: ByteBuffer) {
-        val kept = available
-        val needed = kept + received.remaining()
-        if (kept == 0 || needed > buffer.size - start) {
+        val unread = available
+        val needed = unread + received.remaining()
+        if (unread == 0 || needed > buffer.size - start) {
             // An idle connection holds no memory: its buffer is as large as the bytes that came.
-            val grown = if (kept == 0) ByteArray(needed) else ByteArray(maxOf(needed, kept * 2))
+            val grown = if (unread == 0) ByteArray(needed) else ByteArray(maxOf(needed, unread * 2))
             buffer.copyInto(grown, 0, start, end)
             buffer = grown
             start = 0
-            end = kept
+            end = unread
         }
         val count = received.remaining()
         received.get(buffer, end, count)
--- a/src/main/kotlin/linemast/transport/EventLoop.kt
+++ b/src/main/kotlin/linemast/transport/EventLoop.kt
@@ -65,8 +65,8 @@
     }
 
     private fun runReadyTasks() {
-        var left = MAX_TASKS_PER_ITERATION
-        while (left-- > 0) (readyTasks.removeFirstOrNull() ?: tasksFromOtherThreads.poll() ?: return).run()
+        var remaining = MAX_TASKS_PER_ITERATION
+        while (remaining-- > 0) (readyTasks.removeFirstOrNull() ?: tasksFromOtherThreads.poll() ?: return).run()
     }
 
     /** Waits for sockets, for no longer than until the next timer, and not at all while tasks are ready. */
--- a/src/main/kotlin/linemast/transport/HttpClient.kt
+++ b/src/main/kotlin/linemast/transport/HttpClient.kt
@@ -13,7 +13,7 @@
 import java.io.IOException
 
 /** No usable reply came: the request may or may not have been executed. */
-class NoAnswerException(message: String) : IOException(message)
+class NoResponseException(message: String) : IOException(message)
 
 /**
  * Sends requests to one endpoint over a few persistent connections.
@@ -22,67 +22,67 @@
  * reply to another request.
  *
  * @param maxConnections most requests at a time; more wait, within their timeout.
- * @property maxReplyBytes largest reply body that is taken.
+ * @property maxResponseBytes largest reply body that is taken.
  */
 class HttpClient(
     private val loop: EventLoop,
     private val address: Address,
     maxConnections: Int,
-    private val maxReplyBytes: Int = DEFAULT_MAX_REPLY_BYTES,
+    private val maxResponseBytes: Int = DEFAULT_MAX_RESPONSE_BYTES,
 ) {
-    private class IdleConnection(val connection: Connection, val sinceMicros: Long)
+    private class IdleConnection(val connection: Connection, val idleSinceMicros: Long)
 
     private val permits = Semaphore(maxConnections)
     private val idle = ArrayDeque<IdleConnection>()
 
-    /** Sends a request and waits for its reply; throws [NoAnswerException] if none comes within [timeoutMicros]. */
-    suspend fun call(method: String, path: String, body: ByteArray?, timeoutMicros: Long): HttpReply {
-        val reply = withTimeoutOrNull(timeoutMicros / MICROS_PER_MILLI) {
+    /** Sends a request and waits for its reply; throws [NoResponseException] if none comes within [timeoutMicros]. */
+    suspend fun call(method: String, path: String, body: ByteArray?, timeoutMicros: Long): HttpClientResponse {
+        val response = withTimeoutOrNull(timeoutMicros / MICROS_PER_MILLI) {
             permits.withPermit { exchange(method, path, body) }
         }
-        return reply ?: throw NoAnswerException("$address: no answer to $method $path within ${timeoutMicros / MICROS_PER_MILLI} ms")
+        return response ?: throw NoResponseException("$address: no answer to $method $path within ${timeoutMicros / MICROS_PER_MILLI} ms")
     }
 
-    private suspend fun exchange(method: String, path: String, body: ByteArray?): HttpReply {
+    private suspend fun exchange(method: String, path: String, body: ByteArray?): HttpClientResponse {
         val connection = try {
             takeIdle() ?: connect(loop, address)
         } catch (e: IOException) {
-            throw NoAnswerException("$address: ${e.message}")
+            throw NoResponseException("$address: ${e.message}")
         }
         var reusable = false
         try {
-            connection.write(request(method, path, body))
-            val head = readHead(connection)?.let { parseResponse(ByteReadChannel(it)) } ?: noAnswer("closed the connection")
+            connection.write(encodeRequest(method, path, body))
+            val head = readHead(connection)?.let { parseResponse(ByteReadChannel(it)) } ?: throwNoResponse("closed the connection")
             try {
-                val bytes = readBody(connection, head.headers, maxReplyBytes) ?: noAnswer("reply too large or without length")
-                reusable = !asksToClose(head.headers)
-                return HttpReply(head.status, bytes)
+                val bytes = readBody(connection, head.headers, maxResponseBytes) ?: throwNoResponse("reply too large or without length")
+                reusable = !closesConnection(head.headers)
+                return HttpClientResponse(head.status, bytes)
             } finally {
                 head.release()
             }
         } catch (e: CancellationException) {
             throw e
-        } catch (e: NoAnswerException) {
+        } catch (e: NoResponseException) {
             throw e
         } catch (e: Exception) {
-            throw NoAnswerException("$address: $e")
+            throw NoResponseException("$address: $e")
         } finally {
             if (reusable) idle.addLast(IdleConnection(connection, SteadyClock.nowMicros())) else connection.close()
         }
     }
 
-    private fun noAnswer(problem: String): Nothing = throw NoAnswerException("$address: $problem")
+    private fun throwNoResponse(problem: String): Nothing = throw NoResponseException("$address: $problem")
 
     private fun takeIdle(): Connection? {
         while (true) {
             val latest = idle.removeLastOrNull() ?: return null
-            val isFresh = SteadyClock.nowMicros() - latest.sinceMicros < MAX_IDLE_MICROS
+            val isFresh = SteadyClock.nowMicros() - latest.idleSinceMicros < MAX_IDLE_MICROS
             if (isFresh && latest.connection.isReusable()) return latest.connection
             latest.connection.close()
         }
     }
 
-    private fun request(method: String, path: String, body: ByteArray?): ByteArray = message {
+    private fun encodeRequest(method: String, path: String, body: ByteArray?): ByteArray = encodeMessage {
         requestLine(HttpMethod.parse(method), path, "HTTP/1.1")
         headerLine("Host", address.toString())
         if (body != null) {
@@ -94,7 +94,7 @@
     }
 
     private companion object {
-        const val DEFAULT_MAX_REPLY_BYTES = 1024 * 1024
+        const val DEFAULT_MAX_RESPONSE_BYTES = 1024 * 1024
         const val MAX_IDLE_MICROS = 30 * SECOND_MICROS
     }
 }
--- a/src/main/kotlin/linemast/transport/HttpFraming.kt
+++ b/src/main/kotlin/linemast/transport/HttpFraming.kt
@@ -25,13 +25,13 @@
 
 /** The body announced by [headers]; null if it is larger than [limit] or its length makes no sense. */
 internal suspend fun readBody(connection: Connection, headers: HttpHeadersMap, limit: Int): ByteArray? {
-    val coding = headers["Transfer-Encoding"]
-    if (coding != null) {
-        val isChunked = coding.toString().equals("chunked", ignoreCase = true)
+    val transferEncoding = headers["Transfer-Encoding"]
+    if (transferEncoding != null) {
+        val isChunked = transferEncoding.toString().equals("chunked", ignoreCase = true)
         return if (isChunked) readChunked(connection, limit) else null
     }
-    val announced = headers["Content-Length"]?.toString() ?: return ByteArray(0)
-    val length = announced.toLongOrNull() ?: return null
+    val contentLength = headers["Content-Length"]?.toString() ?: return ByteArray(0)
+    val length = contentLength.toLongOrNull() ?: return null
     if (length < 0 || length > limit) return null
     return connection.read(length.toInt())
 }
@@ -54,7 +54,7 @@
 }
 
 /** The bytes of a whole message, so that it leaves in one system call. */
-internal inline fun message(write: RequestResponseBuilder.() -> Unit): ByteArray {
+internal inline fun encodeMessage(write: RequestResponseBuilder.() -> Unit): ByteArray {
     val builder = RequestResponseBuilder()
     return try {
         builder.write()
@@ -65,7 +65,8 @@
 }
 
 /** Whether the other side closes the connection after this message. */
-internal fun asksToClose(headers: HttpHeadersMap): Boolean = headers["Connection"]?.toString()?.equals("close", ignoreCase = true) == true
+internal fun closesConnection(headers: HttpHeadersMap): Boolean =
+    headers["Connection"]?.toString()?.equals("close", ignoreCase = true) == true
 
 internal const val CBOR_TYPE = "application/cbor"
 private const val MAX_HEAD_BYTES = 8 * 1024
--- a/src/main/kotlin/linemast/transport/HttpMessages.kt
+++ b/src/main/kotlin/linemast/transport/HttpMessages.kt
@@ -22,13 +22,13 @@
  * @property status HTTP status code.
  * @property body encoded body, empty if there is none.
  * @property retryAfterSeconds when the client is to try again; null leaves the header out.
- * @property stillValid decided when the bytes are about to leave: false turns the response into a 503.
+ * @property isStillValid decided when the bytes are about to leave: false turns the response into a 503.
  */
 class HttpResponse(
     val status: Int,
     val body: ByteArray = EMPTY,
     val retryAfterSeconds: Int? = null,
-    val stillValid: () -> Boolean = { true },
+    val isStillValid: () -> Boolean = { true },
 ) {
     companion object {
         private val EMPTY = ByteArray(0)
@@ -42,7 +42,7 @@
 }
 
 /** The reply to a request that this process sent: its HTTP [status] code, and its [body], empty if there is none. */
-class HttpReply(val status: Int, val body: ByteArray) {
+class HttpClientResponse(val status: Int, val body: ByteArray) {
     /** The body, which has to be a map; throws a MalformedException otherwise. */
     fun fields(): Fields = Cbor.decodeMap(body)
 }
--- a/src/main/kotlin/linemast/transport/HttpServer.kt
+++ b/src/main/kotlin/linemast/transport/HttpServer.kt
@@ -41,20 +41,20 @@
 
     private suspend fun closeExpiredConnections() {
         while (true) {
-            delay(EXPIRY_CHECK_MILLIS)
+            delay(EXPIRY_CHECK_PERIOD_MILLIS)
             connections.closeExpired()
         }
     }
 
     private suspend fun serveConnection(connection: Connection) {
         try {
-            do connections.awaitsRequest(connection) while (serveRequest(connection))
+            do connections.recordIdle(connection) while (serveRequest(connection))
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
             log.debug("connection ended: {}", e.toString())
         } finally {
-            connections.ended(connection)
+            connections.remove(connection)
         }
     }
 
@@ -66,8 +66,8 @@
             false
         }
         is Received.Complete -> {
-            val response = answer(received.request)
-            respond(connection, if (response.stillValid()) response else HttpResponse.unavailable(), received.closeAfterwards)
+            val response = handle(received.request)
+            respond(connection, if (response.isStillValid()) response else HttpResponse.unavailable(), received.closeAfterwards)
             !received.closeAfterwards
         }
     }
@@ -75,7 +75,7 @@
     private suspend fun receive(connection: Connection): Received {
         val head = try {
             val bytes = readHead(connection) ?: return Received.EndOfStream
-            connections.requestBegan(connection)
+            connections.recordRequestStarted(connection)
             parseRequest(ByteReadChannel(bytes))
         } catch (e: CancellationException) {
             throw e
@@ -87,7 +87,7 @@
         }
         if (head == null) return Received.Malformed
         try {
-            val closeAfterwards = asksToClose(head.headers)
+            val closeAfterwards = closesConnection(head.headers)
             val method = head.method.value
             val uri = head.uri.toString()
             val body = readBody(connection, head.headers, MAX_BODY_BYTES) ?: return Received.Malformed
@@ -97,7 +97,7 @@
         }
     }
 
-    private suspend fun answer(request: HttpRequest): HttpResponse = try {
+    private suspend fun handle(request: HttpRequest): HttpResponse = try {
         handler(request)
     } catch (e: CancellationException) {
         throw e
@@ -111,7 +111,7 @@
 
     private suspend fun respond(connection: Connection, response: HttpResponse, close: Boolean) {
         connection.write(
-            message {
+            encodeMessage {
                 responseLine("HTTP/1.1", response.status, HttpStatus.reason(response.status))
                 headerLine("Content-Type", CBOR_TYPE)
                 headerLine("Content-Length", response.body.size.toString())
@@ -124,6 +124,6 @@
     }
 
     private companion object {
-        const val EXPIRY_CHECK_MILLIS = 15_000L
+        const val EXPIRY_CHECK_PERIOD_MILLIS = 15_000L
     }
 }
--- a/src/main/kotlin/linemast/transport/Listener.kt
+++ b/src/main/kotlin/linemast/transport/Listener.kt
@@ -8,14 +8,14 @@
 /**
  * Accepts connections on one address, a coroutine for each, at most [maxConnections] at a time.
  *
- * @property makeRoom is called when a new connection comes and all are taken: closes one that can be done without, or
+ * @property closeIdleConnection is called when a new connection comes and all are taken: closes one that can be done without, or
  * returns false, and the new one is closed.
  */
 class Listener(
     private val loop: EventLoop,
     private val address: Address,
     private val maxConnections: Int,
-    private val makeRoom: () -> Boolean = { false },
+    private val closeIdleConnection: () -> Boolean = { false },
 ) {
     private var openConnections = 0
 
@@ -30,7 +30,7 @@
         listener.use {
             while (scope.isActive) {
                 val socket = listener.accept()
-                if (openConnections >= maxConnections && !makeRoom()) {
+                if (openConnections >= maxConnections && !closeIdleConnection()) {
                     socket.close()
                     continue
                 }
--- a/src/main/kotlin/linemast/transport/ServerConnections.kt
+++ b/src/main/kotlin/linemast/transport/ServerConnections.kt
@@ -12,26 +12,26 @@
     private val idle = LinkedHashSet<Connection>()
 
     /** [connection] is open and waits for a request. */
-    fun awaitsRequest(connection: Connection) {
+    fun recordIdle(connection: Connection) {
         waitingSinceMicros[connection] = SteadyClock.nowMicros()
         idle += connection
     }
 
     /** The head of a request has arrived on [connection]. */
-    fun requestBegan(connection: Connection) {
+    fun recordRequestStarted(connection: Connection) {
         idle -= connection
     }
 
     /** [connection] is closed, or about to be. */
-    fun ended(connection: Connection) {
+    fun remove(connection: Connection) {
         waitingSinceMicros.remove(connection)
         idle -= connection
     }
 
     /** Closes connections that have been idle for long, or send their request too slowly. */
     fun closeExpired() {
-        val latestMicros = SteadyClock.nowMicros() - MAX_WAIT_MICROS
-        waitingSinceMicros.filterValues { it < latestMicros }.keys.forEach(Connection::close)
+        val cutoffMicros = SteadyClock.nowMicros() - MAX_WAIT_MICROS
+        waitingSinceMicros.filterValues { it < cutoffMicros }.keys.forEach(Connection::close)
     }
 
     /**
--- a/src/main/kotlin/linemast/transport/SocketReadiness.kt
+++ b/src/main/kotlin/linemast/transport/SocketReadiness.kt
@@ -18,7 +18,7 @@
             selectable.suspensions.addSuspension(interest, continuation)
             continuation.invokeOnCancellation { selectable.suspensions.removeSuspension(interest) }
             try {
-                watch(selectable, interest)
+                registerInterest(selectable, interest)
             } catch (e: ClosedChannelException) {
                 fail(selectable, e)
             } catch (e: CancelledKeyException) {
@@ -27,7 +27,7 @@
         }
     }
 
-    private fun watch(selectable: Selectable, interest: SelectInterest) {
+    private fun registerInterest(selectable: Selectable, interest: SelectInterest) {
         val key = selectable.channel.keyFor(selector)
         if (key == null) {
             selectable.channel.register(selector, interest.flag, selectable)
@@ -44,24 +44,24 @@
      */
     fun onReady(key: SelectionKey) {
         try {
-            resumeWaiting(key)
+            resumeReady(key)
         } catch (e: CancelledKeyException) {
             fail(key.attachment() as Selectable, e)
         }
     }
 
-    private fun resumeWaiting(key: SelectionKey) {
+    private fun resumeReady(key: SelectionKey) {
         val selectable = key.attachment() as Selectable
         val readyOps = key.readyOps()
         val interests = key.interestOps()
         var remaining = interests
         for (interest in SelectInterest.AllInterests) {
             if (readyOps and interest.flag == 0) continue
-            val waiting = selectable.suspensions.removeSuspension(interest)
-            waiting?.resume(Unit)
+            val continuation = selectable.suspensions.removeSuspension(interest)
+            continuation?.resume(Unit)
             // What is read or accepted again and again stays watched, so that it costs no system call each time.
-            val staysWatched = interest == SelectInterest.READ || interest == SelectInterest.ACCEPT
-            if (waiting == null || !staysWatched) remaining = remaining and interest.flag.inv()
+            val keepsInterest = interest == SelectInterest.READ || interest == SelectInterest.ACCEPT
+            if (continuation == null || !keepsInterest) remaining = remaining and interest.flag.inv()
         }
         if (remaining != interests) key.interestOps(remaining)
     }
--- a/src/main/kotlin/linemast/transport/TimerQueue.kt
+++ b/src/main/kotlin/linemast/transport/TimerQueue.kt
@@ -9,12 +9,12 @@
     private var scheduledCount = 0L
 
     /** An action that runs once at its time unless it is disposed before. */
-    class Timer internal constructor(internal val atNanos: Long, private val number: Long, internal var action: Runnable?) :
+    class Timer internal constructor(internal val dueNanos: Long, private val sequenceNumber: Long, internal var action: Runnable?) :
         Comparable<Timer>,
         DisposableHandle {
         // Nano times may overflow: only their difference can be compared.
         override fun compareTo(other: Timer): Int =
-            if (atNanos != other.atNanos) (atNanos - other.atNanos).compareTo(0) else number.compareTo(other.number)
+            if (dueNanos != other.dueNanos) (dueNanos - other.dueNanos).compareTo(0) else sequenceNumber.compareTo(other.sequenceNumber)
 
         /** The timer stays in the queue until its time: removing it would cost more. */
         override fun dispose() {
@@ -31,7 +31,7 @@
     /** Nanoseconds until the next timer fires, 0 if it is due; [NO_TIMER] if there is none. */
     fun nanosUntilNext(): Long {
         val next = timers.peek() ?: return NO_TIMER
-        return (next.atNanos - System.nanoTime()).coerceAtLeast(0)
+        return (next.dueNanos - System.nanoTime()).coerceAtLeast(0)
     }
 
     /** Runs the actions of all timers that are due. */
@@ -40,7 +40,7 @@
         val nowNanos = System.nanoTime()
         while (true) {
             val next = timers.peek() ?: return
-            if (next.atNanos - nowNanos > 0) return
+            if (next.dueNanos - nowNanos > 0) return
             timers.poll()
             next.action?.run()
         }
--- a/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
+++ b/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
@@ -39,7 +39,7 @@
         incarnation = fields.long("watch"),
         sequenceNumber = fields.long("tick"),
         fencingToken = fields.long("helm"),
-        preemptionNoticeMicros = fields.microsOrNull("recall_s"),
+        preemptionNoticeMicros = fields.durationMicrosOrNull("recall_s"),
         tasks = fields.children("pieces").map(::decodeTask),
     )
 
--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -15,7 +15,7 @@
 import linemast.transport.HttpClient
 import linemast.transport.HttpResponse
 import linemast.transport.HttpServer
-import linemast.transport.NoAnswerException
+import linemast.transport.NoResponseException
 import java.net.InetAddress
 import java.net.ServerSocket
 import java.nio.file.Files
@@ -85,7 +85,7 @@
             try {
                 clients[at].call(request.method, request.path, request.body.takeIf { it.isNotEmpty() }, CALL_MICROS)
                     .let { HttpResponse(it.status, it.body) }
-            } catch (e: NoAnswerException) {
+            } catch (e: NoResponseException) {
                 null
             }
         }
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -146,7 +146,7 @@
         }
         network.awaitThaw(at)
         if (nodes[at] !== node || network.isCutByZone(at, zone)) return null
-        return if (response.stillValid()) response else HttpResponse.unavailable()
+        return if (response.isStillValid()) response else HttpResponse.unavailable()
     }
 
     /** A machine that hangs past its lease does not take its tasks up again: it kills them as soon as it goes on. */
--- a/src/test/kotlin/linemast/transport/EventLoopTest.kt
+++ b/src/test/kotlin/linemast/transport/EventLoopTest.kt
@@ -23,7 +23,7 @@
     @Test
     fun `timers fire in their order and cancelled ones never`() {
         val fired = ArrayList<Int>()
-        val left = EventLoop().use { loop ->
+        val timedOutResult = EventLoop().use { loop ->
             loop.run {
                 coroutineScope {
                     for (millis in listOf(30, 10, 20)) launch { delay(millis.toLong()).also { fired += millis } }
@@ -33,20 +33,20 @@
                 }
             }
         }
-        assertNull(left)
+        assertNull(timedOutResult)
         assertEquals(listOf(10, 20, 30), fired)
     }
 
     @Test
     fun `another thread can resume a coroutine`() {
-        val got = EventLoop().use { loop ->
+        val received = EventLoop().use { loop ->
             loop.run {
-                val word = CompletableDeferred<String>()
-                thread { word.complete("from elsewhere") }
-                word.await()
+                val message = CompletableDeferred<String>()
+                thread { message.complete("from elsewhere") }
+                message.await()
             }
         }
-        assertEquals("from elsewhere", got)
+        assertEquals("from elsewhere", received)
     }
 
     /** More than the sockets' buffers hold, so that both sides have to wait for each other. */
@@ -60,7 +60,7 @@
                 val listening = CompletableDeferred<Unit>()
                 launch {
                     Listener(loop, address, 4).serve(this, { listening.complete(Unit) }) { connection ->
-                        repeat(sent.size / CHUNK) { connection.write(connection.read(CHUNK)) }
+                        repeat(sent.size / CHUNK_BYTES) { connection.write(connection.read(CHUNK_BYTES)) }
                     }
                 }
                 listening.await()
@@ -76,6 +76,6 @@
 
     private companion object {
         const val SEED = 7
-        const val CHUNK = 100_000
+        const val CHUNK_BYTES = 100_000
     }
 }
--- a/src/test/kotlin/linemast/transport/HttpServerTest.kt
+++ b/src/test/kotlin/linemast/transport/HttpServerTest.kt
@@ -18,7 +18,7 @@
 class HttpServerTest {
     @Test
     fun `requests are served and malformed ones refused`() {
-        val answers = serve { port ->
+        val responses = serve { port ->
             listOf(
                 "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc",
                 "POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -30,41 +30,41 @@
                 "POST /broken HTTP/1.1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
             ).map { exchange(port, it) }
         }
-        assertEquals(listOf("200", "200", "400", "400", "400", "400", "400", "503"), answers.map { it.split(' ')[1] })
-        assertEquals("abc", answers[0].substringAfter("\r\n\r\n"))
-        assertEquals("abc", answers[1].substringAfter("\r\n\r\n"))
+        assertEquals(listOf("200", "200", "400", "400", "400", "400", "400", "503"), responses.map { it.split(' ')[1] })
+        assertEquals("abc", responses[0].substringAfter("\r\n\r\n"))
+        assertEquals("abc", responses[1].substringAfter("\r\n\r\n"))
     }
 
     @Test
     fun `a connection serves several requests and a body that ends too early gets no answer`() {
-        val answers = serve { port ->
-            val two = "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\na" +
+        val responses = serve { port ->
+            val twoRequests = "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\na" +
                 "POST /echo HTTP/1.1\r\nContent-Length: 1\r\nConnection: close\r\n\r\nb"
-            listOf(exchange(port, two), exchange(port, "POST /echo HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc"))
+            listOf(exchange(port, twoRequests), exchange(port, "POST /echo HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc"))
         }
-        assertEquals(2, answers[0].split("HTTP/1.1 200").size - 1)
-        assertEquals("", answers[1])
+        assertEquals(2, responses[0].split("HTTP/1.1 200").size - 1)
+        assertEquals("", responses[1])
     }
 
     @Test
     fun `with all connections taken a new one takes the place of the longest idle, never of one with a request under way`() {
-        val answers = serve { port ->
-            val busy = Socket("127.0.0.1", port).also { it.getOutputStream().write("POST /echo HTTP/1.1\r\nContent-".toByteArray()) }
-            val kept = List(MAX_CONNECTIONS - 1) { Socket("127.0.0.1", port) }
+        val responses = serve { port ->
+            val receiving = Socket("127.0.0.1", port).also { it.getOutputStream().write("POST /echo HTTP/1.1\r\nContent-".toByteArray()) }
+            val idle = List(MAX_CONNECTIONS - 1) { Socket("127.0.0.1", port) }
             // Each has been served once, so that all are known to be open, the first one for longest.
-            kept.forEach { request(it, "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\na") }
-            val later = exchange(port, "POST /echo HTTP/1.1\r\nContent-Length: 1\r\nConnection: close\r\n\r\nb")
-            val first = kept.first().getInputStream().read()
-            val last = request(kept.last(), "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\nc")
-            val begun = request(busy, "Length: 1\r\n\r\nd")
-            (kept + busy).forEach(Socket::close)
-            listOf(later.substringAfter("\r\n\r\n"), first.toString(), last, begun)
+            idle.forEach { sendAndReadBody(it, "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\na") }
+            val newConnectionResponse = exchange(port, "POST /echo HTTP/1.1\r\nContent-Length: 1\r\nConnection: close\r\n\r\nb")
+            val longestIdleByte = idle.first().getInputStream().read()
+            val lastIdleBody = sendAndReadBody(idle.last(), "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\nc")
+            val receivingBody = sendAndReadBody(receiving, "Length: 1\r\n\r\nd")
+            (idle + receiving).forEach(Socket::close)
+            listOf(newConnectionResponse.substringAfter("\r\n\r\n"), longestIdleByte.toString(), lastIdleBody, receivingBody)
         }
-        assertEquals(listOf("b", "-1", "c", "d"), answers)
+        assertEquals(listOf("b", "-1", "c", "d"), responses)
     }
 
     /** Sends [text] and reads up to the end of the answer's body of one byte. */
-    private fun request(socket: Socket, text: String): String {
+    private fun sendAndReadBody(socket: Socket, text: String): String {
         socket.getOutputStream().write(text.toByteArray())
         val input = socket.getInputStream()
         val head = StringBuilder()
@@ -76,7 +76,7 @@
         return input.read().toChar().toString()
     }
 
-    private fun <T> serve(talk: (Int) -> T): T {
+    private fun <T> serve(exchanges: (Int) -> T): T {
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         return EventLoop().use { loop ->
             loop.run {
@@ -90,7 +90,7 @@
                 }
                 launch { server.serve(this) { listening.complete(Unit) } }
                 listening.await()
-                withContext(Dispatchers.IO) { talk(port) }.also { coroutineContext.cancelChildren() }
+                withContext(Dispatchers.IO) { exchanges(port) }.also { coroutineContext.cancelChildren() }
             }
         }
     }
