--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -11,25 +11,25 @@
 import linemast.store.listAll
 import org.slf4j.LoggerFactory
 
-/** The store's revisions as of which jobs were read. */
+/** The store revisions as of which the open and the blocked jobs were read. */
 internal class JobRevisions(val open: Long, val blocked: Long)
 
-/** Reads what the store holds of jobs and machines when a term begins. */
+/** Loads jobs and machines from the store when a term begins. */
 internal class StateLoader(
     private val term: LeaderTerm,
-    private val types: () -> List<MachineType>?,
+    private val machineTypes: () -> List<MachineType>?,
     private val cluster: Cluster,
-    private val completedTasks: CompletedTaskStore,
+    private val completedTaskStore: CompletedTaskStore,
     private val machineRegistryStore: MachineRegistryStore,
     private val dependencyCoordinator: DependencyCoordinator,
     private val cancellationFreshness: CancellationFreshness,
 ) {
     private val log = LoggerFactory.getLogger(StateLoader::class.java)
 
-    /** Reads until it succeeds; the result says from where on changes have to be watched. */
+    /** Loads the state, with retries until that succeeds; returns the revisions after which changes have to be watched. */
     suspend fun load(): JobRevisions = RETRY.untilResult(log, "reading the store") {
-        types()?.let { known ->
-            cluster.machineTypes = known.associateBy { it.name }
+        machineTypes()?.let { knownTypes ->
+            cluster.machineTypes = knownTypes.associateBy { it.name }
             read()
         }
     }
@@ -49,15 +49,15 @@
         return JobRevisions(open.revision, blocked.revision)
     }
 
-    /** Parts of jobs that have ended were left by a leader that failed before it had deleted them. */
+    /** Applies the stored parts. Deletes parts without an open job: a previous leader failed before it deleted them. */
     private fun applyCompletedTasks(entries: List<Entry>) {
-        val orphaned = ArrayList<String>()
+        val orphanedKeys = ArrayList<String>()
         for (entry in entries) {
             val (id, part) = entry.key.removePrefix(JobKeys.COMPLETED_TASKS_PREFIX).split('/')
             val job = cluster.jobs[id]
-            if (job == null) orphaned += entry.key else completedTasks.apply(job, entry, part.toInt())
+            if (job == null) orphanedKeys += entry.key else completedTaskStore.apply(job, entry, part.toInt())
         }
-        completedTasks.delete(orphaned)
+        completedTaskStore.delete(orphanedKeys)
     }
 
     private companion object {
