--- a/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
@@ -8,7 +8,7 @@
 import linemast.simulation.SimWorld
 import linemast.simulation.Violation
 import linemast.simulation.leaderOf
-import linemast.simulation.restart
+import linemast.simulation.restartController
 import linemast.simulation.simulate
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -25,7 +25,7 @@
 
     private fun job(team: String, jobClass: String, tasks: Int, vcpus: Double, runMicros: Long) = SimJob(
         "req-%06d".format(++numbers), team, tasks, vcpus, false, false, false, true, runMicros,
-        jobClass = jobClass, patienceMicros = 60_000_000,
+        jobClass = jobClass, submitTimeoutMicros = 60_000_000,
     )
 
     private class Outcome(val world: SimWorld, val flood: List<SimJob>, val others: List<SimJob>)
@@ -38,13 +38,14 @@
         val others = ArrayList<SimJob>()
         val world = simulate(
             seed,
-            size = 2,
+            scale = 2,
             features = Features(admission = AdmissionSettings().takeIf { enabled }),
             objectives = objectives,
         ) { world ->
             delay(15_000)
             val began = world.clock.nowMicros()
-            world.users.entryOf = { if (world.clock.nowMicros() - began < firstSecondsAtOne * 1_000_000L) 0 else world.random.nextInt(3) }
+            world.users.chooseController =
+                { if (world.clock.nowMicros() - began < firstSecondsAtOne * 1_000_000L) 0 else world.random.nextInt(3) }
             repeat(FLOOD_SECONDS) { second ->
                 repeat(FLOOD_A_SECOND) { flood += job("north", "match", 1, 1.0, 300_000).also { world.users.submit(it, null) } }
                 if (second % 5 == 0) others += job("south", "match", 4, 1.0, 2_000_000).also { world.users.submit(it, null) }
@@ -67,11 +68,11 @@
                 "${outcome.others.size}, accepted within ${waits.max() / 1_000} ms, started within ${starts.max() / 1_000} ms",
         )
         assertTrue(outcome.others.all { it.accepted && it.startedMicros > 0 })
-        assertEquals(0, outcome.others.sumOf { it.putOffCount }, "nobody else is put off")
+        assertEquals(0, outcome.others.sumOf { it.deferralCount }, "nobody else is put off")
         assertTrue(starts.max() < MAX_START_MICROS, "started after ${starts.max()} us")
-        assertTrue(outcome.flood.any { it.putOffCount > 0 })
+        assertTrue(outcome.flood.any { it.deferralCount > 0 })
         assertEquals(emptyList<Violation>(), outcome.world.violations)
-        assertEquals(emptyList<String>(), outcome.world.store.tooLarge)
+        assertEquals(emptyList<String>(), outcome.world.store.oversizedTransactions)
     }
 
     @Test
@@ -85,8 +86,8 @@
     fun `other teams are accepted at once when the leader ends and another controller is frozen in the middle of it`() = check(
         play(seed = 53, enabled = true) { world ->
             val leader = leaderOf(world).coerceAtLeast(0)
-            restart(world, leader, 1_000)
-            world.network.freeze((leader + 1) % 3, 3_000_000)
+            restartController(world, leader, 1_000)
+            world.network.pause((leader + 1) % 3, 3_000_000)
         },
     )
 
@@ -94,23 +95,23 @@
     @Test
     fun `without fair admission the whole flood is accepted`() {
         val outcome = play(seed = 51, enabled = false)
-        assertEquals(0, outcome.flood.sumOf { it.putOffCount })
+        assertEquals(0, outcome.flood.sumOf { it.deferralCount })
         assertTrue(outcome.flood.all { it.accepted })
     }
 
     @Test
     fun `two controllers with the same plan never decide differently`() {
         val rulings = ArrayList<Ruling>()
-        val world = simulate(seed = 54, size = 2, features = Features(admission = AdmissionSettings()), objectives = objectives) { world ->
-            world.users.onSubmission = { id, status, plan -> rulings += Ruling(plan.epoch, plan.fencingToken, id, status) }
+        val world = simulate(seed = 54, scale = 2, features = Features(admission = AdmissionSettings()), objectives = objectives) { world ->
+            world.users.onSubmissionUnderPlan = { id, status, plan -> rulings += Ruling(plan.epoch, plan.fencingToken, id, status) }
             delay(15_000)
             repeat(40) { second ->
                 // The first controller sees the flood alone for a while.
-                world.users.entryOf = { if (second < 10) 0 else world.random.nextInt(3) }
+                world.users.chooseController = { if (second < 10) 0 else world.random.nextInt(3) }
                 repeat(FLOOD_A_SECOND) {
                     val job = job("north", "match", 1, 1.0, 300_000)
                     world.users.submit(job, null)
-                    repeat(2) { world.users.submitAgain(job) }
+                    repeat(2) { world.users.resubmit(job) }
                 }
                 delay(1_000)
             }
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -34,7 +34,7 @@
             for (machines in listOf(1, 200, 4_000, 6_000)) {
                 val names = List(machines) { "host-%06d".format(it + 998_000) }
                 val (store, loaded) = loadTwice(names, txnOps)
-                assertEquals(emptyList<String>(), store.tooLarge, "$machines machines, $txnOps changes")
+                assertEquals(emptyList<String>(), store.oversizedTransactions, "$machines machines, $txnOps changes")
                 assertEquals(names.toSet(), loaded.first)
                 assertEquals(names.toSet(), loaded.second, "as the next leader reads them")
             }
@@ -44,11 +44,11 @@
     private suspend fun TestScope.loadTwice(names: List<String>, txnOps: Int): Pair<SimStore, Pair<Set<String>?, Set<String>?>> {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(1))
-        store.txnOps = txnOps
-        store.valueBytes = 16 * 1024
+        store.maxTransactionOperations = txnOps
+        store.maxValueBytes = 16 * 1024
         val client = store.clientOf("mast-0")
         client.commit(emptyList(), listOf(Write.Put(LeaderKeys.LEADER, emptyMap())))
-        val limits = StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = store.valueBytes, txnOps = txnOps)
+        val limits = StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = store.maxValueBytes, txnOps = txnOps)
         val term = testTerm(client, backgroundScope, clock, limits)
         fun fleet() = BaselineFleetStore(term, ListingCloud(names), listLagMicros = 10_000_000)
         return store to (fleet().loadOrCreate() to fleet().loadOrCreate())
--- a/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -1,6 +1,6 @@
 package linemast.duties
 
-import linemast.simulation.SimOrder
+import linemast.simulation.SimCloudAction
 import linemast.simulation.SimWorld
 
 /** What is wrong with an action that the cloud carried out. */
@@ -16,7 +16,7 @@
 }
 
 /** An action with a fault. */
-data class FaultyCloudAction(val order: SimOrder, val fault: CloudActionFault)
+data class FaultyCloudAction(val order: SimCloudAction, val fault: CloudActionFault)
 
 /** Checks each action that the simulated cloud has carried out against the history of the simulated store. */
 class CloudActionHistoryAudit(private val world: SimWorld) {
@@ -25,10 +25,10 @@
     private val decisions = decisions()
 
     /** Actions with a fault. */
-    fun faults(): List<FaultyCloudAction> = world.cloud.orders.mapNotNull { order -> faultOf(order)?.let { FaultyCloudAction(order, it) } }
+    fun faults(): List<FaultyCloudAction> = world.cloud.actions.mapNotNull { order -> faultOf(order)?.let { FaultyCloudAction(order, it) } }
 
     /** Number of actions that were carried out after the term that decided them had ended, which is permitted. */
-    fun lateActions(): Int = world.cloud.orders.count { order ->
+    fun lateActions(): Int = world.cloud.actions.count { order ->
         val decided = decisionsOf(order).firstOrNull { it.revision <= order.revision } ?: return@count false
         leaderAt(order.revision) != decided.intent.id.fencingToken
     }
@@ -43,20 +43,20 @@
     private fun leaderAt(revision: Long): Long? =
         world.store.history.lastOrNull { it.key == "leader" && it.revision <= revision }?.value?.long("helm")
 
-    private fun decisionsOf(order: SimOrder): List<Decision> = decisions.filter { decision ->
+    private fun decisionsOf(order: SimCloudAction): List<Decision> = decisions.filter { decision ->
         when (val action = decision.intent.action) {
-            is CloudAction.ScaleOut -> action.request == order.rental
-            is CloudAction.ScaleIn -> order.returned.any(action.names::contains)
+            is CloudAction.ScaleOut -> action.request == order.scaleOutRequest
+            is CloudAction.ScaleIn -> order.removedMachines.any(action.names::contains)
         }
     }
 
-    private fun faultOf(order: SimOrder): CloudActionFault? {
+    private fun faultOf(order: SimCloudAction): CloudActionFault? {
         val earlier = decisionsOf(order).filter { it.revision <= order.revision }
         val covered = earlier.flatMap { (it.intent.action as? CloudAction.ScaleIn)?.names ?: emptyList() }
         return when {
-            earlier.isEmpty() || !covered.containsAll(order.returned) -> CloudActionFault.NO_INTENT
+            earlier.isEmpty() || !covered.containsAll(order.removedMachines) -> CloudActionFault.NO_INTENT
             earlier.any { it.intent.id.fencingToken != it.leaderToken } -> CloudActionFault.STALE_INTENT
-            order.interrupted.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_TASKS
+            order.interruptedTasks.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_TASKS
             else -> null
         }
     }
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -10,7 +10,7 @@
 import linemast.simulation.SimWorld
 import linemast.simulation.Violation
 import linemast.simulation.leaderOf
-import linemast.simulation.restart
+import linemast.simulation.restartController
 import linemast.simulation.simulate
 import linemast.time.Clock
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -39,8 +39,8 @@
         baselineMachines = 1,
         features = Features(DutySettings().takeIf { enabled }),
         policy = fastScalingPolicy,
-        before = before,
-        script = script,
+        configure = before,
+        scenario = script,
     )
 
     private suspend fun submitContinuously(world: SimWorld) {
@@ -55,11 +55,11 @@
 
     private fun assertOnlyLeadersActed(world: SimWorld, minActions: Int) {
         val audit = CloudActionHistoryAudit(world)
-        val orders = world.cloud.orders
-        println("${orders.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.starts} starts")
-        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.rental ?: order.returned}" })
+        val orders = world.cloud.actions
+        println("${orders.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.startCount} starts")
+        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
         assertTrue(orders.size >= minActions, "only ${orders.size} cloud actions")
-        assertTrue(orders.any { it.rental != null } && orders.any { it.returned.isNotEmpty() })
+        assertTrue(orders.any { it.scaleOutRequest != null } && orders.any { it.removedMachines.isNotEmpty() })
     }
 
     @ParameterizedTest
@@ -69,12 +69,12 @@
         val world = runSimulation(seed) { world ->
             launchLoad(world)
             pauseLeaderBeforeCalls(world)
-            world.cloud.lateOrders = 0.1
-            world.store.lostAnswers = 0.02
+            world.cloud.lateActionProbability = 0.1
+            world.store.lostResponseProbability = 0.02
             repeat(120) {
                 delay(world.random.nextLong(4_000, 20_000))
                 val leader = leaderOf(world)
-                if (leader >= 0) world.network.freeze(leader, world.random.nextLong(500_000, 6_000_000))
+                if (leader >= 0) world.network.pause(leader, world.random.nextLong(500_000, 6_000_000))
                 world.store.valueOf("leader")?.let { terms += it.long("helm") }
             }
         }
@@ -82,13 +82,13 @@
         assertTrue(terms.size > 60, "only ${terms.size} terms")
         assertOnlyLeadersActed(world, minActions = 60)
         assertEquals(emptyList<Violation>(), world.violations)
-        assertEquals(emptyList<String>(), world.store.tooLarge)
+        assertEquals(emptyList<String>(), world.store.oversizedTransactions)
     }
 
     /** Suspends the leader between the commit of its intent and the call, half of the time. */
     private fun pauseLeaderBeforeCalls(world: SimWorld) {
-        world.cloud.onOrder =
-            { node, _ -> if (world.random.nextBoolean()) world.network.freeze(node, world.random.nextLong(500_000, 6_000_000)) }
+        world.cloud.onAction =
+            { node, _ -> if (world.random.nextBoolean()) world.network.pause(node, world.random.nextLong(500_000, 6_000_000)) }
     }
 
     private fun TestScope.launchLoad(world: SimWorld) = backgroundScope.launch { submitContinuously(world) }
@@ -103,11 +103,11 @@
         ) { world ->
             launchLoad(world)
             pauseLeaderBeforeCalls(world)
-            world.cloud.lateOrders = 0.1
+            world.cloud.lateActionProbability = 0.1
             repeat(30) {
                 delay(world.random.nextLong(5_000, 20_000))
                 val leader = leaderOf(world)
-                if (leader >= 0) world.network.freeze(leader, world.random.nextLong(500_000, 5_000_000))
+                if (leader >= 0) world.network.pause(leader, world.random.nextLong(500_000, 5_000_000))
             }
         }
         assertOnlyLeadersActed(world, minActions = 8)
@@ -121,7 +121,7 @@
             before = { world -> world.clockOf = { at -> Clock { world.clock.nowMicros() + jumps[at] } } },
         ) { world ->
             launchLoad(world)
-            world.cloud.lateOrders = 0.1
+            world.cloud.lateActionProbability = 0.1
             repeat(30) {
                 delay(world.random.nextLong(5_000, 20_000))
                 val leader = leaderOf(world)
@@ -136,18 +136,18 @@
     fun `after a partition in which two controllers believe that they lead every action is closed`() {
         val world = runSimulation(seed = 4) { world ->
             launchLoad(world)
-            world.cloud.lateOrders = 0.2
+            world.cloud.lateActionProbability = 0.2
             repeat(25) {
                 delay(world.random.nextLong(6_000, 18_000))
                 val leader = leaderOf(world)
                 if (leader < 0) return@repeat
-                world.store.refused += "mast-$leader"
+                world.store.refusedControllers += "mast-$leader"
                 world.network.partitioned += leader
                 delay(world.random.nextLong(500, 6_000))
-                world.store.refused.clear()
+                world.store.refusedControllers.clear()
                 world.network.partitioned.clear()
             }
-            world.cloud.lateOrders = 0.0
+            world.cloud.lateActionProbability = 0.0
             delay(60_000)
             val overdueBeforeMicros = world.clock.nowMicros() - 30_000_000
             val stillOpen = world.store.keysUnder(IntentCodec.PREFIX).map { IntentCodec.decode(world.store.valueOf(it)!!) }
@@ -168,13 +168,13 @@
             val id = "req-61%04d".format(++number)
             world.users.submit(SimJob(id, team, 8, 2.0, false, false, false, true, runMicros), null)
         }
-        world.cloud.lostAnswers = 0.0
-        world.cloud.lateMillis = 14_000L..18_000L
+        world.cloud.lostResponseProbability = 0.0
+        world.cloud.lateActionDelayMillis = 14_000L..18_000L
         var scaleIns = 0
-        world.cloud.onOrder = { node, isReturn ->
-            world.cloud.lateOrders = if (isReturn) 1.0 else 0.0
-            if (isReturn && scaleIns++ % SCALE_INS_PER_ROUND == 0) {
-                backgroundScope.launch { restart(world, node, 20_000) }
+        world.cloud.onAction = { node, isScaleIn ->
+            world.cloud.lateActionProbability = if (isScaleIn) 1.0 else 0.0
+            if (isScaleIn && scaleIns++ % SCALE_INS_PER_ROUND == 0) {
+                backgroundScope.launch { restartController(world, node, 20_000) }
                 submit(runMicros = 15_000_000)
             }
         }
@@ -184,7 +184,7 @@
         }
     }
 
-    private fun interruptingScaleIns(world: SimWorld) = world.cloud.orders.count { it.interrupted.isNotEmpty() }
+    private fun interruptingScaleIns(world: SimWorld) = world.cloud.actions.count { it.interruptedTasks.isNotEmpty() }
 
     @Test
     fun `a machine whose scale-in is in flight gets no tasks from the next leader`() {
--- a/src/test/kotlin/linemast/duties/IntentWriterTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentWriterTest.kt
@@ -58,8 +58,8 @@
     fun `each intent is stored exactly once when answers get lost and transactions are repeated`(seed: Int) = runTest {
         val store = SimStore(backgroundScope, clock(), Random(seed))
         val writer = runningWriter(store).writer
-        store.lostAnswers = 0.3
-        store.repeats = 0.3
+        store.lostResponseProbability = 0.3
+        store.delayedDuplicateProbability = 0.3
         val opened = List(24) { number -> async { writer.open(scaleInOf(number)) } }.awaitAll()
         assertEquals(24, opened.map { it.slot }.toSet().size)
         assertEquals(24, opened.map { it.intent.id }.toSet().size)
@@ -75,11 +75,11 @@
     fun `a replaced leader writes nothing more, however late its transactions are executed`(seed: Int) = runTest {
         val store = SimStore(backgroundScope, clock(), Random(seed))
         val (writer, leaderLease) = runningWriter(store)
-        store.lostAnswers = 0.7
+        store.lostResponseProbability = 0.7
         val pendingOpens =
             List(6) { number -> CoroutineScope(backgroundScope.coroutineContext).async { runCatching { writer.open(scaleInOf(number)) } } }
         delay(3_000)
-        store.lostAnswers = 0.0
+        store.lostResponseProbability = 0.0
         val nextLease = becomeLeader(store.clientOf("mast-2"), 2)
         val successor = writer(store.clientOf("mast-2"), nextLease)
         successor.load()
--- a/src/test/kotlin/linemast/loopback/AdmissionLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/AdmissionLoopbackTest.kt
@@ -20,7 +20,7 @@
 
     private fun job(team: String, jobClass: String, tasks: Int, runMicros: Long) = SimJob(
         "req-%06d".format(++numbers), team, tasks, 1.0, false, false, false, true, runMicros,
-        jobClass = jobClass, patienceMicros = PATIENCE_MICROS,
+        jobClass = jobClass, submitTimeoutMicros = PATIENCE_MICROS,
     )
 
     private class Outcome(val others: List<SimJob>, val flood: List<SimJob>, val decisions: Int, val differing: Int)
@@ -43,16 +43,17 @@
         val answers = HashMap<String, ArrayList<Answer>>()
         cluster.runScenario {
             val world = cluster.world
-            world.users.onAnswer = { id, status -> answers.getOrPut(id) { ArrayList() } += Answer(world.clock.nowMicros(), status) }
+            world.users.onSubmissionResponse =
+                { id, status -> answers.getOrPut(id) { ArrayList() } += Answer(world.clock.nowMicros(), status) }
             val first = job("south", "match", 1, 100_000)
             world.users.submit(first, null)
             assertTrue(cluster.await(STARTUP_MILLIS) { first.accepted }, "no controller has accepted anything")
             val began = world.clock.nowMicros()
             // One controller sees the surge before the others.
-            world.users.entryOf = { if (world.clock.nowMicros() - began < ALONE_MICROS) 0 else world.random.nextInt(3) }
+            world.users.chooseController = { if (world.clock.nowMicros() - began < ALONE_MICROS) 0 else world.random.nextInt(3) }
             repeat(FLOOD_SECONDS) { second ->
                 repeat(floodPerSecond) { flood += job("north", "match", 1, 300_000).also { world.users.submit(it, null) } }
-                flood.takeLast(CHECKED_A_SECOND).forEach { job -> repeat(2) { world.users.submitAgain(job) } }
+                flood.takeLast(CHECKED_A_SECOND).forEach { job -> repeat(2) { world.users.resubmit(job) } }
                 if (second % 2 == 0) others += job("south", "match", 2, 1_000_000).also { world.users.submit(it, null) }
                 if (second % 4 == 0) others += job("south", "pull", 4, 2_000_000).also { world.users.submit(it, null) }
                 if (second % 5 == 0) others += job("north", "pull", 4, 2_000_000).also { world.users.submit(it, null) }
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -42,8 +42,8 @@
         cluster.runScenario {
             val world = cluster.world
             launch { submitForEver(world) }
-            assertTrue(cluster.await(20_000) { world.starts > 0 }, "nothing was started")
-            world.cloud.lateOrders = 0.05
+            assertTrue(cluster.await(20_000) { world.startCount > 0 }, "nothing was started")
+            world.cloud.lateActionProbability = 0.05
 
             fun freezeFor(at: Int, millis: Long) {
                 frozen++
@@ -71,14 +71,15 @@
         }
         val world = cluster.world
         val audit = CloudActionHistoryAudit(world)
-        val orders = world.cloud.orders
+        val orders = world.cloud.actions
         println(
             "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${orders.size} orders " +
-                "(${orders.count { it.rental != null }} rentals, ${orders.count { it.returned.isNotEmpty() }} returns), " +
+                "(${orders.count { it.scaleOutRequest != null }} rentals, ${orders.count { it.removedMachines.isNotEmpty() }} returns), " +
                 "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
-                "${world.starts} starts, ${world.jobs.values.count { it.acknowledgedStatus == "done" }} of ${world.jobs.size} jobs done",
+                "${world.startCount} starts, " +
+                "${world.jobs.values.count { it.acknowledgedStatus == "done" }} of ${world.jobs.size} jobs done",
         )
-        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.rental ?: order.returned}" })
+        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
         assertEquals(emptyList<Violation>(), world.violations)
         assertTrue(orders.size >= frozen / 4, "only ${orders.size} orders")
     }
--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -7,7 +7,7 @@
 import linemast.domain.MachineType
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
-import linemast.simulation.CONTROLLERS
+import linemast.simulation.CONTROLLER_COUNT
 import linemast.simulation.SimWorld
 import linemast.time.SteadyClock
 import linemast.transport.Address
@@ -33,7 +33,7 @@
     val changesPerSecond: Double = 1_000.0,
     val objectives: String = "",
     /** The program that each controller runs. */
-    val programs: List<Path> = List(CONTROLLERS) { Path.of("target", "linemast.jar") },
+    val programs: List<Path> = List(CONTROLLER_COUNT) { Path.of("target", "linemast.jar") },
 )
 
 /** Three controllers as processes of their own, with stand-ins of everything else in this one, on loopback and in real time. */
@@ -41,8 +41,8 @@
     private class Ports(val serve: Address, val peers: Address, val store: Address, val cloud: Address)
 
     private val directory: Path = Files.createTempDirectory("loopback")
-    private val ports = List(CONTROLLERS) { Ports(freeAddress(), freeAddress(), freeAddress(), freeAddress()) }
-    private val processes = arrayOfNulls<Process>(CONTROLLERS)
+    private val ports = List(CONTROLLER_COUNT) { Ports(freeAddress(), freeAddress(), freeAddress(), freeAddress()) }
+    private val processes = arrayOfNulls<Process>(CONTROLLER_COUNT)
     lateinit var world: SimWorld
         private set
 
@@ -62,8 +62,8 @@
                     maxMachines = options.maxMachines,
                 )
                 connect(loop)
-                repeat(CONTROLLERS) { start(it) }
-                world.begin()
+                repeat(CONTROLLER_COUNT) { start(it) }
+                world.start()
                 script(this@LoopbackCluster)
                 coroutineContext.cancelChildren()
             }
--- a/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
@@ -1,7 +1,7 @@
 package linemast.loopback
 
 import kotlinx.coroutines.delay
-import linemast.simulation.CONTROLLERS
+import linemast.simulation.CONTROLLER_COUNT
 import linemast.simulation.SimJob
 import linemast.simulation.Violation
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -45,23 +45,26 @@
                 null,
             )
             fun live() = world.workers.values.flatMap { it.tasks.values }.filter { it.status != "ended" }
-            assertTrue(cluster.await(STARTUP_MILLIS) { live().size + world.completed.size == tasks + tasks / 4 }, "not all is under way")
-            repeat(CONTROLLERS) { cluster.kill(it) }
+            assertTrue(
+                cluster.await(STARTUP_MILLIS) { live().size + world.completedTasks.size == tasks + tasks / 4 },
+                "not all is under way",
+            )
+            repeat(CONTROLLER_COUNT) { cluster.kill(it) }
             val silent = world.workers.values.filter { it.tasks.isNotEmpty() }.take(machines / 25)
             lost = silent.flatMapTo(HashSet()) { machine -> machine.tasks.values.map { "${it.job}/${it.index}" } }
-            silent.forEach { it.mute = true }
+            silent.forEach { it.isPartitioned = true }
             val others = world.workers.values.filter { it !in silent }.take(machines / 50)
             unregistered = others.mapIndexedTo(HashSet()) { at, machine ->
                 val job = SimJob("req-99%04d".format(at), "north", 1, 0.0, false, false, false, false, 300_000_000)
                 world.jobs[job.id] = job
-                machine.inject(job)
+                machine.startUnrecordedTask(job)
                 "${job.id}/0"
             }
             adopted = live().size - lost.size - unregistered.size
-            world.onLeaseEnd = { forgotten -> lost = lost + forgotten }
+            world.onLeaseExpiry = { forgotten -> lost = lost + forgotten }
             world.onCommand = { _, verb, task -> orders += verb to task.substringBefore('#') }
             delay(OUTAGE_MILLIS)
-            repeat(CONTROLLERS) { cluster.start(it) }
+            repeat(CONTROLLER_COUNT) { cluster.start(it) }
             cluster.await(END_MILLIS) { world.jobs.values.all { !it.accepted || it.acknowledgedStatus == "done" } }
         }
         val byVerb = orders.groupBy({ it.first }, { it.second })
@@ -82,7 +85,7 @@
     }
 
     private companion object {
-        const val CONTROLLERS = 3
+        const val CONTROLLER_COUNT = 3
         const val RUN_MICROS = 30_000_000L
         const val OUTAGE_MILLIS = 2_000L
         const val STARTUP_MILLIS = 60_000L
--- a/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.duties.CloudActionHistoryAudit
-import linemast.simulation.CONTROLLERS
+import linemast.simulation.CONTROLLER_COUNT
 import linemast.simulation.SimJob
 import linemast.simulation.SimWorld
 import linemast.simulation.Violation
@@ -32,7 +32,7 @@
     @ValueSource(ints = [1, 2])
     fun `no job is lost and no rule is violated while both builds lead in turn`(previousCount: Int) {
         assumeTrue(Files.exists(previousJar), "linemast.previous.jar names no file")
-        val programs = List(CONTROLLERS) { if (it < previousCount) previousJar else Path.of("target", "linemast.jar") }
+        val programs = List(CONTROLLER_COUNT) { if (it < previousCount) previousJar else Path.of("target", "linemast.jar") }
         val options = LoopbackOptions(
             seed = SEED + previousCount,
             arguments = listOf("--duties", "deploy/duties.toml"),
@@ -46,7 +46,7 @@
             val world = cluster.world
             countAcceptances(world, previousCount)
             val submissions = launch { submitJobs(world) }
-            assertTrue(cluster.await(20_000) { world.starts > 0 }, "no task was started")
+            assertTrue(cluster.await(20_000) { world.startCount > 0 }, "no task was started")
             killLeaders(cluster, previousCount)
             submissions.join()
             assertTrue(cluster.await(120_000) { world.jobs.values.all { it.acknowledgedStatus != null } }, "jobs that have not ended")
@@ -54,7 +54,7 @@
         report(cluster.world, previousCount)
         assertEquals(emptyList<Violation>(), cluster.world.violations)
         val faults = CloudActionHistoryAudit(cluster.world).faults()
-        assertEquals(emptyList<Any>(), faults.map { (order, fault) -> "$fault: ${order.rental ?: order.returned}" })
+        assertEquals(emptyList<Any>(), faults.map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
         assertEquals(setOf(true, false), accepted.keys, "controllers of both builds have accepted jobs")
         assertTrue(failovers.keys.containsAll(setOf(PREVIOUS_TO_NEW, NEW_TO_PREVIOUS)), "leadership has not passed both ways: $failovers")
     }
@@ -62,8 +62,8 @@
     /** Counts accepted submissions by whether the controller that a user asked last runs the previous build. */
     private fun countAcceptances(world: SimWorld, previousCount: Int) {
         val entry = HashMap<String, Int>()
-        world.users.entryOf = { job -> world.random.nextInt(CONTROLLERS).also { entry[job.id] = it } }
-        world.users.onAnswer = { id, status ->
+        world.users.chooseController = { job -> world.random.nextInt(CONTROLLER_COUNT).also { entry[job.id] = it } }
+        world.users.onSubmissionResponse = { id, status ->
             if (status == 201) accepted.merge(entry.getValue(id) < previousCount, 1, Int::plus)
         }
     }
@@ -102,9 +102,9 @@
     private fun report(world: SimWorld, previousCount: Int) {
         val ends = world.jobs.values.groupingBy { it.acknowledgedStatus }.eachCount()
         println(
-            "$previousCount of $CONTROLLERS controllers of the previous build: " +
+            "$previousCount of $CONTROLLER_COUNT controllers of the previous build: " +
                 "accepted by previous/new ${accepted[true]}/${accepted[false]}, failovers $failovers, jobs by end $ends, " +
-                "${world.starts} starts, ${world.cloud.orders.size} cloud actions, violations ${world.violations}",
+                "${world.startCount} starts, ${world.cloud.actions.size} cloud actions, violations ${world.violations}",
         )
     }
 
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -45,33 +45,33 @@
         var jobWithoutOpenRecord: SimJob? = null
         var completedBefore = 0
         val features = Features(recovery = RecoverySettings(ordersPerSecond).takeIf { enabled })
-        val world = simulate(seed, size = 50, baselineMachines = 300, features = features) { world ->
+        val world = simulate(seed, scale = 50, baselineMachines = 300, features = features) { world ->
             repeat(4) { world.users.submit(array(it + 1, runMicros = 35_000_000), null) }
             repeat(10) { world.users.submit(gang(it + 100), null) }
             delay(28_000)
             val expected = 4 * TASKS + 10 * 2
-            assertEquals(expected, liveTasks(world.workers.values).size + world.completed.size, "all tasks run or have ended")
-            repeat(3) { world.killNode(it) }
+            assertEquals(expected, liveTasks(world.workers.values).size + world.completedTasks.size, "all tasks run or have ended")
+            repeat(3) { world.killController(it) }
             val withoutGangs = world.workers.values.filter { machine -> machine.tasks.values.none { world.jobs.getValue(it.job).gang } }
             val failing = withoutGangs.filter { it.tasks.isNotEmpty() }.take(12)
             lost = liveTasks(failing)
-            failing.take(6).forEach { it.mute = true }
+            failing.take(6).forEach { it.isPartitioned = true }
             failing.drop(6).forEach { world.removeMachine(it.name) }
             val idle = withoutGangs.filter { it.tasks.isEmpty() && it.name in world.workers }.take(8)
             unrecordedTasks = idle.mapIndexedTo(HashSet()) { at, machine ->
                 val job = SimJob("req-99000$at", "north", 1, 1.0, false, false, false, true, 300_000_000)
                 world.jobs[job.id] = job
-                machine.inject(job)
+                machine.startUnrecordedTask(job)
                 "${job.id}/0"
             }
-            if (losesRecord) jobWithoutOpenRecord = world.jobs.getValue("req-000002").also { world.store.lose("o/${it.id}") }
+            if (losesRecord) jobWithoutOpenRecord = world.jobs.getValue("req-000002").also { world.store.deleteSilently("o/${it.id}") }
             val outageBeganMicros = world.clock.nowMicros()
-            world.onLeaseEnd = { tasks -> lost = lost + tasks }
+            world.onLeaseExpiry = { tasks -> lost = lost + tasks }
             world.onCommand =
                 { _, verb, task -> commands += Command((world.clock.nowMicros() - outageBeganMicros) / 1_000_000, verb, task) }
-            completedBefore = world.completed.size
+            completedBefore = world.completedTasks.size
             delay(outageMillis)
-            repeat(3) { world.startNode(it) }
+            repeat(3) { world.startController(it) }
             delay(100_000)
         }
         return Outcome(world, commands, lost, unrecordedTasks, jobWithoutOpenRecord, completedBefore)
--- a/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
@@ -19,24 +19,24 @@
     fun `tasks end in time if the leader cannot know that their jobs were cancelled`(seed: Int) {
         println("seed $seed")
         val world = simulate(seed) { world ->
-            val jobs = List(3) { array("req-90000$it", runMicros = 200_000_000) }
+            val jobs = List(3) { arrayJob("req-90000$it", runMicros = 200_000_000) }
             jobs.forEach { world.users.submit(it, null) }
             delay(20_000)
-            assertTrue(world.starts > 0)
+            assertTrue(world.startCount > 0)
             val leader = "mast-${leaderOf(world)}"
-            if (seed % 3 != 0) world.store.refused += leader
-            if (seed % 3 != 1) world.store.watchesHang += leader
+            if (seed % 3 != 0) world.store.refusedControllers += leader
+            if (seed % 3 != 1) world.store.controllersWithHangingWatches += leader
             if (seed % 3 == 2) {
                 delay(100)
-                world.store.refused -= leader
+                world.store.refusedControllers -= leader
             }
             jobs.forEach { world.users.cancel(it, world.random.nextLong(1_000)) }
             delay(1_500 + world.random.nextLong(12_000))
             world.store.startOutage()
             delay(50_000)
             world.store.endOutage()
-            world.store.refused.clear()
-            world.store.watchesHang.clear()
+            world.store.refusedControllers.clear()
+            world.store.controllersWithHangingWatches.clear()
             delay(30_000)
             assertEquals(jobs.map { "withdrawn" }, jobs.map { it.acknowledgedStatus })
         }
@@ -47,31 +47,31 @@
     @ValueSource(ints = [41, 42])
     fun `jobs end if they are cancelled, asked for and submitted again when their last task ends`(seed: Int) =
         runFaultCombination(seed) { world ->
-            world.users.cancelledAtEnd = 0.8
-            world.store.lostAnswers = if (seed % 2 == 0) 0.1 else 0.0
+            world.users.cancelAtCompletionProbability = 0.8
+            world.store.lostResponseProbability = if (seed % 2 == 0) 0.1 else 0.0
             repeat(25) { number ->
-                world.users.submit(array("req-91%04d".format(number), runMicros = 2_000_000, taskCount = 1 + number % 3), null)
+                world.users.submit(arrayJob("req-91%04d".format(number), runMicros = 2_000_000, taskCount = 1 + number % 3), null)
                 launch { repeat(4) { world.users.sendUnusualRequests() } }
                 delay(1_000)
             }
-            world.store.lostAnswers = 0.0
+            world.store.lostResponseProbability = 0.0
         }
 
     @ParameterizedTest
     @ValueSource(ints = [47, 48, 49])
     fun `a team stays within its limit if the leader changes, machines are silent and a job is cancelled`(seed: Int) =
         runFaultCombination(seed) { world ->
-            val first = array("req-930000", runMicros = 60_000_000, taskCount = 24)
+            val first = arrayJob("req-930000", runMicros = 60_000_000, taskCount = 24)
             world.users.submit(first, null)
             delay(12_000)
             val silent = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
-            silent.forEach { if (seed % 2 == 0) it.mute = true else it.hungUntilMicros = world.clock.nowMicros() + 20_000_000 }
-            world.users.submit(array("req-930001", runMicros = 5_000_000, taskCount = 24), null)
-            launch { restart(world, leaderOf(world), 1_000) }
+            silent.forEach { if (seed % 2 == 0) it.isPartitioned = true else it.pausedUntilMicros = world.clock.nowMicros() + 20_000_000 }
+            world.users.submit(arrayJob("req-930001", runMicros = 5_000_000, taskCount = 24), null)
+            launch { restartController(world, leaderOf(world), 1_000) }
             delay(world.random.nextLong(6_000))
             world.users.cancel(first, 0)
             delay(25_000)
-            silent.forEach { it.mute = false }
+            silent.forEach { it.isPartitioned = false }
         }
 
     @ParameterizedTest
@@ -84,12 +84,12 @@
             delay(5_000)
             world.jobs.values.take(3).forEach { world.users.cancel(it, world.random.nextLong(4_000)) }
             launch { repeat(5) { world.users.sendUnusualRequests() } }
-            world.store.refused += "mast-${leaderOf(world)}"
+            world.store.refusedControllers += "mast-${leaderOf(world)}"
             delay(world.random.nextLong(5_000))
             world.store.startOutage()
             delay(35_000)
             world.store.endOutage()
-            world.store.refused.clear()
+            world.store.refusedControllers.clear()
             world.store.maxLatencyMillis = 12
         }
 
@@ -100,11 +100,11 @@
             submitMixedJobs(world, runMicros = 50_000_000)
             delay(10_000)
             val leader = leaderOf(world)
-            world.store.refused += "mast-$leader"
+            world.store.refusedControllers += "mast-$leader"
             world.network.partitioned += leader
             world.jobs.values.take(2).forEach { world.users.cancel(it, world.random.nextLong(10_000)) }
             delay(35_000)
-            world.store.refused -= "mast-$leader"
+            world.store.refusedControllers -= "mast-$leader"
             world.network.partitioned -= leader
         }
 
@@ -114,9 +114,9 @@
         submitMixedJobs(world, runMicros = 50_000_000)
         delay(10_000)
         val mute = world.workers.values.shuffled(world.random).take(if (seed % 2 == 0) 3 else world.workers.size)
-        mute.forEach { it.mute = true }
+        mute.forEach { it.isPartitioned = true }
         world.jobs.values.take(2).forEach { world.users.cancel(it, world.random.nextLong(3_000)) }
         delay(40_000)
-        mute.forEach { it.mute = false }
+        mute.forEach { it.isPartitioned = false }
     }
 }
--- a/src/test/kotlin/linemast/simulation/FaultCombinationScenario.kt
+++ b/src/test/kotlin/linemast/simulation/FaultCombinationScenario.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 
-private const val CALM_MILLIS = 200_000L
+private const val FAULT_FREE_MILLIS = 200_000L
 
 /** Arrays and gangs of both teams, more than the standing machines run at once. */
 internal suspend fun submitMixedJobs(world: SimWorld, runMicros: Long) = repeat(6) { number ->
@@ -22,15 +22,15 @@
 internal fun runFaultCombination(seed: Int, faults: suspend TestScope.(SimWorld) -> Unit) {
     val world = simulate(seed) { world ->
         faults(world)
-        world.checks.calmSinceMicros = world.clock.nowMicros()
-        delay(CALM_MILLIS)
+        world.checks.faultFreeSinceMicros = world.clock.nowMicros()
+        delay(FAULT_FREE_MILLIS)
     }
-    println("seed $seed: ${world.starts} starts, ${world.completed.size} tasks done, ${world.jobs.size} jobs")
+    println("seed $seed: ${world.startCount} starts, ${world.completedTasks.size} tasks done, ${world.jobs.size} jobs")
     assertEquals(emptyList<Violation>(), world.violations)
     assertEquals(emptyList<String>(), world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }, "without an end")
-    assertTrue(world.completed.isNotEmpty())
+    assertTrue(world.completedTasks.isNotEmpty())
 }
 
 /** An array of single-cpu tasks that may run anywhere. */
-internal fun array(id: String, runMicros: Long, taskCount: Int = 6, team: String = "north") =
+internal fun arrayJob(id: String, runMicros: Long, taskCount: Int = 6, team: String = "north") =
     SimJob(id, team, taskCount, 1.0, gang = false, sameZone = false, spread = false, spot = true, runMicros)
--- a/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
@@ -14,12 +14,12 @@
     fun `jobs end if all controllers are down for longer than a lease`(seed: Int) = runFaultCombination(seed) { world ->
         submitMixedJobs(world, runMicros = 30_000_000)
         delay(10_000)
-        repeat(3) { world.killNode(it) }
+        repeat(3) { world.killController(it) }
         delay(if (seed % 2 == 0) 9_000 else 25_000)
         world.jobs.values.take(2).forEach { world.users.cancel(it, 0) }
         repeat(3) {
             delay(world.random.nextLong(700))
-            world.startNode(it)
+            world.startController(it)
         }
         delay(10_000)
     }
@@ -53,8 +53,8 @@
             delay(8_000)
             val used = world.workers.values.filter { it.tasks.isNotEmpty() }.shuffled(world.random)
             used.take(1).forEach { world.removeMachine(it.name) }
-            used.drop(1).take(2).forEach { it.hungUntilMicros = world.clock.nowMicros() + world.random.nextLong(12_000_000) }
-            if (it == 2) launch { restart(world, leaderOf(world).coerceAtLeast(0), 300) }
+            used.drop(1).take(2).forEach { it.pausedUntilMicros = world.clock.nowMicros() + world.random.nextLong(12_000_000) }
+            if (it == 2) launch { restartController(world, leaderOf(world).coerceAtLeast(0), 300) }
         }
     }
 
@@ -65,12 +65,12 @@
             submitMixedJobs(world, runMicros = 25_000_000)
             delay(12_000)
             world.network.partitionedZone = "a"
-            world.store.refused += "mast-0"
+            world.store.refusedControllers += "mast-0"
             world.network.partitioned += 0
             world.jobs.values.take(2).forEach { world.users.cancel(it, world.random.nextLong(8_000)) }
             delay(10_000 + world.random.nextLong(25_000))
             world.network.partitionedZone = null
-            world.store.refused -= "mast-0"
+            world.store.refusedControllers -= "mast-0"
             world.network.partitioned -= 0
         }
 
@@ -84,7 +84,7 @@
                 if (change == 4) world.store.startOutage()
                 if (change == 6) world.store.endOutage()
                 val leader = leaderOf(world).coerceAtLeast(0)
-                launch { restart(world, leader, if (seed % 2 == 0) 200 else 3_000) }
+                launch { restartController(world, leader, if (seed % 2 == 0) 200 else 3_000) }
                 if (change == 5) world.users.cancel(world.jobs.values.last(), 0)
             }
         }
@@ -95,14 +95,14 @@
         submitMixedJobs(world, runMicros = 45_000_000)
         delay(10_000)
         val lost = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
-        lost.forEach { if (seed % 2 == 0) it.deaf = true else it.mute = true }
+        lost.forEach { if (seed % 2 == 0) it.losesResponses = true else it.isPartitioned = true }
         delay(world.random.nextLong(3_000))
-        launch { restart(world, leaderOf(world), 500) }
+        launch { restartController(world, leaderOf(world), 500) }
         world.jobs.values.take(1).forEach { world.users.cancel(it, 3_000) }
         delay(5_000 + world.random.nextLong(30_000))
         lost.forEach {
-            it.deaf = false
-            it.mute = false
+            it.losesResponses = false
+            it.isPartitioned = false
         }
     }
 
@@ -112,9 +112,9 @@
         submitMixedJobs(world, runMicros = 10_000_000)
         repeat(6) {
             delay(4_000)
-            world.network.freeze(world.random.nextInt(3), world.random.nextLong(1_000_000, 9_000_000))
+            world.network.pause(world.random.nextInt(3), world.random.nextLong(1_000_000, 9_000_000))
             world.workers.values.shuffled(world.random).take(2).forEach {
-                it.hungUntilMicros =
+                it.pausedUntilMicros =
                     world.clock.nowMicros() + world.random.nextLong(7_500_000)
             }
             if (it == 3) world.users.cancel(world.jobs.values.first(), 0)
@@ -124,14 +124,14 @@
     @ParameterizedTest
     @ValueSource(ints = [68, 69, 70])
     fun `jobs end if transactions without an answer are applied late, after newer ones`(seed: Int) = runFaultCombination(seed) { world ->
-        world.store.lostAnswers = 0.35
+        world.store.lostResponseProbability = 0.35
         repeat(10) { number ->
-            val job = array("req-95%04d".format(number), runMicros = 4_000_000, taskCount = 3)
+            val job = arrayJob("req-95%04d".format(number), runMicros = 4_000_000, taskCount = 3)
             world.users.submit(job, if (number % 3 == 0) world.random.nextLong(9_000) else null)
             delay(4_000)
-            if (number == 5) launch { restart(world, leaderOf(world).coerceAtLeast(0), 200) }
+            if (number == 5) launch { restartController(world, leaderOf(world).coerceAtLeast(0), 200) }
         }
-        world.store.lostAnswers = 0.0
+        world.store.lostResponseProbability = 0.0
         delay(30_000)
     }
 
@@ -141,26 +141,26 @@
         submitMixedJobs(world, runMicros = 15_000_000)
         repeat(4) {
             delay(6_000)
-            repeat(3) { at -> world.killNode(at) }
+            repeat(3) { controller -> world.killController(controller) }
             delay(world.random.nextLong(50, 900))
-            world.startNode(world.random.nextInt(3))
+            world.startController(world.random.nextInt(3))
             delay(world.random.nextLong(4_000))
-            repeat(3) { at -> world.startNode(at) }
+            repeat(3) { controller -> world.startController(controller) }
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = [74, 75, 76])
     fun `jobs end if heartbeats are delayed until a new leader has acted`(seed: Int) = runFaultCombination(seed) { world ->
-        world.network.lateCopies = 0.5
+        world.network.delayedDuplicateProbability = 0.5
         submitMixedJobs(world, runMicros = 12_000_000)
         repeat(4) {
             delay(7_000)
             world.workers.values.shuffled(world.random).first().reboot()
-            launch { restart(world, leaderOf(world).coerceAtLeast(0), 100) }
+            launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
         }
         delay(10_000)
-        world.network.lateCopies = 0.0
+        world.network.delayedDuplicateProbability = 0.0
         delay(30_000)
     }
 
@@ -179,7 +179,7 @@
         }
         repeat(3) {
             delay(9_000)
-            launch { restart(world, leaderOf(world).coerceAtLeast(0), 400) }
+            launch { restartController(world, leaderOf(world).coerceAtLeast(0), 400) }
             if (seed % 2 ==
                 0
             ) {
@@ -192,10 +192,10 @@
     @Test
     fun `a job that is left waiting is reported as a violation`() {
         val world = simulate(seed = 82) { world ->
-            world.users.submit(array("req-970000", runMicros = 30_000_000), null)
+            world.users.submit(arrayJob("req-970000", runMicros = 30_000_000), null)
             delay(10_000)
-            world.checks.calmSinceMicros = world.clock.nowMicros()
-            repeat(3) { world.killNode(it) }
+            world.checks.faultFreeSinceMicros = world.clock.nowMicros()
+            repeat(3) { world.killController(it) }
             delay(120_000)
         }
         assertTrue(world.violations.any { it.invariant == Invariant.NO_STARVATION }, "not noticed: ${world.violations}")
--- a/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
@@ -33,18 +33,18 @@
         assertEquals(
             emptyList<Any>(),
             CloudActionHistoryAudit(world).faults().map { (order, fault) ->
-                "$fault: ${order.rental ?: order.returned}"
+                "$fault: ${order.scaleOutRequest ?: order.removedMachines}"
             },
         )
     }
 
     private fun assertAllWell(world: SimWorld, seed: Int) {
-        println("seed $seed: ${world.starts} starts, ${world.completed.size} tasks done, ${world.jobs.size} jobs")
+        println("seed $seed: ${world.startCount} starts, ${world.completedTasks.size} tasks done, ${world.jobs.size} jobs")
         assertEquals(emptyList<Violation>(), world.violations)
-        assertEquals(emptyList<String>(), world.store.tooLarge)
+        assertEquals(emptyList<String>(), world.store.oversizedTransactions)
         val open = world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }
         assertEquals(emptyList<String>(), open)
-        assertTrue(world.completed.isNotEmpty())
+        assertTrue(world.completedTasks.isNotEmpty())
     }
 
     /** Controllers that believe leases to be far shorter than they are must be caught, or the checks are blind. */
@@ -77,10 +77,10 @@
                 delay(14_000)
                 world.store.endOutage()
             }
-            delay(CALM_MILLIS)
+            delay(FAULT_FREE_MILLIS)
         }
         assertEquals(emptyList<Violation>(), world.violations)
-        assertEquals(48, world.completed.size)
+        assertEquals(48, world.completedTasks.size)
     }
 
     /** Its workers go on reporting to it; held in degraded mode they would be lost to the new leader for that long. */
@@ -90,16 +90,16 @@
             world.users.submit(SimJob("req-900001", "north", 12, 1.0, false, false, false, true, 30_000_000), null)
             delay(15_000)
             val leader = leaderOf(world)
-            world.store.refused += "mast-$leader"
+            world.store.refusedControllers += "mast-$leader"
             world.network.partitioned += leader
             delay(15_000)
             assertEquals(setOf(2L), world.workers.values.map { it.fencingToken }.toSet(), "all workers are with the new leader")
             assertTrue(leaderOf(world) != leader)
-            delay(CALM_MILLIS)
+            delay(FAULT_FREE_MILLIS)
         }
         assertEquals(emptyList<Violation>(), world.violations)
-        assertEquals(12, world.completed.size)
-        assertEquals(12, world.starts, "no task was lost on the way")
+        assertEquals(12, world.completedTasks.size)
+        assertEquals(12, world.startCount, "no task was lost on the way")
     }
 
     @Test
@@ -112,7 +112,7 @@
             assertTrue(leaderOf(world) != leader, "mast-$leader still leads")
             world.users.submit(SimJob("req-900001", "north", 12, 1.0, false, false, false, true, 5_000_000), null)
             delay(30_000)
-            assertEquals(12, world.completed.size)
+            assertEquals(12, world.completedTasks.size)
         }
         assertEquals(emptyList<Violation>(), world.violations)
     }
@@ -121,9 +121,9 @@
     @Test
     fun `rules hold on a fleet of hundreds of machines`() {
         val seed = 31
-        val world = simulate(seed, size = 50) { world ->
-            world.network.lateCopies = 0.05
-            world.store.repeats = 0.05
+        val world = simulate(seed, scale = 50) { world ->
+            world.network.delayedDuplicateProbability = 0.05
+            world.store.delayedDuplicateProbability = 0.05
             repeat(16) { number ->
                 val gang = number % 2 == 0
                 val team = if (number % 4 < 2) "north" else "south"
@@ -133,24 +133,26 @@
                 delay(1_000)
             }
             delay(5_000)
-            repeat(3) { at -> backgroundScope.launch { restart(world, at, 100L + 900 * at) } }
+            repeat(3) { controller -> backgroundScope.launch { restartController(world, controller, 100L + 900 * controller) } }
             delay(10_000)
             world.workers.keys.shuffled(world.random).take(40).forEach(world::removeMachine)
             world.workers.values.shuffled(world.random).take(40).forEachIndexed { at, machine ->
-                machine.hungUntilMicros = world.clock.nowMicros() + if (at % 2 == 0) 4_000_000 else 14_000_000
+                machine.pausedUntilMicros = world.clock.nowMicros() + if (at % 2 == 0) 4_000_000 else 14_000_000
             }
             delay(10_000)
             world.workers.values.shuffled(world.random).take(20).forEach { it.reboot() }
-            world.network.freeze(leaderOf(world).coerceAtLeast(0), 6_000_000)
+            world.network.pause(leaderOf(world).coerceAtLeast(0), 6_000_000)
             delay(12_000)
             world.store.startOutage()
             delay(3_000)
-            restart(world, leaderOf(world).coerceAtLeast(0), 200)
+            restartController(world, leaderOf(world).coerceAtLeast(0), 200)
             delay(7_000)
             world.store.endOutage()
             delay(120_000)
         }
-        println("seed $seed: ${world.starts} starts, ${world.completed.size} tasks done, ${world.workers.size} machines at the end")
+        println(
+            "seed $seed: ${world.startCount} starts, ${world.completedTasks.size} tasks done, ${world.workers.size} machines at the end",
+        )
         assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(emptyList<String>(), world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id })
         assertEquals(16, world.jobs.values.count { it.accepted })
@@ -162,7 +164,7 @@
     private suspend fun TestScope.runUnderFaults(world: SimWorld) {
         backgroundScope.launch { submitGeneratedJobs(world) }
         injectGeneratedFaults(world)
-        delay(CALM_MILLIS)
+        delay(FAULT_FREE_MILLIS)
     }
 
     companion object {
@@ -179,6 +181,6 @@
             return IntStream.rangeClosed(first, last)
         }
 
-        private const val CALM_MILLIS = 300_000L
+        private const val FAULT_FREE_MILLIS = 300_000L
     }
 }
--- a/src/test/kotlin/linemast/simulation/GeneratedFaults.kt
+++ b/src/test/kotlin/linemast/simulation/GeneratedFaults.kt
@@ -5,82 +5,82 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.test.TestScope
 
-private const val FAULTS_MILLIS = 240_000L
+private const val FAULT_PERIOD_MILLIS = 240_000L
 
 /** Injects random faults for four minutes, one after another and overlapping, then waits for the longest to end. */
 internal suspend fun TestScope.injectGeneratedFaults(world: SimWorld) {
-    world.network.loss = 0.02
-    world.network.lateCopies = 0.05
-    world.users.cancelledAtEnd = 0.2
-    world.store.lostAnswers = 0.02
-    world.store.repeats = 0.05
+    world.network.messageLossProbability = 0.02
+    world.network.delayedDuplicateProbability = 0.05
+    world.users.cancelAtCompletionProbability = 0.2
+    world.store.lostResponseProbability = 0.02
+    world.store.delayedDuplicateProbability = 0.05
     backgroundScope.launch {
-        delay(world.random.nextLong(FAULTS_MILLIS))
-        world.store.valueBytes = 1_536
-        world.store.txnOps = 5
+        delay(world.random.nextLong(FAULT_PERIOD_MILLIS))
+        world.store.maxValueBytes = 1_536
+        world.store.maxTransactionOperations = 5
     }
-    while (testScheduler.currentTime < FAULTS_MILLIS) {
+    while (testScheduler.currentTime < FAULT_PERIOD_MILLIS) {
         delay(world.random.nextLong(2_000, 9_000))
         injectFault(world, backgroundScope)
     }
-    world.network.loss = 0.0
-    world.network.lateCopies = 0.0
-    world.store.lostAnswers = 0.0
-    world.store.repeats = 0.0
-    world.users.cancelledAtEnd = 0.0
+    world.network.messageLossProbability = 0.0
+    world.network.delayedDuplicateProbability = 0.0
+    world.store.lostResponseProbability = 0.0
+    world.store.delayedDuplicateProbability = 0.0
+    world.users.cancelAtCompletionProbability = 0.0
     // The longest fault that may still be on.
     delay(45_000)
-    world.checks.calmSinceMicros = world.clock.nowMicros()
+    world.checks.faultFreeSinceMicros = world.clock.nowMicros()
 }
 
 private fun injectFault(world: SimWorld, scope: CoroutineScope) {
     val random = world.random
-    val node = random.nextInt(CONTROLLERS)
+    val controller = random.nextInt(CONTROLLER_COUNT)
     val machine = world.workers.values.randomOrNull(random) ?: return
-    val faults = FaultInjector(world, scope, node, machine)
+    val injector = FaultInjector(world, scope, controller, machine)
     when (random.nextInt(20)) {
-        0, 1 -> faults.restartController()
-        2 -> faults.restartAllControllers(500L..3_999L)
-        3 -> faults.storeOutage()
-        4 -> faults.storeRefusesController()
-        5 -> faults.controllerUnreachable()
-        6 -> faults.hang(machine)
-        7 -> faults.machineLost()
-        8 -> faults.tasksFail()
-        9 -> faults.answersLost()
-        10 -> faults.controllerPartitioned()
-        11 -> faults.controllerUnreachableForWorkers()
-        12 -> faults.restartAllControllers(30L..399L)
+        0, 1 -> injector.restartOneController()
+        2 -> injector.restartAllControllers(500L..3_999L)
+        3 -> injector.startStoreOutage()
+        4 -> injector.refuseControllerAtStore()
+        5 -> injector.makeControllerUnreachable()
+        6 -> injector.pauseWorker(machine)
+        7 -> injector.loseMachine()
+        8 -> injector.failTasks()
+        9 -> injector.loseResponses()
+        10 -> injector.partitionController()
+        11 -> injector.makeControllerUnreachableForWorkers()
+        12 -> injector.restartAllControllers(30L..399L)
         13 -> machine.reboot()
-        14 -> world.network.freeze(node, random.nextLong(1_000_000, 25_000_000))
-        15 -> faults.machineUnreachable()
-        16 -> faults.cancellationsWhileMachinesHang()
+        14 -> world.network.pause(controller, random.nextLong(1_000_000, 25_000_000))
+        15 -> injector.partitionMachine()
+        16 -> injector.cancelJobsWhileWorkersPause()
         17 -> scope.launch { repeat(5) { world.users.sendUnusualRequests() } }
-        18 -> faults.watchesHang()
-        19 -> faults.refusalThenOutage()
+        18 -> injector.hangWatches()
+        19 -> injector.refuseLeaderThenStartOutage()
     }
 }
 
-/** Faults of one moment: [node] is the controller and [machine] the machine that they befall, where they befall one. */
+/** Faults of one moment: [controller] is the controller and [machine] the machine that they befall, where they befall one. */
 private class FaultInjector(
     private val world: SimWorld,
     private val scope: CoroutineScope,
-    private val node: Int,
+    private val controller: Int,
     private val machine: SimWorker,
 ) {
     private val random = world.random
     private val store = world.store
     private val network = world.network
 
-    fun restartController() {
-        scope.launch { restart(world, node, random.nextLong(100, 4_000)) }
+    fun restartOneController() {
+        scope.launch { restartController(world, controller, random.nextLong(100, 4_000)) }
     }
 
-    fun restartAllControllers(afterMillis: LongRange) = repeat(CONTROLLERS) { at ->
-        scope.launch { restart(world, at, random.nextLong(afterMillis.first, afterMillis.last + 1)) }
+    fun restartAllControllers(afterMillis: LongRange) = repeat(CONTROLLER_COUNT) { controller ->
+        scope.launch { restartController(world, controller, random.nextLong(afterMillis.first, afterMillis.last + 1)) }
     }
 
-    fun storeOutage() {
+    fun startStoreOutage() {
         if (store.outage) return
         scope.launch {
             store.startOutage()
@@ -89,100 +89,100 @@
         }
     }
 
-    fun storeRefusesController() {
+    fun refuseControllerAtStore() {
         scope.launch {
-            store.refused += "mast-$node"
+            store.refusedControllers += "mast-$controller"
             delay(random.nextLong(3_000, 20_000))
-            store.refused -= "mast-$node"
+            store.refusedControllers -= "mast-$controller"
         }
     }
 
-    fun controllerUnreachable() {
+    fun makeControllerUnreachable() {
         scope.launch {
-            network.unreachable += node
+            network.unreachable += controller
             delay(random.nextLong(3_000, 20_000))
-            network.unreachable -= node
+            network.unreachable -= controller
         }
     }
 
-    fun hang(machine: SimWorker) {
-        machine.hungUntilMicros = world.clock.nowMicros() + random.nextLong(1_000_000, 20_000_000)
+    fun pauseWorker(machine: SimWorker) {
+        machine.pausedUntilMicros = world.clock.nowMicros() + random.nextLong(1_000_000, 20_000_000)
     }
 
-    fun machineLost() {
+    fun loseMachine() {
         if (world.workers.size > 4) world.removeMachine(machine.name)
     }
 
-    fun tasksFail() {
+    fun failTasks() {
         scope.launch {
-            machine.sick = true
+            machine.failsTasks = true
             delay(random.nextLong(5_000, 20_000))
-            machine.sick = false
+            machine.failsTasks = false
         }
     }
 
-    fun answersLost() {
+    fun loseResponses() {
         scope.launch {
-            machine.deaf = true
+            machine.losesResponses = true
             delay(random.nextLong(5_000, 40_000))
-            machine.deaf = false
+            machine.losesResponses = false
         }
     }
 
     /** The store and the other controllers are lost, the workers are not. */
-    fun controllerPartitioned() {
+    fun partitionController() {
         scope.launch {
-            store.refused += "mast-$node"
-            network.partitioned += node
+            store.refusedControllers += "mast-$controller"
+            network.partitioned += controller
             delay(random.nextLong(5_000, 40_000))
-            network.partitioned -= node
-            store.refused -= "mast-$node"
+            network.partitioned -= controller
+            store.refusedControllers -= "mast-$controller"
         }
     }
 
-    fun controllerUnreachableForWorkers() {
+    fun makeControllerUnreachableForWorkers() {
         scope.launch {
-            network.unreachableForWorkers += node
+            network.unreachableForWorkers += controller
             delay(random.nextLong(5_000, 30_000))
-            network.unreachableForWorkers -= node
+            network.unreachableForWorkers -= controller
         }
     }
 
-    fun machineUnreachable() {
+    fun partitionMachine() {
         scope.launch {
-            machine.mute = true
+            machine.isPartitioned = true
             delay(random.nextLong(5_000, 40_000))
-            machine.mute = false
+            machine.isPartitioned = false
         }
     }
 
-    private fun cancellableJobs() = world.jobs.values.filter { it.accepted && !it.cancelAsked && it.acknowledgedStatus == null }
+    private fun cancellableJobs() = world.jobs.values.filter { it.accepted && !it.cancelRequested && it.acknowledgedStatus == null }
 
     /** Jobs that run are cancelled at once, and some of their machines hang. */
-    fun cancellationsWhileMachinesHang() {
-        val victims = cancellableJobs().shuffled(random).take(2)
-        victims.forEach { world.users.cancel(it, random.nextLong(200)) }
-        val machines = world.workers.values.filter { worker -> worker.tasks.values.any { task -> victims.any { it.id == task.job } } }
-        machines.take(3).forEach(::hang)
+    fun cancelJobsWhileWorkersPause() {
+        val cancelledJobs = cancellableJobs().shuffled(random).take(2)
+        cancelledJobs.forEach { world.users.cancel(it, random.nextLong(200)) }
+        val machines = world.workers.values.filter { worker -> worker.tasks.values.any { task -> cancelledJobs.any { it.id == task.job } } }
+        machines.take(3).forEach(::pauseWorker)
     }
 
-    fun watchesHang() {
+    fun hangWatches() {
         scope.launch {
-            store.watchesHang += "mast-$node"
+            store.controllersWithHangingWatches += "mast-$controller"
             delay(random.nextLong(3_000, 30_000))
-            store.watchesHang -= "mast-$node"
+            store.controllersWithHangingWatches -= "mast-$controller"
         }
     }
 
     /** The leader alone is refused, then an outage for longer than a cancellation has, with cancellations between the two. */
-    fun refusalThenOutage() {
+    fun refuseLeaderThenStartOutage() {
         if (store.outage) return
         scope.launch {
             val leader = "mast-${leaderOf(world)}"
-            store.refused += leader
+            store.refusedControllers += leader
             cancellableJobs().take(1).forEach { world.users.cancel(it, random.nextLong(1_000)) }
             delay(random.nextLong(500, 6_000))
-            store.refused -= leader
+            store.refusedControllers -= leader
             if (store.outage) return@launch
             store.startOutage()
             delay(random.nextLong(20_000, 45_000))
--- a/src/test/kotlin/linemast/simulation/GeneratedJobs.kt
+++ b/src/test/kotlin/linemast/simulation/GeneratedJobs.kt
@@ -4,11 +4,11 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 
-private const val JOBS = 30
+private const val JOB_COUNT = 30
 
 /** Users submit jobs and pipelines of random sizes, and cancel some. */
 internal suspend fun CoroutineScope.submitGeneratedJobs(world: SimWorld) {
-    repeat(JOBS) { number ->
+    repeat(JOB_COUNT) { number ->
         val gang = world.random.nextInt(3) == 0
         val job = SimJob(
             id = "req-%06d".format(number),
@@ -23,29 +23,29 @@
         )
         world.users.submit(job, if (world.random.nextInt(5) == 0) world.random.nextLong(20_000) else null)
         if (number % 6 == 0) {
-            val stages = diamond("req-7%04d".format(number), world, job.id)
-            world.users.submitPipeline(stages, lastOnlyThen = world.random.nextInt(4) == 0)
-            if (world.random.nextInt(3) == 0) launch { cancelOnce(world, stages.random(world.random)) }
+            val stages = diamondPipeline("req-7%04d".format(number), world, job.id)
+            world.users.submitPipeline(stages, submitLastAfterDependencies = world.random.nextInt(4) == 0)
+            if (world.random.nextInt(3) == 0) launch { cancelOnceAccepted(world, stages.random(world.random)) }
         }
         delay(world.random.nextLong(1_000, 8_000))
     }
 }
 
 /** One job, two that need it, one that needs both; the first needs an earlier job too, now and then. */
-private fun diamond(id: String, world: SimWorld, earlier: String): List<SimJob> {
-    fun stage(at: Int, gang: Boolean, dependencies: List<String>) = SimJob(
-        "$id$at", "north", if (gang) 2 else 4, if (gang) 2.0 else 1.0, gang, gang, false, true,
+private fun diamondPipeline(id: String, world: SimWorld, earlierJob: String): List<SimJob> {
+    fun stage(number: Int, gang: Boolean, dependencies: List<String>) = SimJob(
+        "$id$number", "north", if (gang) 2 else 4, if (gang) 2.0 else 1.0, gang, gang, false, true,
         world.random.nextLong(1_000_000, 6_000_000), dependencies = dependencies,
     )
     return listOf(
-        stage(0, false, if (world.random.nextInt(3) == 0) listOf(earlier) else emptyList()),
+        stage(0, false, if (world.random.nextInt(3) == 0) listOf(earlierJob) else emptyList()),
         stage(1, false, listOf("${id}0")),
         stage(2, true, listOf("${id}0")),
         stage(3, false, listOf("${id}1", "${id}2")),
     )
 }
 
-private suspend fun cancelOnce(world: SimWorld, job: SimJob) {
+private suspend fun cancelOnceAccepted(world: SimWorld, job: SimJob) {
     delay(world.random.nextLong(25_000))
     repeat(60) {
         if (job.accepted) return world.users.cancel(job, 0)
--- a/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
@@ -13,18 +13,18 @@
     @ParameterizedTest
     @ValueSource(ints = [201, 202, 203])
     fun `a waiting job is cancelled while it is released`(seed: Int) = runPipelineScenario(seed) { world ->
-        world.users.dependentsCancelledAtEnd = 0.7
-        world.store.lostAnswers = if (seed % 2 == 0) 0.1 else 0.0
-        world.store.repeats = 0.1
+        world.users.cancelDependentAtCompletionProbability = 0.7
+        world.store.lostResponseProbability = if (seed % 2 == 0) 0.1 else 0.0
+        world.store.delayedDuplicateProbability = 0.1
         repeat(8) { number ->
             val chain = chain("req-60%03d".format(number), 3)
             world.users.submitPipeline(chain)
             delay(2_000)
-            repeat(12) { chain.forEach { if (it.accepted) world.users.pollEverywhere(it, times = 5) }.also { delay(500) } }
+            repeat(12) { chain.forEach { if (it.accepted) world.users.pollAllControllers(it, times = 5) }.also { delay(500) } }
         }
-        world.users.dependentsCancelledAtEnd = 0.0
-        world.store.lostAnswers = 0.0
-        world.store.repeats = 0.0
+        world.users.cancelDependentAtCompletionProbability = 0.0
+        world.store.lostResponseProbability = 0.0
+        world.store.delayedDuplicateProbability = 0.0
     }
 
     /** Users submit the jobs of a pipeline, and submit them again, while its first job is cancelled. */
@@ -36,7 +36,7 @@
             world.users.submitPipeline(chain)
             world.users.cancel(chain.first(), world.random.nextLong(1_500))
             launch { repeat(6) { world.users.sendUnusualRequests() } }
-            chain.forEach { world.users.pollEverywhere(it.takeIf(SimJob::accepted) ?: return@forEach, times = 4) }
+            chain.forEach { world.users.pollAllControllers(it.takeIf(SimJob::accepted) ?: return@forEach, times = 4) }
             delay(3_000)
         }
         delay(40_000)
@@ -68,10 +68,10 @@
                 }
                 world.users.submitPipeline(listOf(root) + wide)
                 delay(12_000)
-                val startsBefore = world.starts
+                val startsBefore = world.startCount
                 val submitted = world.clock.nowMicros()
                 world.users.submit(SimJob("req-629999", "north", 12, 1.0, false, false, false, true, 15_000_000), null)
-                while (world.starts < startsBefore + 12) delay(50)
+                while (world.startCount < startsBefore + 12) delay(50)
                 micros = world.clock.nowMicros() - submitted
             }
             return micros
@@ -85,18 +85,18 @@
     /** As from a service whose limits drop while a new leader reads the store, or between two writes of one change. */
     @ParameterizedTest
     @ValueSource(longs = [0, 30, 200, 900])
-    fun `the store's limits drop while a leader loads`(afterMillis: Long) = runPipelineScenario(seed = 207, size = 4) { world ->
+    fun `the store's limits drop while a leader loads`(afterMillis: Long) = runPipelineScenario(seed = 207, scale = 4) { world ->
         repeat(6) { world.users.submitPipeline(chain("req-63%03d".format(it), 4)) }
         world.users.submit(SimJob("req-630900", "south", 60, 0.25, false, false, false, true, 9_000_000), 15_000)
         delay(7_000)
-        launch { restart(world, leaderOf(world).coerceAtLeast(0), 100) }
+        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
         delay(afterMillis)
-        world.store.valueBytes = 1_536
-        world.store.txnOps = 5
+        world.store.maxValueBytes = 1_536
+        world.store.maxTransactionOperations = 5
         // The record of machines has to be written again, in values that fit.
         world.workers.keys.take(3).forEach(world::removeMachine)
         delay(20_000)
-        launch { restart(world, leaderOf(world).coerceAtLeast(0), 100) }
+        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
     }
 
     /**
@@ -106,7 +106,7 @@
     @ParameterizedTest
     @ValueSource(ints = [208, 209, 210])
     fun `a roll with an outage in the middle and lowered limits at its end`(seed: Int) = runPipelineScenario(seed, { world ->
-        world.oldNodes +=
+        world.previousVersionControllers +=
             listOf(0, 1, 2)
     }) { world ->
         repeat(6) { number ->
@@ -128,17 +128,17 @@
         delay(6_000)
         val order = listOf(0, 1, 2).shuffled(world.random)
         for ((turn, at) in order.withIndex()) {
-            world.oldNodes -= at
+            world.previousVersionControllers -= at
             if (turn == 1) world.store.startOutage()
-            world.killNode(at)
+            world.killController(at)
             if (turn == 2) {
-                world.store.valueBytes = 1_536
-                world.store.txnOps = 5
+                world.store.maxValueBytes = 1_536
+                world.store.maxTransactionOperations = 5
             }
             delay(1_000)
-            world.startNode(at)
+            world.startController(at)
             // One that has not had its turn ends, and comes back as what it was.
-            if (turn < 2) restart(world, order[turn + 1], 400)
+            if (turn < 2) restartController(world, order[turn + 1], 400)
             delay(world.random.nextLong(3_000, 9_000))
             if (turn == 1) world.store.endOutage()
         }
--- a/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
@@ -15,8 +15,8 @@
         val ends = ArrayList<Long>()
         runPipelineScenario(seed = 91) { world ->
             world.users.submitPipeline(chain("req-50000", 6))
-            while (world.completed.size < 12) {
-                if (world.completed.size / 2 > ends.size) ends += world.clock.nowMicros()
+            while (world.completedTasks.size < 12) {
+                if (world.completedTasks.size / 2 > ends.size) ends += world.clock.nowMicros()
                 delay(100)
             }
             ends += world.clock.nowMicros()
@@ -32,7 +32,7 @@
     fun `leaders change and the store is out while dependencies run and are cancelled`(seed: Int) = runPipelineScenario(seed) { world ->
         repeat(5) { number ->
             val chain = chain("req-51%03d".format(number), 5)
-            world.users.submitPipeline(chain, lastOnlyThen = number == 2)
+            world.users.submitPipeline(chain, submitLastAfterDependencies = number == 2)
             if (number % 2 == 1) {
                 launch {
                     delay(2_000 + world.random.nextLong(12_000))
@@ -41,33 +41,33 @@
             }
             delay(2_000)
         }
-        launch { restart(world, leaderOf(world).coerceAtLeast(0), 300) }
+        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 300) }
         delay(6_000)
         world.store.startOutage()
         delay(if (seed % 2 == 0) 12_000 else 34_000)
         world.store.endOutage()
-        world.store.lostAnswers = 0.2
+        world.store.lostResponseProbability = 0.2
         delay(10_000)
-        world.store.lostAnswers = 0.0
+        world.store.lostResponseProbability = 0.0
     }
 
     @ParameterizedTest
     @ValueSource(ints = [96, 97])
     fun `cancellations at the moment when a job ends`(seed: Int) = runPipelineScenario(seed) { world ->
-        world.users.cancelledAtEnd = 0.5
+        world.users.cancelAtCompletionProbability = 0.5
         repeat(8) { number ->
             world.users.submitPipeline(chain("req-52%03d".format(number), 4))
             delay(2_000)
         }
         delay(20_000)
-        world.users.cancelledAtEnd = 0.0
+        world.users.cancelAtCompletionProbability = 0.0
     }
 
     /** A wide fan between two jobs, cancelled at its first; no controller is asked to do it, the leader does. */
     @Test
     fun `a wide fan is cancelled in the background, within the store's limits`() = runPipelineScenario(seed = 98) { world ->
-        world.store.txnOps = 5
-        world.store.valueBytes = 1_536
+        world.store.maxTransactionOperations = 5
+        world.store.maxValueBytes = 1_536
         val first = SimJob("req-530000", "north", 2, 1.0, false, false, false, true, 60_000_000)
         val fan =
             List(40) {
@@ -76,19 +76,19 @@
         val last = SimJob("req-530999", "north", 1, 1.0, false, false, false, true, 1_000_000, dependencies = fan.map { it.id })
         world.users.submitPipeline(listOf(first) + fan + last)
         while (!last.accepted) delay(500)
-        world.users.quiet = true
+        world.users.pollingSuspended = true
         world.users.cancel(first, 0)
         delay(15_000)
         assertEquals(emptySet<String>(), world.store.keysUnder("w/"))
         assertEquals(setOf("withdrawn"), (fan + last).map { world.store.valueOf("j/${it.id}")?.text("verdict") }.toSet())
-        world.users.quiet = false
+        world.users.pollingSuspended = false
     }
 
     /** Two versions side by side on each other's records; one that dies before its turn comes back old. */
     @ParameterizedTest
     @ValueSource(ints = [101, 102, 103, 104, 105, 106])
     fun `a roll from the revision before, with faults, and dependencies once all are new`(seed: Int) = runPipelineScenario(seed, { world ->
-        world.oldNodes +=
+        world.previousVersionControllers +=
             listOf(0, 1, 2)
     }) { world ->
         repeat(10) { number ->
@@ -111,23 +111,23 @@
             repeat(3) {
                 delay(4_000)
                 // Comes back as the version that it was.
-                restart(world, world.random.nextInt(3), 500)
-                world.workers.values.shuffled(world.random).first().hungUntilMicros =
+                restartController(world, world.random.nextInt(3), 500)
+                world.workers.values.shuffled(world.random).first().pausedUntilMicros =
                     world.clock.nowMicros() + world.random.nextLong(9_000_000)
             }
         }
         for (at in listOf(0, 1, 2).shuffled(world.random)) {
-            world.oldNodes -= at
-            restart(world, at, 1_000)
+            world.previousVersionControllers -= at
+            restartController(world, at, 1_000)
             delay(world.random.nextLong(2_000, 9_000))
         }
         trouble.join()
         repeat(3) { world.users.submitPipeline(chain("req-55%03d".format(it), 4)) }
         delay(5_000)
-        world.store.valueBytes = 1_536
-        world.store.txnOps = 5
+        world.store.maxValueBytes = 1_536
+        world.store.maxTransactionOperations = 5
         delay(10_000)
-        launch { restart(world, leaderOf(world).coerceAtLeast(0), 300) }
+        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 300) }
     }
 
     private fun chain(id: String, length: Int): List<SimJob> = List(length) { at ->
--- a/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
+++ b/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
@@ -14,13 +14,16 @@
  * It drops fields that it does not know when it rewrites a record.
  */
 internal class PreviousVersionStore(private val store: KeyValueStore) : KeyValueStore by store {
-    override suspend fun list(prefix: String, after: String?): EntryPage =
-        if (prefix.startsWith(WAITING)) EntryPage(emptyList(), false, store.list(prefix, after).revision) else store.list(prefix, after)
+    override suspend fun list(prefix: String, after: String?): EntryPage = if (prefix.startsWith(BLOCKED_JOBS_PREFIX)) {
+        EntryPage(emptyList(), false, store.list(prefix, after).revision)
+    } else {
+        store.list(prefix, after)
+    }
 
     override suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult {
         val result = store.watch(prefix, afterRevision, waitMicros)
         return if (result is WatchResult.Changes &&
-            prefix.startsWith(WAITING)
+            prefix.startsWith(BLOCKED_JOBS_PREFIX)
         ) {
             WatchResult.Changes(result.revision, emptyList())
         } else {
@@ -29,22 +32,23 @@
     }
 
     override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-        check(writes.none { it.key.startsWith(WAITING) }) { "a key that the version before does not know" }
+        check(writes.none { it.key.startsWith(BLOCKED_JOBS_PREFIX) }) { "a key that the version before does not know" }
         return store.commit(
             preconditions,
             writes.map {
-                if (it is Write.Put) Write.Put(it.key, known(it.value), it.lease) else it
+                if (it is Write.Put) Write.Put(it.key, withoutNewFields(it.value), it.lease) else it
             },
             priority,
         )
     }
 
-    private fun known(value: Map<String, Any?>): Map<String, Any?> = (value - setOf("awaits", "from_us")).mapValues { (name, part) ->
-        @Suppress("UNCHECKED_CAST")
-        if (name == "job") (part as Map<String, Any?>) - "awaits" else part
-    }
+    private fun withoutNewFields(value: Map<String, Any?>): Map<String, Any?> =
+        (value - setOf("awaits", "from_us")).mapValues { (name, part) ->
+            @Suppress("UNCHECKED_CAST")
+            if (name == "job") (part as Map<String, Any?>) - "awaits" else part
+        }
 
     private companion object {
-        const val WAITING = "w/"
+        const val BLOCKED_JOBS_PREFIX = "w/"
     }
 }
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -10,78 +10,78 @@
 import linemast.domain.MachineType
 
 /** An order that the cloud has carried out, with the store's revision at that moment. */
-class SimOrder(
-    val node: Int,
-    val rental: ScaleOutRequest?,
-    val returned: List<String>,
+class SimCloudAction(
+    val controller: Int,
+    val scaleOutRequest: ScaleOutRequest?,
+    val removedMachines: List<String>,
     val revision: Long,
-    val interrupted: List<SimWorker.Task>,
+    val interruptedTasks: List<SimWorker.Task>,
 )
 
 /** Stand-in of the cloud: a list that lags, rentals up to a capacity, returns that are final, orders that come late. */
 class SimCloud(private val world: SimWorld, private val types: List<MachineType>) {
     private class Snapshot(val micros: Long, val machines: List<ListedMachine>)
 
-    private val history = ArrayList<Snapshot>()
-    private val requestCount = HashMap<String, List<String>>()
+    private val snapshots = ArrayList<Snapshot>()
+    private val grantedMachines = HashMap<String, List<String>>()
 
     /** All orders that were carried out. */
-    val orders = ArrayList<SimOrder>()
+    val actions = ArrayList<SimCloudAction>()
 
-    /** Share of orders that get no answer and are carried out later, after a time within [lateMillis]. */
-    var lateOrders = 0.0
-    var lateMillis = 0L..20_000L
+    /** Share of orders that get no answer and are carried out later, after a time within [lateActionDelayMillis]. */
+    var lateActionProbability = 0.0
+    var lateActionDelayMillis = 0L..20_000L
 
     /** Told which controller is about to send an order, and whether that is a return. */
-    var onOrder: (node: Int, isReturn: Boolean) -> Unit = { _, _ -> }
+    var onAction: (controller: Int, isScaleIn: Boolean) -> Unit = { _, _ -> }
 
     /** Share of orders that are carried out and whose answer is lost. */
-    var lostAnswers = 0.05
+    var lostResponseProbability = 0.05
 
-    /** The cloud as the controller [node] reaches it. */
-    fun clientOf(node: Int): Cloud = Client(node)
+    /** The cloud as the controller [controller] reaches it. */
+    fun clientOf(controller: Int): Cloud = Client(controller)
 
     private fun list(): List<ListedMachine> {
         val now = world.clock.nowMicros()
-        history += Snapshot(now, world.workers.values.map { it.listed(now) })
-        history.removeIf { it.micros < now - 60_000_000 }
-        return (history.lastOrNull { it.micros <= now - LAG_MICROS } ?: history.first()).machines
+        snapshots += Snapshot(now, world.workers.values.map { it.toListedMachine(now) })
+        snapshots.removeIf { it.micros < now - 60_000_000 }
+        return (snapshots.lastOrNull { it.micros <= now - LIST_LAG_MICROS } ?: snapshots.first()).machines
     }
 
-    private fun scaleOut(node: Int, request: ScaleOutRequest): ScaleOutResult {
-        requestCount[request.requestId]?.let { return ScaleOutResult.Granted(it) }
-        val room = world.maxMachines - world.workers.size
-        if (room <= 0) return ScaleOutResult.NoCapacity
+    private fun scaleOut(controller: Int, request: ScaleOutRequest): ScaleOutResult {
+        grantedMachines[request.requestId]?.let { return ScaleOutResult.Granted(it) }
+        val freeCount = world.maxMachines - world.workers.size
+        if (freeCount <= 0) return ScaleOutResult.NoCapacity
         val type = types.first { it.name == request.machineType }
-        val names = List(minOf(room, request.machineCount)) { world.addMachine(type, request.zone, request.spot).name }
-        requestCount[request.requestId] = names
-        orders += SimOrder(node, request, emptyList(), world.store.revision, emptyList())
+        val names = List(minOf(freeCount, request.machineCount)) { world.addMachine(type, request.zone, request.spot).name }
+        grantedMachines[request.requestId] = names
+        actions += SimCloudAction(controller, request, emptyList(), world.store.revision, emptyList())
         return ScaleOutResult.Granted(names)
     }
 
-    private fun scaleIn(node: Int, names: List<String>) {
+    private fun scaleIn(controller: Int, names: List<String>) {
         val known = names.filter { it in world.workers }
-        val interrupted = known.flatMap { world.workers.getValue(it).tasks.values }.filter { it.status != "ended" }
-        if (known.isNotEmpty()) orders += SimOrder(node, null, known, world.store.revision, interrupted)
+        val interruptedTasks = known.flatMap { world.workers.getValue(it).tasks.values }.filter { it.status != "ended" }
+        if (known.isNotEmpty()) actions += SimCloudAction(controller, null, known, world.store.revision, interruptedTasks)
         known.forEach(world::removeMachine)
     }
 
-    private inner class Client(private val node: Int) : Cloud {
+    private inner class Client(private val controller: Int) : Cloud {
         /** An order leaves a controller that stands still only when it goes on, and may then be held up on its way. */
-        private suspend fun <T> order(isReturn: Boolean, carryOut: () -> T): T {
-            onOrder(node, isReturn)
-            world.network.awaitThaw(node)
-            if (lateOrders > 0 && world.random.nextDouble() < lateOrders) {
+        private suspend fun <T> callCloud(isScaleIn: Boolean, execute: () -> T): T {
+            onAction(controller, isScaleIn)
+            world.network.awaitResume(controller)
+            if (lateActionProbability > 0 && world.random.nextDouble() < lateActionProbability) {
                 world.scope.launch {
-                    delay(lateMillis.random(world.random))
-                    carryOut()
+                    delay(lateActionDelayMillis.random(world.random))
+                    execute()
                 }
                 delay(TIMEOUT_MILLIS)
                 throw CloudException.NoResponse("no answer")
             }
             delay(LATENCY_MILLIS)
-            val result = carryOut()
-            if (world.random.nextDouble() < lostAnswers) throw CloudException.NoResponse("no answer")
+            val result = execute()
+            if (world.random.nextDouble() < lostResponseProbability) throw CloudException.NoResponse("no answer")
             return result
         }
 
@@ -96,17 +96,17 @@
         }
 
         override suspend fun scaleOut(request: ScaleOutRequest): ScaleOutResult = try {
-            order(isReturn = false) { scaleOut(node, request) }
+            callCloud(isScaleIn = false) { scaleOut(controller, request) }
         } catch (e: CloudException) {
             ScaleOutResult.Unknown
         }
 
-        override suspend fun scaleIn(names: List<String>) = order(isReturn = true) { scaleIn(node, names) }
+        override suspend fun scaleIn(names: List<String>) = callCloud(isScaleIn = true) { scaleIn(controller, names) }
     }
 
     private companion object {
         const val LATENCY_MILLIS = 100L
         const val TIMEOUT_MILLIS = 5_000L
-        const val LAG_MICROS = 5_000_000L
+        const val LIST_LAG_MICROS = 5_000_000L
     }
 }
--- a/src/test/kotlin/linemast/simulation/SimJob.kt
+++ b/src/test/kotlin/linemast/simulation/SimJob.kt
@@ -16,7 +16,7 @@
     val dependencies: List<String> = emptyList(),
     val jobClass: String = if (gang) "gangs" else "sweeps",
     /** For how long its user goes on submitting it. */
-    val patienceMicros: Long = Long.MAX_VALUE,
+    val submitTimeoutMicros: Long = Long.MAX_VALUE,
 ) {
     fun runMicrosOf(index: Int) = runMicros + index * staggerMicros
 
@@ -26,13 +26,13 @@
 
     /** When its first task was started. */
     var startedMicros = 0L
-    var putOffCount = 0
+    var deferralCount = 0
     var acknowledgedStatus: String? = null
     var acknowledgedMicros = Long.MAX_VALUE
     var cancelledMicros: Long? = null
-    var cancelAsked = false
+    var cancelRequested = false
 
-    fun body(): Map<String, Any?> = mapOf(
+    fun submissionBody(): Map<String, Any?> = mapOf(
         "name_id" to id, "lane" to jobClass, "crew" to team, "shape" to if (gang) "gang" else "sweep",
         "urgency" to if (gang) "normal" else "idle", "pieces" to taskCount, "vcpus" to vcpus, "gpus" to 0.0, "memory_gb" to 1.0,
         "bundle" to "img", "pull_gb" to 1.0, "same_place" to sameZone, "apart" to spread, "loaners" to spot,
--- a/src/test/kotlin/linemast/simulation/SimNetwork.kt
+++ b/src/test/kotlin/linemast/simulation/SimNetwork.kt
@@ -6,13 +6,13 @@
 /** The faults of the links between users, workers and controllers, and of controllers that stand still. */
 class SimNetwork(private val clock: Clock) {
     /** Share of messages that get lost. */
-    var loss = 0.0
+    var messageLossProbability = 0.0
 
     /** Longest time that a message between workers or users and controllers takes. */
     var maxLatencyMillis = 10L
 
     /** Share of heartbeats of which a copy arrives later, up to several leases. */
-    var lateCopies = 0.0
+    var delayedDuplicateProbability = 0.0
 
     /** Controllers that neither users nor workers reach. */
     val unreachable = HashSet<Int>()
@@ -27,24 +27,26 @@
     var partitionedZone: String? = null
 
     /** Until when controllers stand still while their clocks run on: nothing comes in, and nothing that is ready leaves. */
-    private val frozenUntilMicros = LongArray(CONTROLLERS)
+    private val pausedUntilMicros = LongArray(CONTROLLER_COUNT)
 
-    /** Makes the controller [at] stand still for [micros] from now on. */
-    fun freeze(at: Int, micros: Long) {
-        frozenUntilMicros[at] = clock.nowMicros() + micros
+    /** Makes the controller [controller] stand still for [micros] from now on. */
+    fun pause(controller: Int, micros: Long) {
+        pausedUntilMicros[controller] = clock.nowMicros() + micros
     }
 
-    /** Waits while the controller [at] stands still. */
-    suspend fun awaitThaw(at: Int) {
-        while (clock.nowMicros() < frozenUntilMicros[at]) delay((frozenUntilMicros[at] - clock.nowMicros()) / 1_000 + 1)
+    /** Waits while the controller [controller] stands still. */
+    suspend fun awaitResume(controller: Int) {
+        while (clock.nowMicros() < pausedUntilMicros[controller]) delay((pausedUntilMicros[controller] - clock.nowMicros()) / 1_000 + 1)
     }
 
-    /** Whether nothing passes between the controller [at] and senders in [zone]; null for users, who are in none. */
-    fun isCutByZone(at: Int, zone: String?): Boolean = partitionedZone?.let { cut -> (zone == cut) != (at == 0) } ?: false
+    /** Whether nothing passes between the controller [controller] and senders in [zone]; null for users, who are in none. */
+    fun isPartitionedByZone(controller: Int, zone: String?): Boolean =
+        partitionedZone?.let { separated -> (zone == separated) != (controller == 0) } ?: false
 
-    /** Whether a request for [path] from [zone] does not reach the controller [at]. */
-    fun isCut(at: Int, zone: String?, path: String): Boolean =
-        isCutByZone(at, zone) || at in unreachable || (at in unreachableForWorkers && path == HEARTBEAT_PATH)
+    /** Whether a request for [path] from [zone] does not reach the controller [controller]. */
+    fun isUnreachable(controller: Int, zone: String?, path: String): Boolean = isPartitionedByZone(controller, zone) ||
+        controller in unreachable ||
+        (controller in unreachableForWorkers && path == HEARTBEAT_PATH)
 
     /** Whether the controllers [from] and [to] are apart. */
     fun isPartitioned(from: Int, to: Int): Boolean = from in partitioned || to in partitioned
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -24,11 +24,11 @@
     private val clock: Clock,
     private val random: Random,
     /** Waits while a controller stands still. */
-    private val awaitThaw: suspend (String) -> Unit = {},
+    private val awaitResume: suspend (String) -> Unit = {},
 ) {
     private class StoredValue(val value: ByteArray, val revision: Long, val lease: Long?)
 
-    private class Lease(val ttlMicros: Long, var endsMicros: Long)
+    private class Lease(val ttlMicros: Long, var expiresMicros: Long)
 
     private val entries = sortedMapOf<String, StoredValue>()
     private val leases = HashMap<Long, Lease>()
@@ -41,31 +41,31 @@
 
     /** Every change that was carried out, in its order. */
     val history: List<KeyChange> get() = changes
-    private var nextLease = 0L
+    private var lastLease = 0L
     var outage = false
         private set
-    val refused = HashSet<String>()
+    val refusedControllers = HashSet<String>()
 
     /** Controllers whose open watches get no answer, while all else is answered. */
-    val watchesHang = HashSet<String>()
-    var lostAnswers = 0.0
+    val controllersWithHangingWatches = HashSet<String>()
+    var lostResponseProbability = 0.0
 
     /** Most that a call takes. */
     var maxLatencyMillis = 12L
 
     /** Share of transactions that were carried out and arrive a second time later. */
-    var repeats = 0.0
+    var delayedDuplicateProbability = 0.0
 
     /** What values and transactions may be at most; a larger one gets 400, and is noted. */
-    var valueBytes = 8 * 1024
-    var txnOps = 16
-    val tooLarge = ArrayList<String>()
+    var maxValueBytes = 8 * 1024
+    var maxTransactionOperations = 16
+    val oversizedTransactions = ArrayList<String>()
 
-    private fun checkSize(writes: List<Write>) {
-        val large = writes.filter { it is Write.Put && JsonSize.of(it.value) > valueBytes }.map { it.key }
+    private fun requireWithinLimits(writes: List<Write>) {
+        val oversizedKeys = writes.filter { it is Write.Put && JsonSize.of(it.value) > maxValueBytes }.map { it.key }
         val bytes = writes.sumOf { it.key.length + if (it is Write.Put) JsonSize.of(it.value) else 0 }
-        if (large.isEmpty() && writes.size <= txnOps && bytes <= MAX_TRANSACTION_BYTES) return
-        tooLarge += "$large, ${writes.size} operations, $bytes bytes"
+        if (oversizedKeys.isEmpty() && writes.size <= maxTransactionOperations && bytes <= MAX_TRANSACTION_BYTES) return
+        oversizedTransactions += "$oversizedKeys, ${writes.size} operations, $bytes bytes"
         throw StoreException.ErrorStatus(400)
     }
 
@@ -76,16 +76,16 @@
     /** After an outage every lease again has its full time. */
     fun endOutage() {
         outage = false
-        leases.values.forEach { it.endsMicros = clock.nowMicros() + it.ttlMicros }
+        leases.values.forEach { it.expiresMicros = clock.nowMicros() + it.ttlMicros }
     }
 
     /** Loses [key], as if it had never been written; nobody is told. */
-    fun lose(key: String) {
+    fun deleteSilently(key: String) {
         entries.remove(key)
     }
 
     /** Replaces all that is stored by [values], CBOR by key. */
-    fun load(values: Map<String, ByteArray>) {
+    fun replaceContents(values: Map<String, ByteArray>) {
         entries.clear()
         revision++
         for ((key, value) in values) entries[key] = StoredValue(value, revision, lease = null)
@@ -97,31 +97,31 @@
 
     fun clientOf(node: String): KeyValueStore = Client(node)
 
-    private fun expire() {
+    private fun expireLeases() {
         if (outage) return
-        val ended = leases.filterValues { it.endsMicros <= clock.nowMicros() }.keys
-        for (lease in ended) {
+        val expired = leases.filterValues { it.expiresMicros <= clock.nowMicros() }.keys
+        for (lease in expired) {
             leases.remove(lease)
             val keys = entries.filterValues { it.lease == lease }.keys.toList()
             if (keys.isEmpty()) continue
             revision++
-            keys.forEach(::drop)
+            keys.forEach(::delete)
         }
     }
 
-    private fun drop(key: String) {
+    private fun delete(key: String) {
         if (entries.remove(key) != null) changes += KeyChange(key, null, revision)
     }
 
     private fun apply(preconditions: List<Precondition>, writes: List<Write>): CommitResult {
-        expire()
+        expireLeases()
         if (writes.any { it is Write.Put && it.lease != null && it.lease !in leases }) return CommitResult.NoSuchLease
         val failed = preconditions.filter { (entries[it.key]?.revision ?: 0L) != it.revision }.map { it.key }
         if (failed.isNotEmpty()) return CommitResult.Conflict(failed)
         revision++
         for (write in writes) {
             when (write) {
-                is Write.Delete -> drop(write.key)
+                is Write.Delete -> delete(write.key)
                 is Write.Put -> {
                     val bytes = Cbor.encode(write.value)
                     entries[write.key] = StoredValue(bytes, revision, write.lease)
@@ -133,33 +133,33 @@
     }
 
     private inner class Client(private val node: String) : KeyValueStore {
-        private suspend fun enter() {
-            awaitThaw(node)
+        private suspend fun beginCall() {
+            awaitResume(node)
             delay(random.nextLong(1, maxLatencyMillis))
-            if (outage || node in refused) throw StoreException.ErrorStatus(503)
-            expire()
+            if (outage || node in refusedControllers) throw StoreException.ErrorStatus(503)
+            expireLeases()
         }
 
         override suspend fun get(key: String, priority: RequestPriority): Entry? {
-            enter()
+            beginCall()
             return entries[key]?.let { Entry(key, Cbor.decodeMap(it.value), it.revision) }
         }
 
         override suspend fun list(prefix: String, after: String?): EntryPage {
-            enter()
+            beginCall()
             val found = entries.filterKeys { it.startsWith(prefix) && (after == null || it > after) }
-            val entries = found.entries.take(PAGE).map { Entry(it.key, Cbor.decodeMap(it.value.value), it.value.revision) }
-            return EntryPage(entries, found.size > PAGE, revision)
+            val entries = found.entries.take(PAGE_SIZE).map { Entry(it.key, Cbor.decodeMap(it.value.value), it.value.revision) }
+            return EntryPage(entries, found.size > PAGE_SIZE, revision)
         }
 
         override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-            enter()
-            checkSize(writes)
-            if (random.nextDouble() < lostAnswers) {
+            beginCall()
+            requireWithinLimits(writes)
+            if (random.nextDouble() < lostResponseProbability) {
                 // Executed now or up to half a minute later; the caller never learns.
-                val late = if (random.nextBoolean()) 0L else random.nextLong(30_000)
+                val delayMillis = if (random.nextBoolean()) 0L else random.nextLong(30_000)
                 scope.launch {
-                    delay(late)
+                    delay(delayMillis)
                     apply(preconditions, writes)
                 }
                 delay(2_000)
@@ -167,7 +167,7 @@
             }
             val result = apply(preconditions, writes)
             if (result is CommitResult.Applied) onApplied(node, writes)
-            if (random.nextDouble() < repeats) {
+            if (random.nextDouble() < delayedDuplicateProbability) {
                 scope.launch {
                     delay(random.nextLong(60_000))
                     if (!outage) apply(preconditions, writes)
@@ -178,43 +178,47 @@
         }
 
         override suspend fun watch(prefix: String, afterRevision: Long, waitMicros: Long): WatchResult {
-            enter()
+            beginCall()
             val end = clock.nowMicros() + waitMicros
             while (true) {
-                if (clock.nowMicros() > end + WATCH_PATIENCE_MICROS) throw StoreException.NoResponse("no answer")
-                expire()
+                if (clock.nowMicros() > end + WATCH_TIMEOUT_MARGIN_MICROS) throw StoreException.NoResponse("no answer")
+                expireLeases()
                 val matching = changes.filter { it.revision > afterRevision && it.key.startsWith(prefix) }
-                if (!outage && node !in refused && node !in watchesHang && (matching.isNotEmpty() || clock.nowMicros() >= end)) {
+                if (!outage &&
+                    node !in refusedControllers &&
+                    node !in controllersWithHangingWatches &&
+                    (matching.isNotEmpty() || clock.nowMicros() >= end)
+                ) {
                     return WatchResult.Changes(revision, matching)
                 }
-                delay(WATCH_STEP_MILLIS)
+                delay(WATCH_POLL_MILLIS)
             }
         }
 
         override suspend fun grantLease(ttlMicros: Long): Long {
-            enter()
-            leases[++nextLease] = Lease(ttlMicros, clock.nowMicros() + ttlMicros)
-            return nextLease
+            beginCall()
+            leases[++lastLease] = Lease(ttlMicros, clock.nowMicros() + ttlMicros)
+            return lastLease
         }
 
         override suspend fun revokeLease(lease: Long) {
-            enter()
-            leases[lease]?.endsMicros = clock.nowMicros()
-            expire()
+            beginCall()
+            leases[lease]?.expiresMicros = clock.nowMicros()
+            expireLeases()
         }
 
         override suspend fun renewLease(lease: Long): Boolean {
-            enter()
-            val known = leases[lease] ?: return false
-            known.endsMicros = clock.nowMicros() + known.ttlMicros
+            beginCall()
+            val granted = leases[lease] ?: return false
+            granted.expiresMicros = clock.nowMicros() + granted.ttlMicros
             return true
         }
     }
 
     private companion object {
         const val MAX_TRANSACTION_BYTES = 64 * 1024
-        const val PAGE = 7
-        const val WATCH_STEP_MILLIS = 25L
-        const val WATCH_PATIENCE_MICROS = 5_000_000L
+        const val PAGE_SIZE = 7
+        const val WATCH_POLL_MILLIS = 25L
+        const val WATCH_TIMEOUT_MARGIN_MICROS = 5_000_000L
     }
 }
--- a/src/test/kotlin/linemast/simulation/SimUsers.kt
+++ b/src/test/kotlin/linemast/simulation/SimUsers.kt
@@ -19,22 +19,22 @@
     private val checks get() = world.checks
 
     /** Share of jobs that are cancelled at the moment when their last task is done. */
-    var cancelledAtEnd = 0.0
+    var cancelAtCompletionProbability = 0.0
 
     /** Share of jobs that are cancelled within milliseconds of the end of a job that they depend on. */
-    var dependentsCancelledAtEnd = 0.0
+    var cancelDependentAtCompletionProbability = 0.0
 
     /** Nobody asks about jobs. */
-    var quiet = false
+    var pollingSuspended = false
 
     /** The controller that a submission of a job goes to. */
-    var entryOf: (SimJob) -> Int = { random.nextInt(CONTROLLERS) }
+    var chooseController: (SimJob) -> Int = { random.nextInt(CONTROLLER_COUNT) }
 
     /** Called with each answer to a submission. */
-    var onAnswer: (id: String, status: Int) -> Unit = { _, _ -> }
+    var onSubmissionResponse: (id: String, status: Int) -> Unit = { _, _ -> }
 
     /** Called with each answer to a submission, with the plan by which the controller admitted all the while. */
-    var onSubmission: (id: String, status: Int, plan: AdmissionPlan) -> Unit = { _, _, _ -> }
+    var onSubmissionUnderPlan: (id: String, status: Int, plan: AdmissionPlan) -> Unit = { _, _, _ -> }
 
     /** A user submits [job] until it is accepted, then polls; may cancel it at some time. */
     fun submit(job: SimJob, cancelAfterMillis: Long?) {
@@ -53,46 +53,48 @@
     private suspend fun submitUntilAccepted(job: SimJob): Boolean {
         job.submittedMicros = clock.nowMicros()
         while (!job.accepted) {
-            if (clock.nowMicros() - job.submittedMicros > job.patienceMicros) return false
-            val reply = submitOnce(job)
-            val status = reply?.status
+            if (clock.nowMicros() - job.submittedMicros > job.submitTimeoutMicros) return false
+            val response = submitOnce(job)
+            val status = response?.status
             if (status == 200 || status == 201) {
                 job.accepted = true
                 job.acceptedMicros = clock.nowMicros()
             }
-            if (status == 400 || status == 422) checks.report(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "answered $status")
-            if (status == 429) job.putOffCount++
-            delay(maxOf(1, reply?.retryAfterSeconds ?: 1) * 1_000L)
+            if (status == 400 || status == 422) checks.recordViolation(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "answered $status")
+            if (status == 429) job.deferralCount++
+            delay(maxOf(1, response?.retryAfterSeconds ?: 1) * 1_000L)
         }
         return true
     }
 
     private suspend fun submitOnce(job: SimJob): HttpResponse? {
-        val at = entryOf(job)
-        val plan = world.admissionPlanOf(at)
-        val reply = ask("POST", "/v1/jobs", Cbor.encode(job.body()), at)
-        if (reply != null) onAnswer(job.id, reply.status)
-        if (reply != null && plan != null && plan == world.admissionPlanOf(at)) onSubmission(job.id, reply.status, plan)
-        return reply
+        val controller = chooseController(job)
+        val plan = world.admissionPlanOf(controller)
+        val response = sendRequest("POST", "/v1/jobs", Cbor.encode(job.submissionBody()), controller)
+        if (response != null) onSubmissionResponse(job.id, response.status)
+        if (response != null && plan != null && plan == world.admissionPlanOf(controller)) {
+            onSubmissionUnderPlan(job.id, response.status, plan)
+        }
+        return response
     }
 
     /** Submits a job once more, beside what its user does. */
-    fun submitAgain(job: SimJob) {
+    fun resubmit(job: SimJob) {
         scope.launch { submitOnce(job) }
     }
 
     /** A user submits the jobs of a pipeline one after another, each as soon as those that it depends on are accepted. */
-    fun submitPipeline(pipeline: List<SimJob>, lastOnlyThen: Boolean = false) {
+    fun submitPipeline(pipeline: List<SimJob>, submitLastAfterDependencies: Boolean = false) {
         scope.launch {
             for (job in pipeline) {
-                if (lastOnlyThen && job === pipeline.last()) awaitEnds(job.dependencies)
+                if (submitLastAfterDependencies && job === pipeline.last()) awaitTerminalStatuses(job.dependencies)
                 while (job.dependencies.any { !jobs.getValue(it).accepted }) delay(200)
                 submit(job, null)
             }
         }
     }
 
-    private suspend fun awaitEnds(ids: List<String>) {
+    private suspend fun awaitTerminalStatuses(ids: List<String>) {
         while (ids.any { jobs.getValue(it).acknowledgedStatus == null }) delay(500)
     }
 
@@ -101,9 +103,9 @@
         scope.launch {
             delay(afterMillis)
             while (!job.accepted) delay(500)
-            job.cancelAsked = true
+            job.cancelRequested = true
             while (job.acknowledgedStatus == null) {
-                ask("POST", "/v1/jobs/${job.id}/cancel", ByteArray(0))?.let { hear(job, it) }
+                sendRequest("POST", "/v1/jobs/${job.id}/cancel", ByteArray(0))?.let { recordResponse(job, it) }
                 delay(1_000)
             }
         }
@@ -112,33 +114,33 @@
     /** Cancels [job], or jobs that depend on it, now and then when it is done. */
     fun onTaskDone(job: SimJob) {
         if (!world.isCompleted(job)) return
-        if (!job.cancelAsked && random.nextDouble() < cancelledAtEnd) cancel(job, random.nextLong(1_500))
-        for (dependent in jobs.values.filter { job.id in it.dependencies && !it.cancelAsked }) {
-            if (random.nextDouble() < dependentsCancelledAtEnd) cancel(dependent, random.nextLong(3_000))
+        if (!job.cancelRequested && random.nextDouble() < cancelAtCompletionProbability) cancel(job, random.nextLong(1_500))
+        for (dependent in jobs.values.filter { job.id in it.dependencies && !it.cancelRequested }) {
+            if (random.nextDouble() < cancelDependentAtCompletionProbability) cancel(dependent, random.nextLong(3_000))
         }
     }
 
     /** Asks all controllers about [job], [times] times within milliseconds. */
-    fun pollEverywhere(job: SimJob, times: Int) {
+    fun pollAllControllers(job: SimJob, times: Int) {
         scope.launch {
             repeat(times) {
-                repeat(CONTROLLERS) { at -> scope.launch { poll(job, at) } }
+                repeat(CONTROLLER_COUNT) { controller -> scope.launch { poll(job, controller) } }
                 delay(random.nextLong(1, 40))
             }
         }
     }
 
-    private suspend fun poll(job: SimJob, at: Int = random.nextInt(CONTROLLERS)) {
-        if (quiet) return
-        val sent = clock.nowMicros()
-        val reply = ask("GET", "/v1/jobs/${job.id}", ByteArray(0), at) ?: return
-        if (reply.status == 404) checks.report(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "is unknown")
-        hear(job, reply, sent)
+    private suspend fun poll(job: SimJob, controller: Int = random.nextInt(CONTROLLER_COUNT)) {
+        if (pollingSuspended) return
+        val sentMicros = clock.nowMicros()
+        val response = sendRequest("GET", "/v1/jobs/${job.id}", ByteArray(0), controller) ?: return
+        if (response.status == 404) checks.recordViolation(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "is unknown")
+        recordResponse(job, response, sentMicros)
     }
 
-    private fun hear(job: SimJob, reply: HttpResponse, sentMicros: Long = clock.nowMicros()) {
-        if (reply.status != 200) return
-        val status = Cbor.decodeMap(reply.body).text("status")
+    private fun recordResponse(job: SimJob, response: HttpResponse, sentMicros: Long = clock.nowMicros()) {
+        if (response.status != 200) return
+        val status = Cbor.decodeMap(response.body).text("status")
         checks.checkStatus(job, status, sentMicros)
         if (status !in TERMINAL_STATUSES) return
         if (status == "withdrawn" && job.cancelledMicros == null) job.cancelledMicros = clock.nowMicros()
@@ -149,47 +151,51 @@
     /** What users also ask: submissions again, cancellations of what is over, jobs that are nowhere, that cannot run, or lack a field. */
     suspend fun sendUnusualRequests() {
         val job = jobs.values.filter { it.accepted }.randomOrNull(random) ?: return
-        submitAcceptedAgain(job)
-        jobs.values.filter { it.acknowledgedStatus != null }.randomOrNull(random)?.let { over ->
-            ask("POST", "/v1/jobs/${over.id}/cancel", ByteArray(0))?.let { hear(over, it) }
+        resubmitAccepted(job)
+        jobs.values.filter { it.acknowledgedStatus != null }.randomOrNull(random)?.let { ended ->
+            sendRequest("POST", "/v1/jobs/${ended.id}/cancel", ByteArray(0))?.let { recordResponse(ended, it) }
         }
         val id = "req-99%04d".format(random.nextInt(10_000))
-        if (ask("GET", "/v1/jobs/$id", ByteArray(0))?.status == 200) {
-            checks.report(Invariant.UNKNOWN_JOB_IS_UNKNOWN, id, "answered 200")
+        if (sendRequest("GET", "/v1/jobs/$id", ByteArray(0))?.status == 200) {
+            checks.recordViolation(Invariant.UNKNOWN_JOB_IS_UNKNOWN, id, "answered 200")
         }
-        sendMalformedSubmissions(job.body() + ("name_id" to id), id)
+        sendMalformedSubmissions(job.submissionBody() + ("name_id" to id), id)
     }
 
-    private suspend fun submitAcceptedAgain(job: SimJob) {
-        val sent = clock.nowMicros()
-        val reply = ask("POST", "/v1/jobs", Cbor.encode(job.body())) ?: return
-        if (reply.status !in setOf(200, 503)) {
-            checks.report(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "answered ${reply.status} to a repeated submission")
+    private suspend fun resubmitAccepted(job: SimJob) {
+        val sentMicros = clock.nowMicros()
+        val response = sendRequest("POST", "/v1/jobs", Cbor.encode(job.submissionBody())) ?: return
+        if (response.status !in setOf(200, 503)) {
+            checks.recordViolation(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "answered ${response.status} to a repeated submission")
         }
-        hear(job, reply, sent)
+        recordResponse(job, response, sentMicros)
     }
 
     private suspend fun sendMalformedSubmissions(body: Map<String, Any?>, id: String) {
-        expectRefusal(422, body + ("crew" to "nobody"))
-        expectRefusal(422, body + ("vcpus" to 1_000.0))
-        expectRefusal(422, body + ("builds" to listOf("none")))
-        expectRefusal(422, body + ("yard" to "nowhere"))
-        for (field in body.keys - setOf("due_s", "awaits")) expectRefusal(400, body - field)
-        expectRefusal(400, body + ("awaits" to listOf("nonsense")))
-        expectRefusal(422, body + ("awaits" to listOf(id)))
-    }
-
-    private suspend fun expectRefusal(status: Int, body: Map<String, Any?>) {
-        val reply = ask("POST", "/v1/jobs", Cbor.encode(body)) ?: return
-        if (reply.status != status && reply.status != 503) {
-            checks.report(Invariant.REFUSAL_STATUS, "${body["name_id"]}", "${reply.status} instead of $status for $body")
+        expectRejection(422, body + ("crew" to "nobody"))
+        expectRejection(422, body + ("vcpus" to 1_000.0))
+        expectRejection(422, body + ("builds" to listOf("none")))
+        expectRejection(422, body + ("yard" to "nowhere"))
+        for (field in body.keys - setOf("due_s", "awaits")) expectRejection(400, body - field)
+        expectRejection(400, body + ("awaits" to listOf("nonsense")))
+        expectRejection(422, body + ("awaits" to listOf(id)))
+    }
+
+    private suspend fun expectRejection(status: Int, body: Map<String, Any?>) {
+        val response = sendRequest("POST", "/v1/jobs", Cbor.encode(body)) ?: return
+        if (response.status != status && response.status != 503) {
+            checks.recordViolation(Invariant.REJECTION_STATUS, "${body["name_id"]}", "${response.status} instead of $status for $body")
         }
     }
 
-    private suspend fun ask(method: String, path: String, body: ByteArray, at: Int = random.nextInt(CONTROLLERS)): HttpResponse? =
-        withTimeoutOrNull(ANSWER_MILLIS) { world.send(at, method, path, body) }
+    private suspend fun sendRequest(
+        method: String,
+        path: String,
+        body: ByteArray,
+        controller: Int = random.nextInt(CONTROLLER_COUNT),
+    ): HttpResponse? = withTimeoutOrNull(RESPONSE_TIMEOUT_MILLIS) { world.send(controller, method, path, body) }
 
     private companion object {
-        const val ANSWER_MILLIS = 5_000L
+        const val RESPONSE_TIMEOUT_MILLIS = 5_000L
     }
 }
--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -28,70 +28,70 @@
     }
 
     private val random get() = world.random
-    private val born = world.clock.nowMicros()
+    private val createdMicros = world.clock.nowMicros()
     val tasks = LinkedHashMap<String, Task>()
-    var gone = false
-    var hungUntilMicros = 0L
-    var sick = false
+    var isRemoved = false
+    var pausedUntilMicros = 0L
+    var failsTasks = false
 
     /** Its reports get through, the answers to them do not. */
-    var deaf = false
+    var losesResponses = false
 
     /** Reaches no controller. */
-    var mute = false
+    var isPartitioned = false
     private var incarnation = 1L
     private var sequenceNumber = 0L
     var fencingToken = 0L
         private set
     private var renewedMicros = world.clock.nowMicros()
-    private var node = random.nextInt(3)
-    private var reportSoon = true
+    private var controller = random.nextInt(3)
+    private var heartbeatDue = true
 
-    val leaseOver: Boolean get() = world.clock.nowMicros() - renewedMicros > leaseMicros
-    private val hung: Boolean get() = world.clock.nowMicros() < hungUntilMicros
+    val isLeaseExpired: Boolean get() = world.clock.nowMicros() - renewedMicros > leaseMicros
+    private val isPaused: Boolean get() = world.clock.nowMicros() < pausedUntilMicros
 
-    fun listed(now: Long) = ListedMachine(name, "10.9.0.1:9", type.name, zone, spot, "running", now - born)
+    fun toListedMachine(now: Long) = ListedMachine(name, "10.9.0.1:9", type.name, zone, spot, "running", now - createdMicros)
 
-    private var boots = 0
+    private var bootCount = 0
 
     /** The machine is back at once: its worker knows nothing of what was before. */
     fun reboot() {
-        boots++
+        bootCount++
         tasks.clear()
         incarnation = 1
         sequenceNumber = 0
         fencingToken = 0
         renewedMicros = world.clock.nowMicros()
-        reportSoon = true
+        heartbeatDue = true
     }
 
     fun start() {
-        world.scope.launch { live() }
-        world.scope.launch { heartbeats() }
+        world.scope.launch { runTasks() }
+        world.scope.launch { sendHeartbeats() }
     }
 
     /** Has a task run here that no controller of this store has ordered. */
-    fun inject(job: SimJob) {
+    fun startUnrecordedTask(job: SimJob) {
         val task = Task(job.id, 0, 1)
         run(task, world.clock.nowMicros(), job.runMicros)
         tasks["${job.id}/0#1"] = task
     }
 
-    private suspend fun live() {
-        while (!gone) {
+    private suspend fun runTasks() {
+        while (!isRemoved) {
             delay(STEP_MILLIS)
-            if (!hung) step()
+            if (!isPaused) step()
         }
     }
 
     private fun step() {
         val now = world.clock.nowMicros()
         if (now - renewedMicros > leaseMicros) {
-            world.onLeaseEnd(tasks.values.map { "${it.job}/${it.index}" })
+            world.onLeaseExpiry(tasks.values.map { "${it.job}/${it.index}" })
             tasks.clear()
             incarnation++
             renewedMicros = now
-            reportSoon = true
+            heartbeatDue = true
         }
         for (task in tasks.values.toList()) advance(task, now)
     }
@@ -100,24 +100,24 @@
         val job = world.jobs.getValue(task.job)
         when (task.status) {
             "fetching" -> if (now >= task.readyMicros) {
-                reportSoon = true
+                heartbeatDue = true
                 when {
-                    "${task.job}/${task.index}" in world.completed -> end(task, "done")
-                    sick -> end(task, "error")
+                    "${task.job}/${task.index}" in world.completedTasks -> end(task, "done")
+                    failsTasks -> end(task, "error")
                     job.gang -> task.status = "gathering"
                     else -> run(task, now, job.runMicrosOf(task.index))
                 }
             }
             "gathering" -> when {
-                world.gangGathers(task) -> run(task, now, job.runMicrosOf(task.index))
+                world.isGangReady(task) -> run(task, now, job.runMicrosOf(task.index))
                 now - task.readyMicros > GANG_WAIT_MICROS -> end(task, "alone")
             }
             "running" -> when {
-                job.gang && !world.gangWhole(task) -> end(task, if (world.gangDone(task)) "done" else "mates_gone")
+                job.gang && !world.isGangIntact(task) -> end(task, if (world.isTaskCompleted(task)) "done" else "mates_gone")
                 now >= task.endMicros -> {
                     // A gang completes together: when one task is done, all are.
-                    val done = if (job.gang) 0 until job.taskCount else task.index..task.index
-                    done.forEach { world.completed += "${task.job}/$it" }
+                    val completed = if (job.gang) 0 until job.taskCount else task.index..task.index
+                    completed.forEach { world.completedTasks += "${task.job}/$it" }
                     end(task, "done")
                     world.users.onTaskDone(job)
                 }
@@ -128,102 +128,104 @@
     private fun run(task: Task, now: Long, runMicros: Long) {
         task.status = "running"
         task.endMicros = now + runMicros
-        reportSoon = true
+        heartbeatDue = true
     }
 
     private fun end(task: Task, cause: String) {
         task.status = "ended"
         task.cause = cause
-        reportSoon = true
+        heartbeatDue = true
     }
 
-    private suspend fun heartbeats() {
-        while (!gone) {
-            val wait = if (reportSoon) 500L else random.nextLong(750, 1_250)
+    private suspend fun sendHeartbeats() {
+        while (!isRemoved) {
+            val wait = if (heartbeatDue) 500L else random.nextLong(750, 1_250)
             delay(wait)
-            if (hung || gone) continue
-            reportSoon = false
-            heartbeat()
+            if (isPaused || isRemoved) continue
+            heartbeatDue = false
+            sendHeartbeat()
         }
     }
 
-    private suspend fun heartbeat() {
-        val sent = world.clock.nowMicros()
+    private suspend fun sendHeartbeat() {
+        val sentMicros = world.clock.nowMicros()
         val sentIncarnation = incarnation
-        val boot = boots
-        val body = Cbor.encode(reportBody())
-        if (mute) {
+        val sentBootCount = bootCount
+        val body = Cbor.encode(heartbeatBody())
+        if (isPartitioned) {
             delay(500)
-            return next()
+            return switchController()
         }
-        if (random.nextDouble() < world.network.loss) {
+        if (random.nextDouble() < world.network.messageLossProbability) {
             // Held back by the network: delivered late or never, and nobody waits for the answer.
             if (random.nextBoolean()) {
                 world.scope.launch {
                     delay(random.nextLong(20_000))
-                    withTimeoutOrNull(4_000) { world.send(node, "POST", "/agent/beat", body, zone) }
+                    withTimeoutOrNull(4_000) { world.send(controller, "POST", "/agent/beat", body, zone) }
                 }
             }
             delay(4_000)
-            return next()
+            return switchController()
         }
-        if (random.nextDouble() < world.network.lateCopies) {
+        if (random.nextDouble() < world.network.delayedDuplicateProbability) {
             world.scope.launch {
                 delay(random.nextLong(1_000, 30_000))
                 withTimeoutOrNull(4_000) { world.send(random.nextInt(3), "POST", "/agent/beat", body, zone) }
             }
         }
-        val reply = withTimeoutOrNull(4_000) { world.send(node, "POST", "/agent/beat", body, zone) }
-        if (deaf) {
+        val response = withTimeoutOrNull(4_000) { world.send(controller, "POST", "/agent/beat", body, zone) }
+        if (losesResponses) {
             delay(4_000)
-            return next()
+            return switchController()
         }
-        if (reply == null || random.nextDouble() < world.network.loss) {
+        if (response == null || random.nextDouble() < world.network.messageLossProbability) {
             delay(1_000)
-            return next()
+            return switchController()
         }
-        if (hung || gone) return
-        when (reply.status) {
-            200 -> if (incarnation == sentIncarnation && boots == boot) take(Cbor.decodeMap(reply.body), sent)
-            421 -> redirect(if (reply.body.isEmpty()) null else Cbor.decodeMap(reply.body).textOrNull("bridge"))
+        if (isPaused || isRemoved) return
+        when (response.status) {
+            200 -> if (incarnation == sentIncarnation && bootCount == sentBootCount) {
+                handleResponse(Cbor.decodeMap(response.body), sentMicros)
+            }
+            421 -> followRedirect(if (response.body.isEmpty()) null else Cbor.decodeMap(response.body).textOrNull("bridge"))
             else -> {
                 delay(1_000)
-                next()
+                switchController()
             }
         }
     }
 
-    private suspend fun redirect(bridge: String?) {
-        val at = bridge?.removePrefix("mast-")?.toInt()
-        if (at == null || at == node) {
+    private suspend fun followRedirect(bridge: String?) {
+        val target = bridge?.removePrefix("mast-")?.toInt()
+        if (target == null || target == controller) {
             delay(1_000)
-            next()
+            switchController()
         } else {
-            node = at
+            controller = target
         }
     }
 
-    private fun next() {
-        node = (node + 1) % 3
+    private fun switchController() {
+        controller = (controller + 1) % 3
     }
 
-    private fun take(reply: Fields, sent: Long) {
-        val token = reply.longOrNull("helm") ?: return
+    private fun handleResponse(response: Fields, sentMicros: Long) {
+        val token = response.longOrNull("helm") ?: return
         if (token < fencingToken) return
-        if (token > fencingToken) reportSoon = true
+        if (token > fencingToken) heartbeatDue = true
         fencingToken = token
-        renewedMicros = maxOf(renewedMicros, sent)
-        for (order in reply.children("orders")) execute(order)
+        renewedMicros = maxOf(renewedMicros, sentMicros)
+        for (command in response.children("orders")) execute(command)
     }
 
-    private fun execute(order: Fields) {
-        val task = order.text("piece")
-        val attempt = order.long("try")
+    private fun execute(command: Fields) {
+        val task = command.text("piece")
+        val attempt = command.long("try")
         val key = "$task#$attempt"
-        world.onCommand(name, order.text("verb"), key)
+        world.onCommand(name, command.text("verb"), key)
         val job = task.substringBefore('/')
         val index = task.substringAfter('/').toInt()
-        when (order.text("verb")) {
+        when (command.text("verb")) {
             "start" -> if (key !in tasks) {
                 val task = Task(job, index, attempt)
                 task.readyMicros = world.clock.nowMicros() + random.nextLong(200_000, 2_000_000)
@@ -236,7 +238,7 @@
         }
     }
 
-    private fun reportBody(): Map<String, Any?> = mapOf(
+    private fun heartbeatBody(): Map<String, Any?> = mapOf(
         "rig" to name, "addr" to "10.9.0.1:9", "build" to type.name, "yard" to zone, "loaners" to spot,
         "watch" to incarnation, "tick" to ++sequenceNumber, "helm" to fencingToken, "recall_s" to null,
         "pieces" to tasks.values.map {
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -19,7 +19,7 @@
 import linemast.transport.HttpResponse
 import kotlin.random.Random
 
-internal const val CONTROLLERS = 3
+internal const val CONTROLLER_COUNT = 3
 
 /** A task that has not ended, with the worker that runs it. */
 data class LiveTask(val worker: SimWorker, val task: SimWorker.Task)
@@ -44,10 +44,10 @@
     val random = Random(seed)
     val workers = LinkedHashMap<String, SimWorker>()
     val jobs = LinkedHashMap<String, SimJob>()
-    val completed = HashSet<String>()
+    val completedTasks = HashSet<String>()
     val network = SimNetwork(clock)
-    val store = SimStore(scope, clock, random) { node -> network.awaitThaw(node.removePrefix("mast-").toInt()) }
-    var starts = 0
+    val store = SimStore(scope, clock, random) { node -> network.awaitResume(node.removePrefix("mast-").toInt()) }
+    var startCount = 0
         private set
     val cloud = SimCloud(this, types)
     val checks = InvariantChecks(this, settings("mast-0"))
@@ -58,32 +58,32 @@
 
     /** What each controller's clock reads; they may run at different speeds. */
     var clockOf: (Int) -> Clock = { clock }
-    private val nodes = arrayOfNulls<Node>(CONTROLLERS)
-    private val nodeScopes = arrayOfNulls<CoroutineScope>(CONTROLLERS)
+    private val nodes = arrayOfNulls<Node>(CONTROLLER_COUNT)
+    private val nodeScopes = arrayOfNulls<CoroutineScope>(CONTROLLER_COUNT)
     private var machineCount = 0
 
     /** Takes requests to controllers that run elsewhere; without it they run here. */
-    var transport: (suspend (at: Int, request: HttpRequest) -> HttpResponse?)? = null
+    var transport: (suspend (controller: Int, request: HttpRequest) -> HttpResponse?)? = null
 
-    fun begin() {
+    fun start() {
         repeat(baselineMachines) { addMachine(types[it % types.size], if (it % 2 == 0) "a" else "b", spot = false) }
-        if (transport == null) repeat(CONTROLLERS) { startNode(it) }
-        checks.begin()
-        repeat(CONTROLLERS) { from -> scope.launch { sendPeerStatuses(from) } }
+        if (transport == null) repeat(CONTROLLER_COUNT) { startController(it) }
+        checks.start()
+        repeat(CONTROLLER_COUNT) { from -> scope.launch { sendPeerStatuses(from) } }
     }
 
     /** Statuses between controllers; some come late, also from a process that has ended since. */
     private suspend fun sendPeerStatuses(from: Int) {
         while (true) {
             delay(1_000)
-            network.awaitThaw(from)
+            network.awaitResume(from)
             val status = nodes[from]?.peerStatus() ?: continue
-            for (to in 0 until CONTROLLERS) {
-                if (to == from || network.isPartitioned(from, to) || random.nextDouble() < network.loss) continue
-                val late = if (random.nextInt(20) == 0) random.nextLong(20_000) else random.nextLong(1, 50)
+            for (to in 0 until CONTROLLER_COUNT) {
+                if (to == from || network.isPartitioned(from, to) || random.nextDouble() < network.messageLossProbability) continue
+                val delayMillis = if (random.nextInt(20) == 0) random.nextLong(20_000) else random.nextLong(1, 50)
                 scope.launch {
-                    delay(late)
-                    network.awaitThaw(to)
+                    delay(delayMillis)
+                    network.awaitResume(to)
                     nodes[to]?.receivePeerStatus(status)
                 }
             }
@@ -91,29 +91,29 @@
     }
 
     /** Controllers that still write what the version before pipelines writes, and see what it sees. */
-    val oldNodes = HashSet<Int>()
+    val previousVersionControllers = HashSet<Int>()
 
-    fun startNode(at: Int) {
-        if (nodes[at] != null) return
+    fun startController(controller: Int) {
+        if (nodes[controller] != null) return
         val nodeScope = CoroutineScope(scope.coroutineContext + SupervisorJob(scope.coroutineContext[Job]))
-        val name = "mast-$at"
-        val client = store.clientOf(name).let { if (at in oldNodes) PreviousVersionStore(it) else it }
+        val name = "mast-$controller"
+        val client = store.clientOf(name).let { if (controller in previousVersionControllers) PreviousVersionStore(it) else it }
         val node = Node(
             ControllerConfiguration(settings(name), policy, features),
             client,
-            cloud.clientOf(at),
-            clockOf(at),
+            cloud.clientOf(controller),
+            clockOf(controller),
             clock::nowMicros,
             nodeScope,
         )
-        nodeScopes[at] = nodeScope
-        nodes[at] = node
+        nodeScopes[controller] = nodeScope
+        nodes[controller] = node
         node.start()
     }
 
-    fun killNode(at: Int) {
-        nodeScopes[at]?.cancel()
-        nodes[at] = null
+    fun killController(controller: Int) {
+        nodeScopes[controller]?.cancel()
+        nodes[controller] = null
     }
 
     fun addMachine(type: MachineType, zone: String, spot: Boolean): SimWorker {
@@ -125,32 +125,32 @@
 
     fun removeMachine(name: String) {
         workers.remove(name)?.let {
-            it.gone = true
+            it.isRemoved = true
             it.tasks.clear()
         }
     }
 
-    suspend fun send(at: Int, method: String, path: String, body: ByteArray, zone: String? = null): HttpResponse? {
+    suspend fun send(controller: Int, method: String, path: String, body: ByteArray, zone: String? = null): HttpResponse? {
         delay(random.nextLong(1, network.maxLatencyMillis))
-        if (network.isCut(at, zone, path)) {
+        if (network.isUnreachable(controller, zone, path)) {
             delay(4_000)
             return null
         }
-        transport?.let { return it(at, HttpRequest(method, path, "", body)) }
-        network.awaitThaw(at)
-        val node = nodes[at] ?: return null
+        transport?.let { return it(controller, HttpRequest(method, path, "", body)) }
+        network.awaitResume(controller)
+        val node = nodes[controller] ?: return null
         val response = try {
             node.route(HttpRequest(method, path, "", body))
         } catch (e: MalformedException) {
             HttpResponse(400)
         }
-        network.awaitThaw(at)
-        if (nodes[at] !== node || network.isCutByZone(at, zone)) return null
+        network.awaitResume(controller)
+        if (nodes[controller] !== node || network.isPartitionedByZone(controller, zone)) return null
         return if (response.stillValid()) response else HttpResponse.unavailable()
     }
 
     /** A machine that hangs past its lease does not take its tasks up again: it kills them as soon as it goes on. */
-    fun liveTasks(): Sequence<LiveTask> = workers.values.asSequence().filter { !it.leaseOver }.flatMap { worker ->
+    fun liveTasks(): Sequence<LiveTask> = workers.values.asSequence().filter { !it.isLeaseExpired }.flatMap { worker ->
         worker.tasks.values.filter { it.status != "ended" }.map { LiveTask(worker, it) }
     }
 
@@ -158,21 +158,21 @@
         liveTasks().map { it.task }.filter { it.job == task.job && it.attempt == task.attempt }
 
     /** Whether all tasks of the gang of [task] are ready to run. */
-    fun gangGathers(task: SimWorker.Task): Boolean = isWholeGang(task.job, gangOf(task).filter { it.status != "fetching" })
+    fun isGangReady(task: SimWorker.Task): Boolean = isWholeGang(task.job, gangOf(task).filter { it.status != "fetching" })
 
     /** Whether no task of the gang of [task] is lost. */
-    fun gangWhole(task: SimWorker.Task): Boolean = isWholeGang(task.job, gangOf(task))
+    fun isGangIntact(task: SimWorker.Task): Boolean = isWholeGang(task.job, gangOf(task))
 
     private fun isWholeGang(job: String, tasks: Sequence<SimWorker.Task>): Boolean =
         tasks.map { it.index }.distinct().count() == jobs.getValue(job).taskCount
 
-    fun gangDone(task: SimWorker.Task): Boolean = "${task.job}/${task.index}" in completed
+    fun isTaskCompleted(task: SimWorker.Task): Boolean = "${task.job}/${task.index}" in completedTasks
 
-    fun isCompleted(job: SimJob): Boolean = (0 until job.taskCount).all { "${job.id}/$it" in completed }
+    fun isCompleted(job: SimJob): Boolean = (0 until job.taskCount).all { "${job.id}/$it" in completedTasks }
 
     /** A worker is about to start [task]. */
     fun onStart(worker: SimWorker, task: SimWorker.Task) {
-        starts++
+        startCount++
         val job = jobs.getValue(task.job)
         if (job.startedMicros == 0L) job.startedMicros = clock.nowMicros()
         checks.checkStart(worker, task)
@@ -182,8 +182,8 @@
     var onCommand: (machine: String, verb: String, task: String) -> Unit = { _, _, _ -> }
 
     /** Called with the tasks, ended ones included, that a worker forgets with its lease. */
-    var onLeaseEnd: (tasks: List<String>) -> Unit = {}
+    var onLeaseExpiry: (tasks: List<String>) -> Unit = {}
 
-    /** The plan by which the controller [at] admits; null if it does not run, or limits nothing. */
-    fun admissionPlanOf(at: Int): AdmissionPlan? = nodes[at]?.admissionPlan
+    /** The plan by which the controller [controller] admits; null if it does not run, or limits nothing. */
+    fun admissionPlanOf(controller: Int): AdmissionPlan? = nodes[controller]?.admissionPlan
 }
--- a/src/test/kotlin/linemast/simulation/Simulation.kt
+++ b/src/test/kotlin/linemast/simulation/Simulation.kt
@@ -17,17 +17,17 @@
     MachineType("large", 8.0, 0.0, 64.0, 10.0, 1.0, 0.8, 0.2, 10_000_000, listOf("a", "b")),
 )
 
-/** [size] is how many times the usual fleet, and the usual limits of teams, there are. */
+/** [scale] is how many times the usual fleet, and the usual limits of teams, there are. */
 internal fun simulate(
     seed: Int,
     controllersLeaseSeconds: Double = LEASE_SECONDS,
-    size: Int = 1,
-    baselineMachines: Int = 6 * size,
+    scale: Int = 1,
+    baselineMachines: Int = 6 * scale,
     features: Features = Features(),
     policy: Policy = Policy(),
     objectives: String = "",
-    before: (SimWorld) -> Unit = {},
-    script: suspend TestScope.(SimWorld) -> Unit,
+    configure: (SimWorld) -> Unit = {},
+    scenario: suspend TestScope.(SimWorld) -> Unit,
 ): SimWorld {
     lateinit var world: SimWorld
     runTest(timeout = 5.minutes) {
@@ -36,17 +36,17 @@
             backgroundScope,
             clock,
             seed,
-            { settings(it, controllersLeaseSeconds, size, objectives) },
+            { settings(it, controllersLeaseSeconds, scale, objectives) },
             TYPES,
             (LEASE_SECONDS * 1e6).toLong(),
             baselineMachines = baselineMachines,
-            maxMachines = 12 * size,
+            maxMachines = 12 * scale,
             features = features,
             policy = policy,
         )
-        before(world)
-        world.begin()
-        script(world)
+        configure(world)
+        world.start()
+        scenario(world)
     }
     return world
 }
@@ -54,23 +54,23 @@
 /** Number of the controller that leads by the store, or -1. */
 internal fun leaderOf(world: SimWorld): Int = world.store.valueOf("leader")?.text("node")?.removePrefix("mast-")?.toInt() ?: -1
 
-internal suspend fun restart(world: SimWorld, node: Int, afterMillis: Long) {
-    world.killNode(node)
+internal suspend fun restartController(world: SimWorld, controller: Int, afterMillis: Long) {
+    world.killController(controller)
     delay(afterMillis)
-    world.startNode(node)
+    world.startController(controller)
 }
 
 /** Each knows of the others: without that a leader would take it that no earlier one can be in its grace. */
-private fun members(name: String) = (0..2).map { "mast-$it" }.filter { it != name }
+private fun otherMembers(name: String) = (0..2).map { "mast-$it" }.filter { it != name }
     .joinToString { """{ node_name = "$it", domain = "a", peer_addr = "10.0.0.1:9" }""" }
 
-private fun settings(name: String, leaseSeconds: Double, size: Int, objectives: String): Settings = SettingsReader.parse(
+private fun settings(name: String, leaseSeconds: Double, scale: Int, objectives: String): Settings = SettingsReader.parse(
     """
     node_name = "$name"
     domain = "a"
     serve_on = "10.0.0.1:8080"
     peer_listen = "10.0.0.1:8081"
-    members = [${members(name)}]
+    members = [${otherMembers(name)}]
     [external]
     cloud = "10.2.0.2:1"
     state = "10.2.0.1:1"
@@ -79,8 +79,8 @@
     clock_off_ms = 0.0
     objectives = [$objectives]
     teams = [
-      { name = "north", cpus = ${16 * size}.0, cpus_max = ${24 * size}.0, gpus = 0.0, gpus_max = 0.0 },
-      { name = "south", cpus = ${8 * size}.0, cpus_max = ${16 * size}.0, gpus = 0.0, gpus_max = 0.0 },
+      { name = "north", cpus = ${16 * scale}.0, cpus_max = ${24 * scale}.0, gpus = 0.0, gpus_max = 0.0 },
+      { name = "south", cpus = ${8 * scale}.0, cpus_max = ${16 * scale}.0, gpus = 0.0, gpus_max = 0.0 },
     ]
     [settings.workers]
     report_s = 1.0
--- a/src/test/kotlin/linemast/simulation/Violation.kt
+++ b/src/test/kotlin/linemast/simulation/Violation.kt
@@ -24,7 +24,7 @@
     UNKNOWN_JOB_IS_UNKNOWN("invented"),
 
     /** What cannot be accepted is refused with the status that the protocol gives. */
-    REFUSAL_STATUS("accepted oddly"),
+    REJECTION_STATUS("accepted oddly"),
 
     /** An acknowledged end of a job stays, and no job is cancelled unasked. */
     ACKNOWLEDGED_STATUS_IS_FINAL("went_back"),
@@ -33,7 +33,7 @@
     DEPENDENTS_ARE_CANCELLED("orphaned"),
 
     /** A job that counts as done has done all its tasks. */
-    DONE_MEANS_ALL_TASKS("not_done"),
+    DONE_JOB_HAS_COMPLETED_TASKS("not_done"),
 
     /** No job waits for long while there is room for it. */
     NO_STARVATION("left waiting"),
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
@@ -22,18 +22,18 @@
     private val gang = SimJob("req-000002", "south", 2, 4.0, true, true, false, true, 90_000_000)
     private val dependent =
         SimJob("req-000003", "north", 4, 1.0, false, false, true, true, 5_000_000, dependencies = listOf(array.id, gang.id))
-    private val cancelled = SimJob("req-000004", "south", 3, 1.0, false, false, false, true, 100_000_000).also { it.cancelAsked = true }
+    private val cancelled = SimJob("req-000004", "south", 3, 1.0, false, false, false, true, 100_000_000).also { it.cancelRequested = true }
     private val done = SimJob("req-000005", "south", 3, 1.0, false, false, false, true, 1_000_000)
 
     /** All controllers of the previous version have ended; those of this one start on what it has stored. */
     private fun takeOver(kept: List<StoredRecord>): SimWorld = simulate(seed = 502, features = allFeatures) { world ->
-        repeat(3) { world.killNode(it) }
+        repeat(3) { world.killController(it) }
         delay(30_000)
-        world.store.load(kept.associate { it.key to it.bytes.toByteArray() })
+        world.store.replaceContents(kept.associate { it.key to it.bytes.toByteArray() })
         runUnknownJob(world)
-        repeat(DONE_OF_ARRAY) { world.completed += "${array.id}/$it" }
-        repeat(done.taskCount) { world.completed += "${done.id}/$it" }
-        repeat(3) { world.startNode(it) }
+        repeat(DONE_OF_ARRAY) { world.completedTasks += "${array.id}/$it" }
+        repeat(done.taskCount) { world.completedTasks += "${done.id}/$it" }
+        repeat(3) { world.startController(it) }
         listOf(array, gang, dependent, cancelled, done).forEach { world.users.submit(it, null) }
         delay(200_000)
     }
@@ -42,7 +42,7 @@
     private fun runUnknownJob(world: SimWorld) {
         val unknown = SimJob("req-990000", "north", 1, 1.0, false, false, false, true, 300_000_000)
         world.jobs[unknown.id] = unknown
-        world.workers.values.first().inject(unknown)
+        world.workers.values.first().startUnrecordedTask(unknown)
     }
 
     @ParameterizedTest
@@ -54,7 +54,7 @@
             listOf("done", "done", "done", "withdrawn", "done"),
             listOf(array, gang, dependent, cancelled, done).map { it.acknowledgedStatus },
         )
-        assertEquals(array.taskCount - DONE_OF_ARRAY + gang.taskCount + dependent.taskCount, world.starts)
+        assertEquals(array.taskCount - DONE_OF_ARRAY + gang.taskCount + dependent.taskCount, world.startCount)
         assertEquals(emptySet<String>(), world.store.keysUnder("o/") + world.store.keysUnder("w/"))
     }
 
