--- a/src/main/kotlin/linemast/admission/AdmissionController.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionController.kt
@@ -14,10 +14,10 @@
         private set
 
     /** Applies a plan that was read from the store; one that is older than the plan in force changes nothing. */
-    fun apply(next: AdmissionPlan) {
-        val isNewer = compareValuesBy(next, plan, AdmissionPlan::fencingToken, AdmissionPlan::epoch) > 0
+    fun apply(newPlan: AdmissionPlan) {
+        val isNewer = compareValuesBy(newPlan, plan, AdmissionPlan::fencingToken, AdmissionPlan::epoch) > 0
         if (!isNewer) return
-        plan = next
+        plan = newPlan
         appliedMicros = clock.nowMicros()
     }
 
--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -34,7 +34,7 @@
     private val logger = LoggerFactory.getLogger(AdmissionFollower::class.java)
     private val demandKey = AdmissionCodec.demandKey(nodeName)
     private var demandRevision = NO_REVISION
-    private var hasReported = false
+    private var hasReportedHighDemand = false
 
     /** Follows the plan and reports demand in [scope], until that is cancelled. */
     fun start(scope: CoroutineScope) {
@@ -80,8 +80,8 @@
             val demands = controller.demands()
             val isLow = demands.values.sumOf { it.offeredRate } < minReportedRate && demands.values.none { it.deferredJobs > 0 }
             // One report of low demand replaces the last one of high demand.
-            if (isLow && !hasReported) continue
-            hasReported = !isLow
+            if (isLow && !hasReportedHighDemand) continue
+            hasReportedHighDemand = !isLow
             storeResultOrNull(logger) { put(reportWithinLimit(demands)) }
         }
     }
--- a/src/main/kotlin/linemast/admission/AdmissionLeader.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionLeader.kt
@@ -33,7 +33,7 @@
 ) {
     private val logger = LoggerFactory.getLogger(AdmissionLeader::class.java)
     private val planner = AdmissionPlanner(settings, capacity)
-    private val demandTable = DemandTable(settings.epochMicros * VALID_EPOCHS)
+    private val demandTable = DemandTable(settings.epochMicros * REPORT_VALID_EPOCHS)
     private var plan = AdmissionPlan.UNLIMITED
     private var planRevision = NO_REVISION
     private var plannedMicros = 0L
@@ -59,7 +59,7 @@
     private suspend fun planEpoch() {
         val now = clock.nowMicros()
         demandTable.update(store.listAll(AdmissionCodec.DEMAND_PREFIX).entries, now)
-        val ranges = planner.next(plan.ranges, demandTable.demands(now), openJobs(), now - plannedMicros)
+        val ranges = planner.planRanges(plan.ranges, demandTable.demands(now), openJobs(), now - plannedMicros)
         if (ranges.isEmpty() && plan.ranges.isEmpty()) {
             plannedMicros = now
             return
@@ -94,7 +94,7 @@
         val RETRY = RetryPolicy(delayMillis = 500L)
 
         /** The demand of a controller that has not reported for so many epochs counts as none. */
-        const val VALID_EPOCHS = 3
+        const val REPORT_VALID_EPOCHS = 3
 
         /** The precondition that a key is absent. */
         const val NO_REVISION = 0L
--- a/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
@@ -16,19 +16,19 @@
     private val corrections = HashMap<Flow, Double>()
 
     /** The ranges of the next plan, [elapsedMicros] after the one with [ranges]. */
-    fun next(
+    fun planRanges(
         ranges: Map<Flow, HashRange>,
         demands: Map<Flow, FlowDemand>,
         openJobs: Map<Flow, Int>,
         elapsedMicros: Long,
     ): Map<Flow, HashRange> {
-        val wantedRates = demands.mapValues { (_, demand) -> demand.offeredRate + demand.deferredJobs / WORK_OFF_SECONDS }
-        val allowedRates = allowedRates(wantedRates, openJobs)
+        val requestedRates = demands.mapValues { (_, demand) -> demand.offeredRate + demand.deferredJobs / BACKLOG_DRAIN_SECONDS }
+        val allowedRates = allowedRates(requestedRates, openJobs)
         val next = LinkedHashMap<Flow, HashRange>()
         for ((flow, demand) in demands) {
             val range = ranges[flow]
             val allowedRate = allowedRates.getValue(flow)
-            if (!isLimited(wantedRates.getValue(flow), allowedRate, wasLimited = range != null)) continue
+            if (!isLimited(requestedRates.getValue(flow), allowedRate, wasLimited = range != null)) continue
             nextRange(flow, demand, allowedRate, range, elapsedMicros)?.let { next[flow] = it }
         }
         corrections.keys.retainAll(next.keys)
@@ -36,17 +36,17 @@
     }
 
     /** A flow that was limited stays so a little longer: its deferred jobs were told when to retry. */
-    private fun isLimited(wantedRate: Double, allowedRate: Double, wasLimited: Boolean): Boolean =
-        wantedRate > if (wasLimited) allowedRate * RELEASE_SHARE else allowedRate
+    private fun isLimited(requestedRate: Double, allowedRate: Double, wasLimited: Boolean): Boolean =
+        requestedRate > if (wasLimited) allowedRate * RELEASE_SHARE else allowedRate
 
-    private fun allowedRates(wantedRates: Map<Flow, Double>, openJobs: Map<Flow, Int>): Map<Flow, Double> {
-        val fairRates = MaxMinFairShare.allocateToFlows(capacity, wantedRates)
-        val flows = wantedRates.keys + openJobs.keys
-        val backlog = flows.associateWith { (openJobs[it] ?: 0) + (wantedRates[it] ?: 0.0) * WORK_OFF_SECONDS }
+    private fun allowedRates(requestedRates: Map<Flow, Double>, openJobs: Map<Flow, Int>): Map<Flow, Double> {
+        val fairRates = MaxMinFairShare.allocateToFlows(capacity, requestedRates)
+        val flows = requestedRates.keys + openJobs.keys
+        val backlog = flows.associateWith { (openJobs[it] ?: 0) + (requestedRates[it] ?: 0.0) * BACKLOG_DRAIN_SECONDS }
         val fairBacklog = MaxMinFairShare.allocateToFlows(settings.maxOpenJobs.toDouble(), backlog)
-        return wantedRates.keys.associateWith { flow ->
+        return requestedRates.keys.associateWith { flow ->
             val allowedJobs = fairBacklog.getValue(flow) - (openJobs[flow] ?: 0)
-            maxOf(MIN_RATE, minOf(fairRates.getValue(flow), allowedJobs / WORK_OFF_SECONDS))
+            maxOf(MIN_RATE, minOf(fairRates.getValue(flow), allowedJobs / BACKLOG_DRAIN_SECONDS))
         }
     }
 
@@ -58,7 +58,7 @@
         val ringShare = allowedRate / maxOf(reachedJobs, MIN_RATE) * correction(flow, demand, allowedRate, range)
         if (ringShare * dwellSeconds >= 1.0) return null
         val rate = (ringShare * HashRing.SIZE).toLong().coerceAtLeast(1)
-        val position = range?.after(elapsedMicros)?.position ?: 0L
+        val position = range?.advancedBy(elapsedMicros)?.position ?: 0L
         return HashRange(position, length = rate * settings.dwellMicros / SECOND_MICROS, rate = rate)
     }
 
@@ -76,7 +76,7 @@
 
     private companion object {
         /** Deferred jobs are admitted within this time, as far as the capacity allows. */
-        const val WORK_OFF_SECONDS = 30.0
+        const val BACKLOG_DRAIN_SECONDS = 30.0
 
         /** However much others ask for, each flow is admitted at this rate at least, so that nothing waits for ever. */
         const val MIN_RATE = 0.2
--- a/src/main/kotlin/linemast/admission/DemandMeter.kt
+++ b/src/main/kotlin/linemast/admission/DemandMeter.kt
@@ -17,7 +17,7 @@
 
     /** A submission of job [id] that is not known to have been accepted before has come. */
     fun recordOffered(flow: Flow, id: String, nowMicros: Long) {
-        forgetOld(nowMicros)
+        evictOld(nowMicros)
         submissions.getOrPut(id) { Submission(flow, nowMicros) }
     }
 
@@ -29,7 +29,7 @@
 
     /** The recent demand of each flow. */
     fun demands(nowMicros: Long): Map<Flow, FlowDemand> {
-        forgetOld(nowMicros)
+        evictOld(nowMicros)
         val since = nowMicros - RATE_WINDOW_SECONDS * SECOND_MICROS
         return submissions.values.groupBy { it.flow }.mapValues { (_, ofFlow) ->
             FlowDemand(
@@ -40,7 +40,7 @@
         }
     }
 
-    private fun forgetOld(nowMicros: Long) {
+    private fun evictOld(nowMicros: Long) {
         val oldestFirst = submissions.values.iterator()
         while (oldestFirst.hasNext()) {
             val oldest = oldestFirst.next()
--- a/src/main/kotlin/linemast/admission/DemandTable.kt
+++ b/src/main/kotlin/linemast/admission/DemandTable.kt
@@ -10,18 +10,18 @@
  * @param validMicros a report that has not been replaced for this long does not count any more.
  */
 internal class DemandTable(private val validMicros: Long) {
-    private class Row(val revision: Long, val readMicros: Long, val report: DemandReport)
+    private class ReadReport(val revision: Long, val readMicros: Long, val report: DemandReport)
 
     private val logger = LoggerFactory.getLogger(DemandTable::class.java)
-    private val rows = HashMap<String, Row>()
+    private val reports = HashMap<String, ReadReport>()
 
     /** Updates the table with [entries], all reports that the store holds at [nowMicros]. */
     fun update(entries: List<Entry>, nowMicros: Long) {
-        rows.keys.retainAll(entries.mapTo(HashSet()) { it.key })
+        reports.keys.retainAll(entries.mapTo(HashSet()) { it.key })
         for (entry in entries) {
-            if (rows[entry.key]?.revision == entry.revision) continue
+            if (reports[entry.key]?.revision == entry.revision) continue
             try {
-                rows[entry.key] = Row(entry.revision, nowMicros, AdmissionCodec.decodeDemand(entry.value))
+                reports[entry.key] = ReadReport(entry.revision, nowMicros, AdmissionCodec.decodeDemand(entry.value))
             } catch (e: MalformedException) {
                 logger.error("{}: malformed demand report: {}", entry.key, e.message)
             }
@@ -29,7 +29,7 @@
     }
 
     /** The sums of all valid reports. */
-    fun demands(nowMicros: Long): Map<Flow, FlowDemand> = rows.values
+    fun demands(nowMicros: Long): Map<Flow, FlowDemand> = reports.values
         .filter { nowMicros - it.readMicros < validMicros }
         .map { it.report.demands }
         .sumByFlow()
--- a/src/main/kotlin/linemast/admission/FlowRoundRobin.kt
+++ b/src/main/kotlin/linemast/admission/FlowRoundRobin.kt
@@ -13,7 +13,7 @@
     private var turns = 0L
 
     /** The jobs among [waiting] that go next, in order. [waiting] holds the jobs of each flow in the order in which they go. */
-    fun next(waiting: List<Job>): List<Job> {
+    fun selectNext(waiting: List<Job>): List<Job> {
         val byFlow = waiting.groupBy { flows.flowOf(it.spec) }
         lastTurns.keys.retainAll(byFlow.keys)
         val leastRecentFirst = byFlow.entries.sortedBy { lastTurns[it.key] ?: NEVER }.map { it.value }
@@ -21,7 +21,7 @@
     }
 
     /** [job] has been started. */
-    fun recordServed(job: Job) {
+    fun recordStarted(job: Job) {
         lastTurns[flows.flowOf(job.spec)] = ++turns
     }
 
--- a/src/main/kotlin/linemast/admission/HashRange.kt
+++ b/src/main/kotlin/linemast/admission/HashRange.kt
@@ -15,7 +15,7 @@
     fun secondsUntil(other: Long): Long = (HashRing.distance(position, other) + rate - 1) / rate
 
     /** The range [micros] later. */
-    fun after(micros: Long): HashRange {
+    fun advancedBy(micros: Long): HashRange {
         val distance = (rate * (micros / 1e6)).toLong().coerceAtMost(HashRing.SIZE)
         return copy(position = HashRing.advance(position, distance))
     }
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -22,7 +22,7 @@
     /** Serves until it is cancelled; the store client, the servers and the node are its children. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
-        val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllers, clock)
+        val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllerCount, clock)
         val node = Node(
             configuration = configuration,
             store = store,
--- a/src/main/kotlin/linemast/app/HealthCheck.kt
+++ b/src/main/kotlin/linemast/app/HealthCheck.kt
@@ -21,7 +21,7 @@
      * controller: in an outage of the store itself, taking all controllers out would only delay the return.
      */
     private fun isHealthy(): Boolean =
-        machineTypes.types != null && (healthProbe.failingForMicros(clock.nowMicros()) < UNHEALTHY_MICROS || !peerView.peerReachesStore)
+        machineTypes.types != null && (healthProbe.failingForMicros(clock.nowMicros()) < UNHEALTHY_MICROS || !peerView.anyPeerReachesStore)
 
     private companion object {
         /** Longer than an outage takes to show in the status of peers: a second between probes, one between statuses. */
--- a/src/main/kotlin/linemast/app/InspectionCommand.kt
+++ b/src/main/kotlin/linemast/app/InspectionCommand.kt
@@ -39,7 +39,7 @@
         val loop = EventLoop()
         var report: IntentReport? = null
         loop.run {
-            val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllers, SteadyClock)
+            val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllerCount, SteadyClock)
             report = IntentInspection(store, duties) { System.currentTimeMillis() * MICROS_PER_MILLI }.report()
         }
         return checkNotNull(report) { "the event loop ended without a report" }
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -42,7 +42,8 @@
     private val features = configuration.features
     private val leaderView = LeaderView()
     private val peerView = PeerView(clock)
-    private val degradedModeMicros = LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros)
+    private val degradedModeMicros =
+        LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancellationDeadlineMicros)
     private val healthProbe = StoreHealthProbe(store, clock)
     private val machineTypes = MachineTypeCatalog(store, cloud)
     private val leaderEnvironment = LeaderEnvironment(configuration, store, cloud, clock, wallMicros, peerView, machineTypes::types)
@@ -91,7 +92,7 @@
         settings = JobServiceSettings(
             teams = settings.teams.associateBy { it.name },
             maxValueBytes = settings.storeLimits.maxValueBytes,
-            cancellationMicros = settings.workers.cancelMicros,
+            cancellationMicros = settings.workers.cancellationDeadlineMicros,
         ),
         store = store,
         scope = scope,
@@ -105,7 +106,7 @@
     private fun startAdmission() {
         val admission = features.admission ?: return
         val controller = admissionController ?: return
-        val reportThreshold = admission.capacity(settings.storeLimits) / (settings.controllers * REPORT_THRESHOLD_DIVISOR)
+        val reportThreshold = admission.submissionCapacity(settings.storeLimits) / (settings.controllerCount * REPORT_THRESHOLD_DIVISOR)
         AdmissionFollower(store, controller, admission, settings.nodeName, settings.storeLimits.maxValueBytes, reportThreshold).start(scope)
     }
 
--- a/src/main/kotlin/linemast/app/PeerStatusExchange.kt
+++ b/src/main/kotlin/linemast/app/PeerStatusExchange.kt
@@ -41,7 +41,7 @@
         leaderView.observeFencingToken(status.fencingToken)
         val isFromLeader = status.isLeader && status.fencingToken >= leaderView.highestFencingToken
         if (isFromLeader && leaderView.ownLease == null) leaderView.leaderName = status.node
-        peerView.received(status)
+        peerView.recordStatus(status)
         leaderLifecycle.leader?.peerObservedToken(status.node, status.fencingToken)
     }
 
--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -25,9 +25,9 @@
     private val missingMachines = MissingMachines(cluster, fleet)
     private val demand = DemandMonitor()
     private val constraints = ScaleOutConstraints(::maxSlots, cluster::isExcluded)
-    private val fullPlanTimer = IntervalTimer(policy.longIntervalMicros)
+    private val fullPlanTimer = IntervalTimer(policy.fullPlanIntervalMicros)
     private val newJobsTimer = IntervalTimer(NEW_JOBS_MICROS)
-    private val scalingTimer = IntervalTimer(policy.shortIntervalMicros)
+    private val scalingTimer = IntervalTimer(policy.scalingIntervalMicros)
 
     /** Whether all jobs were planned anew since the owner of the stored plans has reset this. */
     var hasNewPlan = false
--- a/src/main/kotlin/linemast/control/LeaderComponents.kt
+++ b/src/main/kotlin/linemast/control/LeaderComponents.kt
@@ -37,7 +37,7 @@
         settings,
         ClusterTerm(
             term.lease.fencingToken,
-            LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancelMicros),
+            LeaderLease.degradedModeMicros(settings.workers.leaseMicros, settings.workers.cancellationDeadlineMicros),
         ),
         effects,
         times,
@@ -61,7 +61,7 @@
             term.clock,
             term.lease,
             it,
-            it.capacity(limits),
+            it.submissionCapacity(limits),
             limits.maxValueBytes,
             jobStatistics::unfinishedJobsByFlow,
         )
--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -20,14 +20,14 @@
     private var isAdding = false
 
     /** The machines that the store holds; those of unknown types are left out. */
-    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.PREFIX).entries, cluster.machineTypes)
+    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.KEY_PREFIX).entries, cluster.machineTypes)
 
     /** Stores [machines] and calls [onStored] in the leader's event loop; does nothing while an earlier call is under way. */
     fun add(machines: List<Machine>, onStored: () -> Unit) {
         if (isAdding) return
         isAdding = true
         term.scope.launch {
-            val stored = write { registry.with(machines) }
+            val stored = write { registry.register(machines) }
             term.loop.run {
                 isAdding = false
                 if (stored) onStored()
@@ -37,7 +37,7 @@
 
     /** Deletes the machines with [names] from the list; a failure leaves them there. */
     fun remove(names: List<String>) {
-        term.scope.launch { write { registry.without(names) } }
+        term.scope.launch { write { registry.unregister(names) } }
     }
 
     /** Writes one change of the list at a time; after a write without a definite result the list is read again. */
@@ -46,7 +46,7 @@
             val preconditions = listOf(Precondition(key, registry.revisionOf(key)))
             val result = storeResultOrNull(log) { term.commit(preconditions, listOf(Write.Put(key, value))) }
             if (result is TermCommitResult.Applied) {
-                registry.written(key, result.revision)
+                registry.recordWritten(key, result.revision)
             } else {
                 storeResultOrNull(log) { load() }
                 return@withLock false
--- a/src/main/kotlin/linemast/control/StepDownPolicy.kt
+++ b/src/main/kotlin/linemast/control/StepDownPolicy.kt
@@ -20,7 +20,7 @@
      * here until their own leases expire.
      */
     private fun stepDownIfWorkersAreLost(nowMicros: Long) {
-        if (!cluster.areMostHeartbeatsMissing(nowMicros) || !peers.peerReceivesHeartbeats) return
+        if (!cluster.areMostHeartbeatsMissing(nowMicros) || !peers.anyPeerReceivesHeartbeats) return
         log.info("stepping down: workers send their heartbeats to other controllers and do not get through here")
         lease.stepDown()
     }
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -19,7 +19,7 @@
     fun encode(intent: Intent): Map<String, Any?> = buildMap {
         put("helm", intent.id.fencingToken)
         put("n", intent.id.number)
-        put("duty", intent.action.duty.stored)
+        put("duty", intent.action.duty.storedName)
         put("state", intent.state.stored)
         put("at_us", intent.decidedWallMicros)
         put("count", intent.machineCount)
--- a/src/main/kotlin/linemast/duties/IntentInspection.kt
+++ b/src/main/kotlin/linemast/duties/IntentInspection.kt
@@ -15,7 +15,7 @@
         val tokenCounter = store.get(LeaderKeys.FENCING_TOKEN)
         val leadership = LeadershipSnapshotCodec.decode(leader?.value, tokenCounter?.value)
         val intents = log.intents.map { it.intent }
-        val findings = IntentAudit(settings.scaleOutRetryMicros).check(intents, leadership, wallMicros())
+        val findings = IntentAudit(settings.scaleOutRetryTimeoutMicros).check(intents, leadership, wallMicros())
         return IntentReport(intents, leadership, findings)
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentReport.kt
+++ b/src/main/kotlin/linemast/duties/IntentReport.kt
@@ -29,7 +29,7 @@
 
     private fun cells(intent: Intent): List<String> = listOf(
         intent.id.toString(),
-        intent.action.duty.stored,
+        intent.action.duty.storedName,
         intent.state.stored,
         timestamp(intent.decidedWallMicros),
         intent.closedByToken?.toString() ?: "",
--- a/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
+++ b/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
@@ -44,7 +44,7 @@
             "{} open actions of previous leaders: {}",
             pending.size,
             pending.map {
-                "${it.intent.action.duty.stored} ${it.intent.id}"
+                "${it.intent.action.duty.storedName} ${it.intent.id}"
             },
         )
         for (stored in pending) {
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -34,7 +34,7 @@
     private val writer = IntentWriter(store, leaderLease, settings.slots, limits.maxTxnOps, wallMicros)
 
     /** Carries out what this term, or a previous one, has committed. */
-    val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.scaleOutRetryMicros)
+    val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.scaleOutRetryTimeoutMicros)
 
     /** Open intents of previous terms, as [load] has read them. */
     val openIntentsOfPreviousLeaders: List<StoredIntent>
--- a/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
+++ b/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
@@ -13,7 +13,7 @@
  * @property maxRenewalStalenessMicros greatest age of the view at which a lease may be renewed.
  */
 class CancellationFreshness(private val maxRenewalStalenessMicros: Long) {
-    constructor(workers: WorkerSettings) : this(maxRenewalStalenessMicros(workers.leaseMicros, workers.cancelMicros))
+    constructor(workers: WorkerSettings) : this(maxRenewalStalenessMicros(workers.leaseMicros, workers.cancellationDeadlineMicros))
 
     /** When the latest complete read of the store was sent; null before the first. */
     var freshAsOfMicros: Long? = null
--- a/src/main/kotlin/linemast/peers/PeerLinks.kt
+++ b/src/main/kotlin/linemast/peers/PeerLinks.kt
@@ -33,28 +33,28 @@
 
     /** Sends and receives statuses until [scope] is cancelled. */
     suspend fun run(scope: CoroutineScope) {
-        for (member in settings.members) scope.launch { keepSendingTo(member.peerAddress) }
-        Listener(loop, settings.peerListenAddress, MAX_ACCEPTED).serve(scope) { connection -> logFailure { receiveFrom(connection) } }
+        for (member in settings.members) scope.launch { sendRepeatedlyTo(member.peerAddress) }
+        Listener(loop, settings.peerListenAddress, MAX_CONNECTIONS).serve(scope) { connection -> logFailure { receiveFrom(connection) } }
     }
 
-    private suspend fun keepSendingTo(address: Address) {
+    private suspend fun sendRepeatedlyTo(address: Address) {
         while (true) {
             logFailure {
                 withTimeout(SEND_TIMEOUT_MILLIS) { connect(loop, address) }.use { sendTo(it) }
             }
-            delay(RECONNECT_MILLIS)
+            delay(RECONNECT_DELAY_MILLIS)
         }
     }
 
     private suspend fun sendTo(connection: Connection) {
         while (true) {
-            val message = frame(PeerStatusCodec.encode(currentStatus()))
+            val message = prependLength(PeerStatusCodec.encode(currentStatus()))
             withTimeout(SEND_TIMEOUT_MILLIS) { connection.write(message) }
-            delay(SEND_PERIOD_MILLIS)
+            delay(SEND_INTERVAL_MILLIS)
         }
     }
 
-    private fun frame(body: Buffer): ByteArray {
+    private fun prependLength(body: Buffer): ByteArray {
         val frame = Buffer()
         frame.writeInt(body.size.toInt())
         frame.writeAll(body)
@@ -83,9 +83,9 @@
     }
 
     private companion object {
-        const val SEND_PERIOD_MILLIS = 1_000L
-        const val RECONNECT_MILLIS = 2_000L
+        const val SEND_INTERVAL_MILLIS = 1_000L
+        const val RECONNECT_DELAY_MILLIS = 2_000L
         const val SEND_TIMEOUT_MILLIS = 5_000L
-        const val MAX_ACCEPTED = 8
+        const val MAX_CONNECTIONS = 8
     }
 }
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -15,10 +15,10 @@
      * Whether the key-value store answers another controller, by the latest status of each: an earlier one, from before
      * an outage, must not make all controllers report themselves unhealthy when the outage begins.
      */
-    val peerReachesStore: Boolean get() = freshStatuses().any { it.reachesStore }
+    val anyPeerReachesStore: Boolean get() = freshStatuses().any { it.reachesStore }
 
     /** Whether workers send their heartbeats to another controller. */
-    val peerReceivesHeartbeats: Boolean get() = freshStatuses().any { it.receivesHeartbeats }
+    val anyPeerReceivesHeartbeats: Boolean get() = freshStatuses().any { it.receivesHeartbeats }
 
     /** Whether a status of any other controller has arrived lately. */
     val hasReachablePeer: Boolean get() = freshStatuses().isNotEmpty()
@@ -29,7 +29,7 @@
     }
 
     /** Takes in a [status] that has just arrived from another controller. */
-    fun received(status: PeerStatus) {
+    fun recordStatus(status: PeerStatus) {
         val received = ReceivedStatus(status, clock.nowMicros())
         latestByNode[status.node] = received
         if (!status.isLeader) return
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -32,12 +32,12 @@
     /** Whether [job] has to end clearly sooner than its plan says: a job that depends on it was accepted after it was planned. */
     fun isOutdated(job: Job): Boolean {
         val plan = plans[job.id] ?: return false
-        return deadlineWallMicros(job) < plan.deadlineWallMicros - policy.shortIntervalMicros
+        return deadlineWallMicros(job) < plan.deadlineWallMicros - policy.scalingIntervalMicros
     }
 
     /** Plans jobs in the order of the [request], all of them anew or only those without a plan that still holds; then stages. */
     fun plan(request: PlanningRequest) {
-        val horizon = PlanningHorizon(request.nowMicros, policy.longIntervalMicros, INTERVALS)
+        val horizon = PlanningHorizon(request.nowMicros, policy.fullPlanIntervalMicros, INTERVALS)
         val forecast = BaselineForecast(request.baselineMachines, horizon, runTimes, request.isExcluded)
         val jobPlanner = JobPlanner(forecast, runTimes, horizon)
         for (job in request.jobs) {
--- a/src/main/kotlin/linemast/recovery/StateReconciliation.kt
+++ b/src/main/kotlin/linemast/recovery/StateReconciliation.kt
@@ -14,10 +14,10 @@
  */
 class StateReconciliation(settings: RecoverySettings) {
     private val logger = LoggerFactory.getLogger(StateReconciliation::class.java)
-    private val commandTokens = TokenBucket(settings.ordersPerSecond)
+    private val commandTokens = TokenBucket(settings.commandsPerSecond)
 
     /** Jobs that workers report and the leader does not know. */
-    val unknownJobs = UnknownJobs(settings.confirmMicros, LOOKUP_TIMEOUT_MICROS)
+    val unknownJobs = UnknownJobs(settings.confirmationDelayMicros, LOOKUP_TIMEOUT_MICROS)
 
     /** Counts of differences and commands until the reconciliation is complete. */
     val statistics = ReconciliationStatistics()
--- a/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/linemast/scheduling/StarvationGuard.kt
@@ -61,7 +61,7 @@
      */
     private fun selectArrays(starving: List<Job>): List<Job> {
         if (roundRobin == null) return starving
-        val selected = roundRobin.next(starving.filter { !it.spec.isGang })
+        val selected = roundRobin.selectNext(starving.filter { !it.spec.isGang })
         val selectedSet = selected.toSet()
         val nextSelected = selected.iterator()
         return starving.mapNotNull { job ->
@@ -73,7 +73,7 @@
 
     private fun placeFirstTasks(job: Job, cycle: SchedulingCycle) {
         arrays.place(job, cycle, maxTasks = FIRST_TASKS)
-        if (job.placements.isNotEmpty()) roundRobin?.recordServed(job)
+        if (job.placements.isNotEmpty()) roundRobin?.recordStarted(job)
     }
 
     private fun needsReservation(gang: Job): Boolean = gang.placements.isEmpty() && gang.pendingReason != PendingReason.QuotaLimit
--- a/src/main/kotlin/linemast/settings/AdmissionSettings.kt
+++ b/src/main/kotlin/linemast/settings/AdmissionSettings.kt
@@ -16,17 +16,17 @@
     val epochMicros: Long = DEFAULT_EPOCH_MICROS,
     val dwellMicros: Long = DEFAULT_DWELL_MICROS,
     val intakeShare: Double = DEFAULT_INTAKE_SHARE,
-    val maxOpenJobs: Int = DEFAULT_OPEN_JOBS,
+    val maxOpenJobs: Int = DEFAULT_MAX_OPEN_JOBS,
 ) {
     /** Submissions a second that the store has capacity for. */
-    fun capacity(limits: StoreLimits): Double = limits.maxWriteRps * intakeShare / WRITES_PER_JOB
+    fun submissionCapacity(limits: StoreLimits): Double = limits.maxWriteRps * intakeShare / WRITES_PER_JOB
 
     /** Reads the file that enables fair admission. */
     companion object {
         private const val DEFAULT_EPOCH_MICROS = 2 * SECOND_MICROS
         private const val DEFAULT_DWELL_MICROS = 12 * SECOND_MICROS
         private const val DEFAULT_INTAKE_SHARE = 0.7
-        private const val DEFAULT_OPEN_JOBS = 6_000
+        private const val DEFAULT_MAX_OPEN_JOBS = 6_000
 
         /** Of a job of one task: its outcome and record at the submission, the note that it may start, and both again at its end. */
         private const val WRITES_PER_JOB = 5
@@ -44,12 +44,12 @@
 
         /** Reads and checks the table of settings. */
         fun from(fields: Fields): AdmissionSettings {
-            fields.refuseUnknown(FIELDS)
+            fields.rejectUnknownFields(FIELDS)
             return AdmissionSettings(
                 epochMicros = fields.durationOrNull("epoch_s", MIN_EPOCH_SECONDS, MAX_EPOCH_SECONDS) ?: DEFAULT_EPOCH_MICROS,
                 dwellMicros = fields.durationOrNull("dwell_s", MIN_DWELL_SECONDS, MAX_DWELL_SECONDS) ?: DEFAULT_DWELL_MICROS,
                 intakeShare = fields.numberOrNull("intake_share", MIN_SHARE, 1.0) ?: DEFAULT_INTAKE_SHARE,
-                maxOpenJobs = fields.countOrNull("most_open_jobs", MIN_OPEN_JOBS..MAX_OPEN_JOBS) ?: DEFAULT_OPEN_JOBS,
+                maxOpenJobs = fields.countOrNull("most_open_jobs", MIN_OPEN_JOBS..MAX_OPEN_JOBS) ?: DEFAULT_MAX_OPEN_JOBS,
             )
         }
     }
--- a/src/main/kotlin/linemast/settings/Duty.kt
+++ b/src/main/kotlin/linemast/settings/Duty.kt
@@ -1,7 +1,7 @@
 package linemast.settings
 
-/** A kind of cloud action that only the current leader may begin; [stored] is its name in the store and in settings. */
-enum class Duty(val stored: String) {
+/** A kind of cloud action that only the current leader may begin; [storedName] is its name in the store and in settings. */
+enum class Duty(val storedName: String) {
     /** Adding machines. */
     SCALE_OUT("rent"),
 
@@ -17,9 +17,9 @@
 
     /** Lookup by the stored name. */
     companion object {
-        private val byStored = entries.associateBy { it.stored }
+        private val byStoredName = entries.associateBy { it.storedName }
 
-        /** The duty stored as [stored]; null if there is none. */
-        fun of(stored: String): Duty? = byStored[stored]
+        /** The duty stored as [storedName]; null if there is none. */
+        fun of(storedName: String): Duty? = byStoredName[storedName]
     }
 }
--- a/src/main/kotlin/linemast/settings/DutySettings.kt
+++ b/src/main/kotlin/linemast/settings/DutySettings.kt
@@ -8,12 +8,12 @@
  * The operators' settings of the intent log; the defaults apply to whatever their file leaves out.
  *
  * @property slots number of intents kept in the store, closed ones included.
- * @property scaleOutRetryMicros how long a scale-out request without an answer is repeated, counted across leaders.
+ * @property scaleOutRetryTimeoutMicros how long a scale-out request without an answer is repeated, counted across leaders.
  * @property suspended duties of which no new action is begun.
  */
 class DutySettings(
     val slots: Int = DEFAULT_SLOTS,
-    val scaleOutRetryMicros: Long = DEFAULT_RETRY_MICROS,
+    val scaleOutRetryTimeoutMicros: Long = DEFAULT_RETRY_TIMEOUT_MICROS,
     val suspended: Set<Duty> = emptySet(),
 ) {
     /** Defaults, limits and the reading of settings. */
@@ -21,9 +21,9 @@
         private const val DEFAULT_SLOTS = 128
         private const val MIN_SLOTS = 16
         private const val MAX_SLOTS = 1_000
-        private const val DEFAULT_RETRY_MICROS = 30 * SECOND_MICROS
-        private const val MIN_RETRY_SECONDS = 1.0
-        private const val MAX_RETRY_SECONDS = 600.0
+        private const val DEFAULT_RETRY_TIMEOUT_MICROS = 30 * SECOND_MICROS
+        private const val MIN_RETRY_TIMEOUT_SECONDS = 1.0
+        private const val MAX_RETRY_TIMEOUT_SECONDS = 600.0
         private val FIELDS = setOf("slots", "adopt_within_s", "suspended")
 
         /** Reads and checks the file that enables the intent log; throws a [SettingsException] for invalid settings. */
@@ -31,10 +31,11 @@
 
         /** Reads and checks the table of settings; throws a `MalformedException` for invalid ones. */
         fun from(fields: Fields): DutySettings {
-            fields.refuseUnknown(FIELDS)
+            fields.rejectUnknownFields(FIELDS)
             return DutySettings(
                 slots = fields.countOrNull("slots", MIN_SLOTS..MAX_SLOTS) ?: DEFAULT_SLOTS,
-                scaleOutRetryMicros = fields.durationOrNull("adopt_within_s", MIN_RETRY_SECONDS, MAX_RETRY_SECONDS) ?: DEFAULT_RETRY_MICROS,
+                scaleOutRetryTimeoutMicros = fields.durationOrNull("adopt_within_s", MIN_RETRY_TIMEOUT_SECONDS, MAX_RETRY_TIMEOUT_SECONDS)
+                    ?: DEFAULT_RETRY_TIMEOUT_MICROS,
                 suspended = suspended(fields),
             )
         }
--- a/src/main/kotlin/linemast/settings/FeatureFile.kt
+++ b/src/main/kotlin/linemast/settings/FeatureFile.kt
@@ -15,7 +15,7 @@
     /** What [decode] makes of the table [name] of a file's text; throws a `MalformedException` for any other content. */
     fun <T> parse(text: String, name: String, decode: (Fields) -> T): T {
         val root = Toml.parse(text)
-        root.refuseUnknown(setOf(name))
+        root.rejectUnknownFields(setOf(name))
         return decode(root.child(name))
     }
 }
--- a/src/main/kotlin/linemast/settings/FieldChecks.kt
+++ b/src/main/kotlin/linemast/settings/FieldChecks.kt
@@ -8,7 +8,7 @@
 private const val MAX_COUNT = 1_000_000
 
 /** Refuses a table with a field that is not in [known]. */
-internal fun Fields.refuseUnknown(known: Set<String>) {
+internal fun Fields.rejectUnknownFields(known: Set<String>) {
     val unknown = map.keys.firstOrNull { it !in known } ?: return
     fail(unknown, "is not a setting")
 }
--- a/src/main/kotlin/linemast/settings/PolicyScript.kt
+++ b/src/main/kotlin/linemast/settings/PolicyScript.kt
@@ -11,8 +11,8 @@
     private class Setting(val min: Double, val max: Double, val applyTo: (policy: Policy, value: Double) -> Policy)
 
     private val settings = mapOf(
-        "long_interval_s" to duration(10.0, 3_600.0) { copy(longIntervalMicros = it) },
-        "short_interval_s" to duration(1.0, 600.0) { copy(shortIntervalMicros = it) },
+        "long_interval_s" to duration(10.0, 3_600.0) { copy(fullPlanIntervalMicros = it) },
+        "short_interval_s" to duration(1.0, 600.0) { copy(scalingIntervalMicros = it) },
         "idle_return_s" to duration(1.0, 86_400.0) { copy(idleScaleInMicros = it) },
         "owned_idle_return_s" to duration(60.0, 31_536_000.0) { copy(baselineIdleScaleInMicros = it) },
         "leader_hold_s" to duration(1.0, 30.0) { copy(leaderLeaseMicros = it) },
--- a/src/main/kotlin/linemast/settings/Settings.kt
+++ b/src/main/kotlin/linemast/settings/Settings.kt
@@ -6,7 +6,7 @@
  * The platform's settings file, checked; see [SettingsReader]. Durations are in microseconds.
  *
  * @property nodeName name of this controller.
- * @property domain failure domain of this controller.
+ * @property failureDomain failure domain of this controller.
  * @property listenAddress where users, workers and health checks connect.
  * @property peerListenAddress where the other controllers connect.
  * @property members the other controllers.
@@ -23,7 +23,7 @@
  */
 data class Settings(
     val nodeName: String,
-    val domain: String,
+    val failureDomain: String,
     val listenAddress: Address,
     val peerListenAddress: Address,
     val members: List<Member>,
@@ -39,11 +39,11 @@
     val processLimits: ProcessLimits,
 ) {
     /** Controllers in all, this one included. */
-    val controllers: Int get() = members.size + 1
+    val controllerCount: Int get() = members.size + 1
 }
 
-/** Another controller, called [nodeName], in the failure domain [domain]; it listens for its peers at [peerAddress]. */
-class Member(val nodeName: String, val domain: String, val peerAddress: Address)
+/** Another controller, called [nodeName], in the failure domain [failureDomain]; it listens for its peers at [peerAddress]. */
+class Member(val nodeName: String, val failureDomain: String, val peerAddress: Address)
 
 /**
  * A team with its quota. A value of 0 means none.
@@ -63,14 +63,14 @@
  * @property leaseMicros a worker that has had no answer for this long ends its tasks.
  * @property gangStartTimeoutMicros a task of a gang that is not complete exits after this long.
  * @property gangPeerTimeoutMicros within this time the tasks of a gang notice that one of them is gone.
- * @property cancelMicros within this time after a confirmed cancellation no task of the job runs any more.
+ * @property cancellationDeadlineMicros within this time after a confirmed cancellation no task of the job runs any more.
  */
 class WorkerSettings(
     val heartbeatIntervalMicros: Long,
     val leaseMicros: Long,
     val gangStartTimeoutMicros: Long,
     val gangPeerTimeoutMicros: Long,
-    val cancelMicros: Long,
+    val cancellationDeadlineMicros: Long,
 )
 
 /**
@@ -96,5 +96,5 @@
 /** What the cloud takes: [rps] requests a second. Its list of machines lags behind by [listLagMicros], at times by up to twice that. */
 class CloudLimits(val rps: Double, val listLagMicros: Long)
 
-/** What the platform allows this process: [cpuShare] of one core, [memMb] MB of memory, and [fdLimit] open files and sockets. */
-class ProcessLimits(val cpuShare: Double, val memMb: Double, val fdLimit: Int)
+/** What the platform allows this process: [cpuShare] of one core, [memoryMb] MB of memory, and [fdLimit] open files and sockets. */
+class ProcessLimits(val cpuShare: Double, val memoryMb: Double, val fdLimit: Int)
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -30,7 +30,7 @@
         }
         return Settings(
             nodeName = nodeName,
-            domain = root.text("domain"),
+            failureDomain = root.text("domain"),
             listenAddress = root.address("serve_on"),
             peerListenAddress = root.address("peer_listen"),
             members = members,
@@ -86,29 +86,29 @@
             leaseMicros = fields.duration("lease_s"),
             gangStartTimeoutMicros = fields.duration("gang_wait_s"),
             gangPeerTimeoutMicros = fields.duration("gang_peer_s"),
-            cancelMicros = fields.duration("cancel_s"),
+            cancellationDeadlineMicros = fields.duration("cancel_s"),
         )
-        if (workers.cancelMicros <= workers.leaseMicros) fields.fail("cancel_s", "must be more than lease_s")
+        if (workers.cancellationDeadlineMicros <= workers.leaseMicros) fields.fail("cancel_s", "must be more than lease_s")
         return workers
     }
 
     private fun storeLimits(fields: Fields): StoreLimits {
-        val now = StoreLimits(
+        val current = StoreLimits(
             rps = fields.positive("rps"),
             writeRps = fields.positive("write_rps"),
             valueBytes = valueBytes(fields),
             txnOps = fields.count("txn_ops", MIN_TXN_OPS),
         )
-        val next = fields.childOrNull("next") ?: return now
-        return now.copy(next = nextStoreLimits(next, now))
+        val next = fields.childOrNull("next") ?: return current
+        return current.copy(next = nextStoreLimits(next, current))
     }
 
-    /** What the announcement of later limits leaves out stays as it is [now]. */
-    private fun nextStoreLimits(fields: Fields, now: StoreLimits) = StoreLimits(
-        rps = if (fields.has("rps")) fields.positive("rps") else now.rps,
-        writeRps = if (fields.has("write_rps")) fields.positive("write_rps") else now.writeRps,
-        valueBytes = if (fields.has("value_kb")) valueBytes(fields) else now.valueBytes,
-        txnOps = if (fields.has("txn_ops")) fields.count("txn_ops", MIN_TXN_OPS) else now.txnOps,
+    /** What the announcement of later limits leaves out stays as it is in [current]. */
+    private fun nextStoreLimits(fields: Fields, current: StoreLimits) = StoreLimits(
+        rps = if (fields.has("rps")) fields.positive("rps") else current.rps,
+        writeRps = if (fields.has("write_rps")) fields.positive("write_rps") else current.writeRps,
+        valueBytes = if (fields.has("value_kb")) valueBytes(fields) else current.valueBytes,
+        txnOps = if (fields.has("txn_ops")) fields.count("txn_ops", MIN_TXN_OPS) else current.txnOps,
     )
 
     private fun valueBytes(fields: Fields): Int = (fields.atLeast("value_kb", MIN_VALUE_KIB) * BYTES_PER_KIB).toInt()
--- a/src/main/kotlin/linemast/workers/ChunkPacking.kt
+++ b/src/main/kotlin/linemast/workers/ChunkPacker.kt
@@ -1,7 +1,7 @@
 package linemast.workers
 
 /** Packs the entries of the machine registry into chunks that each fit a stored value of [maxValueBytes]. */
-internal class ChunkPacking(private val maxValueBytes: Int) {
+internal class ChunkPacker(private val maxValueBytes: Int) {
     private val chunks = ArrayList<RegistryChunk>()
 
     operator fun get(index: Int): RegistryChunk = chunks[index]
--- a/src/main/kotlin/linemast/workers/MachineRegistry.kt
+++ b/src/main/kotlin/linemast/workers/MachineRegistry.kt
@@ -12,7 +12,7 @@
  * `maxValueBytes`; a chunk that was stored larger is split when it is written again.
  */
 class MachineRegistry(maxValueBytes: Int) {
-    private val chunks = ChunkPacking(maxValueBytes)
+    private val chunks = ChunkPacker(maxValueBytes)
     private val revisions = HashMap<String, Long>()
 
     /** Replaces the known chunks by the stored ones and returns the machines in them. */
@@ -20,7 +20,7 @@
         chunks.clear()
         revisions.clear()
         val machines = LinkedHashMap<String, Machine>()
-        for (entry in entries.sortedBy { it.key.removePrefix(PREFIX).toInt() }) {
+        for (entry in entries.sortedBy { it.key.removePrefix(KEY_PREFIX).toInt() }) {
             chunks.append(readChunk(entry, types, machines))
             revisions[entry.key] = entry.revision
         }
@@ -40,25 +40,25 @@
     }
 
     /** Adds or updates [machines]; the changed chunks by key, in the order in which they have to be written. */
-    fun with(machines: List<Machine>): Map<String, Map<String, Any?>> =
+    fun register(machines: List<Machine>): Map<String, Map<String, Any?>> =
         changedValues(machines.mapTo(LinkedHashSet()) { chunks.put(it.name, MachineRegistryCodec.encode(it)) })
 
     /** Removes machines that run nothing any more; the changed chunks by key, in the order in which they have to be written. */
-    fun without(names: Collection<String>): Map<String, Map<String, Any?>> = changedValues(chunks.remove(names))
+    fun unregister(names: Collection<String>): Map<String, Map<String, Any?>> = changedValues(chunks.remove(names))
 
     /** The revision that a write of the chunk has to build on, so that a late write cannot undo a newer one. */
     fun revisionOf(key: String): Long = revisions[key] ?: 0L
 
     /** The chunk [key] was stored as [revision]. */
-    fun written(key: String, revision: Long) {
+    fun recordWritten(key: String, revision: Long) {
         revisions[key] = revision
     }
 
     private fun changedValues(changed: Set<Int>): Map<String, Map<String, Any?>> =
-        chunks.rebalance(changed).associate { index -> "$PREFIX$index" to chunks[index].encode() }
+        chunks.rebalance(changed).associate { index -> "$KEY_PREFIX$index" to chunks[index].encode() }
 
     companion object {
         /** Key prefix of the stored chunks, before the chunk's number. */
-        const val PREFIX = "fleet/"
+        const val KEY_PREFIX = "fleet/"
     }
 }
--- a/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
@@ -31,12 +31,12 @@
             var plan = AdmissionPlan(1, 1, mapOf(flow to range(random)))
             val roundSeconds = HashRing.SIZE / plan.ranges.getValue(flow).rate + 1
             val id = "req-%06d".format(number)
-            var waited = 0L
+            var waitedSeconds = 0L
             while (true) {
                 val decision = plan.decide(flow, id)
                 if (decision !is AdmissionDecision.Deferred) break
-                waited += decision.retryAfterSeconds
-                val next = plan.ranges.getValue(flow).after(decision.retryAfterSeconds * 1_000_000L)
+                waitedSeconds += decision.retryAfterSeconds
+                val next = plan.ranges.getValue(flow).advancedBy(decision.retryAfterSeconds * 1_000_000L)
                 plan = AdmissionPlan(plan.epoch + 1, 1, mapOf(flow to next))
                 if (decision.retryAfterSeconds <
                     30
@@ -44,7 +44,7 @@
                     assertEquals(AdmissionDecision.Admitted, plan.decide(flow, id), "told ${decision.retryAfterSeconds} s")
                 }
             }
-            assertTrue(waited <= roundSeconds + 1, "$waited s in a round of $roundSeconds s")
+            assertTrue(waitedSeconds <= roundSeconds + 1, "$waitedSeconds s in a round of $roundSeconds s")
         }
     }
 
@@ -55,9 +55,9 @@
         repeat(200) { number ->
             val range = range(random)
             val id = "req-%06d".format(number)
-            val turn = range.after(HashRing.distance(range.position, HashRing.positionOf(id)) * 1_000_000 / range.rate + 1_000_000)
+            val reached = range.advancedBy(HashRing.distance(range.position, HashRing.positionOf(id)) * 1_000_000 / range.rate + 1_000_000)
             for (seconds in 0L..10L) {
-                val plan = AdmissionPlan(1, 1, mapOf(flow to turn.after(seconds * 1_000_000)))
+                val plan = AdmissionPlan(1, 1, mapOf(flow to reached.advancedBy(seconds * 1_000_000)))
                 assertEquals(AdmissionDecision.Admitted, plan.decide(flow, id), "$seconds s after its turn")
             }
         }
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -17,29 +17,29 @@
     private val settings = AdmissionSettings()
 
     /** Users of one flow: new ids at a rate, each asking one of three controllers until it is taken or gives up. */
-    private class Users(val flow: Flow, val perSecond: (Int) -> Double, val entry: (Int) -> Int) {
-        val nextTry = HashMap<String, Int>()
-        val firstTry = HashMap<String, Int>()
-        val waits = ArrayList<Int>()
-        var gaveUp = 0
-        private var owed = 0.0
+    private class Users(val flow: Flow, val newJobsPerSecond: (Int) -> Double, val controllerAt: (Int) -> Int) {
+        val nextAttempt = HashMap<String, Int>()
+        val firstAttempt = HashMap<String, Int>()
+        val waitSeconds = ArrayList<Int>()
+        var gaveUpCount = 0
+        private var dueJobs = 0.0
         private var count = 0
 
-        fun arrive(second: Int) {
-            owed += perSecond(second)
-            while (owed >= 1) {
-                owed--
+        fun submitNewJobs(second: Int) {
+            dueJobs += newJobsPerSecond(second)
+            while (dueJobs >= 1) {
+                dueJobs--
                 val id = "req-$flow-${count++}"
-                nextTry[id] = second
-                firstTry[id] = second
+                nextAttempt[id] = second
+                firstAttempt[id] = second
             }
         }
     }
 
-    private fun run(seconds: Int, capacity: Double, users: List<Users>, openLimit: AdmissionSettings = settings): List<Int> {
+    private fun run(seconds: Int, capacity: Double, users: List<Users>, plannerSettings: AdmissionSettings = settings): List<Int> {
         val meters = List(3) { DemandMeter() }
-        val planner = AdmissionPlanner(openLimit, capacity)
-        val open = HashMap<Flow, Int>()
+        val planner = AdmissionPlanner(plannerSettings, capacity)
+        val openJobs = HashMap<Flow, Int>()
         var plan = AdmissionPlan.UNLIMITED
         return List(seconds) { second ->
             val now = second * 1_000_000L
@@ -47,32 +47,32 @@
                 val demands = meters.flatMap { it.demands(now).entries }.groupBy({ it.key }, { it.value }).mapValues { (_, parts) ->
                     FlowDemand(parts.sumOf { it.offeredRate }, parts.sumOf { it.acceptedRate }, parts.sumOf { it.deferredJobs })
                 }
-                plan = AdmissionPlan(plan.epoch + 1, 1, planner.next(plan.ranges, demands, open, 2_000_000))
+                plan = AdmissionPlan(plan.epoch + 1, 1, planner.planRanges(plan.ranges, demands, openJobs, 2_000_000))
             }
-            var taken = 0
-            for (each in users) {
-                each.arrive(second)
-                for (id in each.nextTry.filterValues { it <= second }.keys.toList()) {
-                    if (second - each.firstTry.getValue(id) > 60) {
-                        each.nextTry.remove(id)
-                        each.gaveUp++
+            var acceptedCount = 0
+            for (flowUsers in users) {
+                flowUsers.submitNewJobs(second)
+                for (id in flowUsers.nextAttempt.filterValues { it <= second }.keys.toList()) {
+                    if (second - flowUsers.firstAttempt.getValue(id) > 60) {
+                        flowUsers.nextAttempt.remove(id)
+                        flowUsers.gaveUpCount++
                         continue
                     }
-                    val meter = meters[each.entry(second)]
-                    meter.recordOffered(each.flow, id, now)
-                    when (val decision = plan.decide(each.flow, id)) {
-                        is AdmissionDecision.Deferred -> each.nextTry[id] = second + decision.retryAfterSeconds
+                    val meter = meters[flowUsers.controllerAt(second)]
+                    meter.recordOffered(flowUsers.flow, id, now)
+                    when (val decision = plan.decide(flowUsers.flow, id)) {
+                        is AdmissionDecision.Deferred -> flowUsers.nextAttempt[id] = second + decision.retryAfterSeconds
                         AdmissionDecision.Admitted -> {
                             meter.recordAccepted(id, now)
-                            each.nextTry.remove(id)
-                            each.waits += second - each.firstTry.getValue(id)
-                            open.merge(each.flow, 1, Int::plus)
-                            taken++
+                            flowUsers.nextAttempt.remove(id)
+                            flowUsers.waitSeconds += second - flowUsers.firstAttempt.getValue(id)
+                            openJobs.merge(flowUsers.flow, 1, Int::plus)
+                            acceptedCount++
                         }
                     }
                 }
             }
-            taken
+            acceptedCount
         }
     }
 
@@ -80,17 +80,17 @@
     @ValueSource(ints = [35])
     fun `a flooding team is held to its share, wherever its flood arrives, and nobody else is deferred`(seed: Int) {
         val random = Random(seed)
-        for (floodEntry in listOf<(Int) -> Int>({ 0 }, { random.nextInt(3) })) {
-            val flood = Users(Flow("north", "tiny"), { if (it in 20..140) 60.0 else 0.5 }, floodEntry)
+        for (floodController in listOf<(Int) -> Int>({ 0 }, { random.nextInt(3) })) {
+            val flood = Users(Flow("north", "tiny"), { if (it in 20..140) 60.0 else 0.5 }, floodController)
             val intake = Users(Flow("intake", "match"), { 2.0 }) { random.nextInt(3) }
             val pulls = Users(Flow("south", "pull"), { 0.5 }) { random.nextInt(3) }
-            val taken = run(240, capacity = 10.0, listOf(flood, intake, pulls))
-            assertEquals(listOf(0, 0), listOf(intake.waits.max(), pulls.waits.max()))
-            val steady = taken.subList(40, 140).average()
+            val acceptedBySecond = run(240, capacity = 10.0, listOf(flood, intake, pulls))
+            assertEquals(listOf(0, 0), listOf(intake.waitSeconds.max(), pulls.waitSeconds.max()))
+            val steady = acceptedBySecond.subList(40, 140).average()
             assertTrue(steady in 6.0..14.0, "$steady a second of a capacity of 10")
-            assertTrue(flood.waits.max() <= 62, "nobody is kept longer than users wait")
-            assertTrue(flood.nextTry.size < 20, "${flood.nextTry.size} still wait 100 s after the flood")
-            println("taken $steady/s, flood: ${flood.waits.size} taken, ${flood.gaveUp} gave up")
+            assertTrue(flood.waitSeconds.max() <= 62, "nobody is kept longer than users wait")
+            assertTrue(flood.nextAttempt.size < 20, "${flood.nextAttempt.size} still wait 100 s after the flood")
+            println("taken $steady/s, flood: ${flood.waitSeconds.size} taken, ${flood.gaveUpCount} gave up")
         }
     }
 
@@ -101,22 +101,22 @@
         val burst = Users(Flow("north", "tiny"), { if (it in 20..24) 60.0 else 0.1 }) { random.nextInt(3) }
         val other = Users(Flow("south", "pull"), { 1.0 }) { random.nextInt(3) }
         run(150, capacity = 10.0, listOf(burst, other))
-        assertEquals(0, burst.gaveUp)
-        assertEquals(0, burst.nextTry.size)
-        assertEquals(0, other.waits.max())
+        assertEquals(0, burst.gaveUpCount)
+        assertEquals(0, burst.nextAttempt.size)
+        assertEquals(0, other.waitSeconds.max())
     }
 
     @ParameterizedTest
     @ValueSource(ints = [37])
     fun `beyond the limit of open jobs, the team that has most of them is limited to the minimum rate`(seed: Int) {
         val random = Random(seed)
-        val few = AdmissionSettings(maxOpenJobs = 300)
+        val fewOpenJobs = AdmissionSettings(maxOpenJobs = 300)
         val flood = Users(Flow("north", "tiny"), { 8.0 }) { random.nextInt(3) }
         val other = Users(Flow("south", "pull"), { 0.4 }) { random.nextInt(3) }
-        val taken = run(300, capacity = 50.0, listOf(flood, other), few)
-        assertEquals(0, other.waits.max())
-        assertTrue(taken.takeLast(60).average() < 2.0, "${taken.takeLast(60).average()} a second")
-        assertTrue(taken.takeLast(60).sum() > 30, "the minimum rate is kept")
+        val acceptedBySecond = run(300, capacity = 50.0, listOf(flood, other), fewOpenJobs)
+        assertEquals(0, other.waitSeconds.max())
+        assertTrue(acceptedBySecond.takeLast(60).average() < 2.0, "${acceptedBySecond.takeLast(60).average()} a second")
+        assertTrue(acceptedBySecond.takeLast(60).sum() > 30, "the minimum rate is kept")
     }
 
     private fun job(number: Int, team: String, jobClass: String): Job {
@@ -127,19 +127,19 @@
     @Test
     fun `a flow's waiting job starts after a few of each other flow, however many wait there`() {
         val classes = listOf("match", "pull")
-        val turns = FlowRoundRobin(FlowClassifier(classes.map { Objective.Wait(it, 1) }))
+        val roundRobin = FlowRoundRobin(FlowClassifier(classes.map { Objective.Wait(it, 1) }))
         val flood = List(3_000) { job(it, "north", "match") }
         val others = listOf(job(5_000, "north", "pull"), job(5_001, "south", "match"), job(5_002, "south", "unknown"))
         var waiting = flood + others
         val served = ArrayList<Job>()
         repeat(30) {
-            val next = turns.next(waiting).first()
-            turns.recordServed(next)
+            val next = roundRobin.selectNext(waiting).first()
+            roundRobin.recordStarted(next)
             served += next
             waiting = waiting - next
         }
         assertTrue(served.take(4).containsAll(others), served.take(4).map { it.id }.toString())
         assertEquals(flood.take(27), served - others.toSet(), "its own order is kept")
-        assertTrue(turns.next(waiting).size <= FlowRoundRobin.JOBS_PER_FLOW)
+        assertTrue(roundRobin.selectNext(waiting).size <= FlowRoundRobin.JOBS_PER_FLOW)
     }
 }
--- a/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
@@ -21,19 +21,24 @@
         { kind = "wait", class = "pull", within_s = 60.0, share = 0.9 },
     """.lines().joinToString(" ")
 
-    private var numbers = 0
+    private var jobCount = 0
 
     private fun job(team: String, jobClass: String, tasks: Int, vcpus: Double, runMicros: Long) = SimJob(
-        "req-%06d".format(++numbers), team, tasks, vcpus, false, false, false, true, runMicros,
+        "req-%06d".format(++jobCount), team, tasks, vcpus, false, false, false, true, runMicros,
         jobClass = jobClass, patienceMicros = 60_000_000,
     )
 
-    private class Outcome(val world: SimWorld, val flood: List<SimJob>, val others: List<SimJob>)
+    private class FloodResult(val world: SimWorld, val flood: List<SimJob>, val others: List<SimJob>)
 
     /** A decision of one controller, and the plan by which it was made. */
-    private data class Ruling(val epoch: Long, val fencingToken: Long, val id: String, val status: Int)
+    private data class RecordedDecision(val epoch: Long, val fencingToken: Long, val id: String, val status: Int)
 
-    private fun play(seed: Int, enabled: Boolean, firstSecondsAtOne: Int = 0, script: suspend TestScope.(SimWorld) -> Unit = {}): Outcome {
+    private fun runFlood(
+        seed: Int,
+        enabled: Boolean,
+        secondsAtOne: Int = 0,
+        injectFault: suspend TestScope.(SimWorld) -> Unit = {},
+    ): FloodResult {
         val flood = ArrayList<SimJob>()
         val others = ArrayList<SimJob>()
         val world = simulate(
@@ -43,47 +48,47 @@
             objectives = objectives,
         ) { world ->
             delay(15_000)
-            val began = world.clock.nowMicros()
-            world.users.entryOf = { if (world.clock.nowMicros() - began < firstSecondsAtOne * 1_000_000L) 0 else world.random.nextInt(3) }
+            val startMicros = world.clock.nowMicros()
+            world.users.entryOf = { if (world.clock.nowMicros() - startMicros < secondsAtOne * 1_000_000L) 0 else world.random.nextInt(3) }
             repeat(FLOOD_SECONDS) { second ->
-                repeat(FLOOD_A_SECOND) { flood += job("north", "match", 1, 1.0, 300_000).also { world.users.submit(it, null) } }
+                repeat(FLOOD_JOBS_PER_SECOND) { flood += job("north", "match", 1, 1.0, 300_000).also { world.users.submit(it, null) } }
                 if (second % 5 == 0) others += job("south", "match", 4, 1.0, 2_000_000).also { world.users.submit(it, null) }
                 if (second % 10 == 0) others += job("south", "pull", 6, 1.0, 3_000_000).also { world.users.submit(it, null) }
                 if (second % 15 == 0) others += job("north", "pull", 6, 1.0, 3_000_000).also { world.users.submit(it, null) }
-                if (second == FLOOD_SECONDS / 2) script(world)
+                if (second == FLOOD_SECONDS / 2) injectFault(world)
                 delay(1_000)
             }
             delay(90_000)
         }
-        return Outcome(world, flood, others)
+        return FloodResult(world, flood, others)
     }
 
-    private fun check(outcome: Outcome) {
-        val (waits, starts) = outcome.others.map { it.acceptedMicros - it.submittedMicros to it.startedMicros - it.submittedMicros }.unzip()
+    private fun checkOthers(result: FloodResult) {
+        val (waits, starts) = result.others.map { it.acceptedMicros - it.submittedMicros to it.startedMicros - it.submittedMicros }.unzip()
         println(
-            "flood ${outcome.flood.count {
+            "flood ${result.flood.count {
                 it.accepted
-            }} of ${outcome.flood.size} accepted, others ${outcome.others.count { it.accepted }} of " +
-                "${outcome.others.size}, accepted within ${waits.max() / 1_000} ms, started within ${starts.max() / 1_000} ms",
+            }} of ${result.flood.size} accepted, others ${result.others.count { it.accepted }} of " +
+                "${result.others.size}, accepted within ${waits.max() / 1_000} ms, started within ${starts.max() / 1_000} ms",
         )
-        assertTrue(outcome.others.all { it.accepted && it.startedMicros > 0 })
-        assertEquals(0, outcome.others.sumOf { it.putOffCount }, "nobody else is put off")
+        assertTrue(result.others.all { it.accepted && it.startedMicros > 0 })
+        assertEquals(0, result.others.sumOf { it.putOffCount }, "nobody else is put off")
         assertTrue(starts.max() < MAX_START_MICROS, "started after ${starts.max()} us")
-        assertTrue(outcome.flood.any { it.putOffCount > 0 })
-        assertEquals(emptyList<Violation>(), outcome.world.violations)
-        assertEquals(emptyList<String>(), outcome.world.store.tooLarge)
+        assertTrue(result.flood.any { it.putOffCount > 0 })
+        assertEquals(emptyList<Violation>(), result.world.violations)
+        assertEquals(emptyList<String>(), result.world.store.tooLarge)
     }
 
     @Test
-    fun `other teams and classes are accepted at once and start within a bounded time`() = check(play(seed = 51, enabled = true))
+    fun `other teams and classes are accepted at once and start within a bounded time`() = checkOthers(runFlood(seed = 51, enabled = true))
 
     @Test
     fun `other teams are accepted at once when one controller sees the surge before the others`() =
-        check(play(seed = 52, enabled = true, firstSecondsAtOne = 15))
+        checkOthers(runFlood(seed = 52, enabled = true, secondsAtOne = 15))
 
     @Test
-    fun `other teams are accepted at once when the leader ends and another controller is frozen in the middle of it`() = check(
-        play(seed = 53, enabled = true) { world ->
+    fun `other teams are accepted at once when the leader ends and another controller is frozen in the middle of it`() = checkOthers(
+        runFlood(seed = 53, enabled = true) { world ->
             val leader = leaderOf(world).coerceAtLeast(0)
             restart(world, leader, 1_000)
             world.network.freeze((leader + 1) % 3, 3_000_000)
@@ -93,21 +98,21 @@
     /** Without the subsystem the flood is accepted as it comes: far more than the store's limits allow. */
     @Test
     fun `without fair admission the whole flood is accepted`() {
-        val outcome = play(seed = 51, enabled = false)
-        assertEquals(0, outcome.flood.sumOf { it.putOffCount })
-        assertTrue(outcome.flood.all { it.accepted })
+        val result = runFlood(seed = 51, enabled = false)
+        assertEquals(0, result.flood.sumOf { it.putOffCount })
+        assertTrue(result.flood.all { it.accepted })
     }
 
     @Test
     fun `two controllers with the same plan never decide differently`() {
-        val rulings = ArrayList<Ruling>()
+        val decisions = ArrayList<RecordedDecision>()
         val world = simulate(seed = 54, size = 2, features = Features(admission = AdmissionSettings()), objectives = objectives) { world ->
-            world.users.onSubmission = { id, status, plan -> rulings += Ruling(plan.epoch, plan.fencingToken, id, status) }
+            world.users.onSubmission = { id, status, plan -> decisions += RecordedDecision(plan.epoch, plan.fencingToken, id, status) }
             delay(15_000)
             repeat(40) { second ->
                 // The first controller sees the flood alone for a while.
                 world.users.entryOf = { if (second < 10) 0 else world.random.nextInt(3) }
-                repeat(FLOOD_A_SECOND) {
+                repeat(FLOOD_JOBS_PER_SECOND) {
                     val job = job("north", "match", 1, 1.0, 300_000)
                     world.users.submit(job, null)
                     repeat(2) { world.users.submitAgain(job) }
@@ -116,19 +121,19 @@
             }
             delay(60_000)
         }
-        val same = rulings.groupBy { Triple(it.fencingToken, it.epoch, it.id) }.values.filter { it.size > 1 }
-        println("${rulings.size} decisions, ${rulings.count { it.status == PUT_OFF }} put off, ${same.size} made more than once")
-        val different = same.filter { made -> made.any { it.status == PUT_OFF } && made.any { it.status == NEWLY_ACCEPTED } }
-        assertEquals(emptyList<Any>(), different)
-        assertTrue(same.count { made -> made.all { it.status == PUT_OFF } } > 100)
+        val repeated = decisions.groupBy { Triple(it.fencingToken, it.epoch, it.id) }.values.filter { it.size > 1 }
+        println("${decisions.size} decisions, ${decisions.count { it.status == DEFERRED }} put off, ${repeated.size} made more than once")
+        val conflicting = repeated.filter { made -> made.any { it.status == DEFERRED } && made.any { it.status == ACCEPTED } }
+        assertEquals(emptyList<Any>(), conflicting)
+        assertTrue(repeated.count { made -> made.all { it.status == DEFERRED } } > 100)
         assertEquals(emptyList<Violation>(), world.violations)
     }
 
     private companion object {
-        const val PUT_OFF = 429
-        const val NEWLY_ACCEPTED = 201
+        const val DEFERRED = 429
+        const val ACCEPTED = 201
         const val FLOOD_SECONDS = 60
-        const val FLOOD_A_SECOND = 40
+        const val FLOOD_JOBS_PER_SECOND = 40
         const val MAX_START_MICROS = 45_000_000L
     }
 }
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -24,7 +24,7 @@
 class DutySimulationTest {
     /** Machines come and go within seconds, so that some cloud action is in progress at every failover. */
     private val fastScalingPolicy = Policy(
-        shortIntervalMicros = 1_000_000,
+        scalingIntervalMicros = 1_000_000,
         idleScaleInMicros = 1_500_000,
         leaderLeaseMicros = 1_500_000,
     )
--- a/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
+++ b/src/test/kotlin/linemast/duties/IntentFormatsTest.kt
@@ -70,7 +70,10 @@
     @Test
     fun `invalid settings are rejected, and the shipped file is valid`() {
         val shipped = DutySettings.read(Path.of("deploy/duties.toml"))
-        assertEquals(listOf(128, 30_000_000L, emptySet<Duty>()), listOf(shipped.slots, shipped.scaleOutRetryMicros, shipped.suspended))
+        assertEquals(
+            listOf(128, 30_000_000L, emptySet<Duty>()),
+            listOf(shipped.slots, shipped.scaleOutRetryTimeoutMicros, shipped.suspended),
+        )
         assertEquals(setOf(Duty.SCALE_OUT, Duty.CLEAN_UP), read("suspended = [\"rent\", \"clean-up\"]").suspended)
         for (wrong in listOf(
             "slots = 15",
--- a/src/test/kotlin/linemast/peers/PeerViewTest.kt
+++ b/src/test/kotlin/linemast/peers/PeerViewTest.kt
@@ -9,29 +9,29 @@
 import org.junit.jupiter.api.Test
 
 class PeerViewTest {
-    private var now = 0L
-    private val view = PeerView(Clock { now })
+    private var nowMicros = 0L
+    private val view = PeerView(Clock { nowMicros })
 
     /** What a peer said before an outage once counted for five seconds more, and all controllers took themselves out. */
     @Test
     fun `what a peer said last counts, while it is fresh`() {
-        view.received(status("mast-1", reachesStore = true))
-        assertTrue(view.peerReachesStore && view.hasReachablePeer)
-        now += 1_000_000
-        view.received(status("mast-1", reachesStore = false))
-        assertFalse(view.peerReachesStore)
-        view.received(status("mast-2", reachesStore = true, receivesHeartbeats = true))
-        assertTrue(view.peerReachesStore && view.peerReceivesHeartbeats)
-        now += 4_000_000
-        assertFalse(view.peerReachesStore || view.peerReceivesHeartbeats || view.hasReachablePeer)
+        view.recordStatus(status("mast-1", reachesStore = true))
+        assertTrue(view.anyPeerReachesStore && view.hasReachablePeer)
+        nowMicros += 1_000_000
+        view.recordStatus(status("mast-1", reachesStore = false))
+        assertFalse(view.anyPeerReachesStore)
+        view.recordStatus(status("mast-2", reachesStore = true, receivesHeartbeats = true))
+        assertTrue(view.anyPeerReachesStore && view.anyPeerReceivesHeartbeats)
+        nowMicros += 4_000_000
+        assertFalse(view.anyPeerReachesStore || view.anyPeerReceivesHeartbeats || view.hasReachablePeer)
     }
 
     @Test
     fun `progress comes from the leader with the highest fencing token`() {
-        view.received(status("mast-1", fencingToken = 4, isLeader = true, done = 7))
-        view.received(status("mast-2", fencingToken = 3, isLeader = true, done = 1))
+        view.recordStatus(status("mast-1", fencingToken = 4, isLeader = true, completed = 7))
+        view.recordStatus(status("mast-2", fencingToken = 3, isLeader = true, completed = 1))
         assertEquals(7, view.progressOf("req-1")?.completed)
-        now += 6_000_000
+        nowMicros += 6_000_000
         assertNull(view.progressOf("req-1"))
     }
 
@@ -41,6 +41,6 @@
         isLeader: Boolean = false,
         reachesStore: Boolean = false,
         receivesHeartbeats: Boolean = false,
-        done: Int = 0,
-    ) = PeerStatus(node, fencingToken, isLeader, reachesStore, receivesHeartbeats, mapOf("req-1" to JobProgress(done, 0)))
+        completed: Int = 0,
+    ) = PeerStatus(node, fencingToken, isLeader, reachesStore, receivesHeartbeats, mapOf("req-1" to JobProgress(completed, 0)))
 }
--- a/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
+++ b/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
@@ -64,7 +64,7 @@
 
     @Test
     fun `commands are rate limited until the reconciliation is complete, and each unknown task is counted once`() {
-        val reconciliation = StateReconciliation(RecoverySettings(ordersPerSecond = 10.0))
+        val reconciliation = StateReconciliation(RecoverySettings(commandsPerSecond = 10.0))
         val sent = (0L until 5_000_000L step 10_000).count { reconciliation.maySendCommand(it) }
         assertTrue(sent in 50..61, "$sent in 5 s")
         repeat(3) { reconciliation.countUnknown(TaskAttempt(TaskId("req-1", 0), 1)) }
@@ -86,8 +86,8 @@
     fun `settings out of range are rejected, and the file in deploy holds the defaults`() {
         val shipped = RecoverySettings.read(Path.of("deploy/recovery.toml"))
         assertEquals(
-            RecoverySettings().ordersPerSecond to RecoverySettings().confirmMicros,
-            shipped.ordersPerSecond to shipped.confirmMicros,
+            RecoverySettings().commandsPerSecond to RecoverySettings().confirmationDelayMicros,
+            shipped.commandsPerSecond to shipped.confirmationDelayMicros,
         )
         for (wrong in listOf("orders_per_s = 0", "confirm_s = 2.1", "orders = 1")) {
             assertThrows(MalformedException::class.java, { RecoverySettings.from(Toml.parse(wrong)) }, wrong)
--- a/src/test/kotlin/linemast/scheduling/CancellationTest.kt
+++ b/src/test/kotlin/linemast/scheduling/CancellationTest.kt
@@ -30,7 +30,7 @@
         }
         val workers = fixture.workers
         assertTrue(lastResponseMicros > cancelledMicros + 5_000_000)
-        assertTrue(lastResponseMicros + workers.leaseMicros < cancelledMicros + workers.cancelMicros)
+        assertTrue(lastResponseMicros + workers.leaseMicros < cancelledMicros + workers.cancellationDeadlineMicros)
     }
 
     @Test
--- a/src/test/kotlin/linemast/settings/PolicyScriptTest.kt
+++ b/src/test/kotlin/linemast/settings/PolicyScriptTest.kt
@@ -9,8 +9,8 @@
     @Test
     fun `a script sets what it names, and defaults hold for the rest`() {
         val policy = PolicyScript.parse("local m = 60\nreturn { long_interval_s = 2 * m, short_interval_s = math.max(5, 3) }", "p.lua")
-        assertEquals(120_000_000L, policy.longIntervalMicros)
-        assertEquals(5_000_000L, policy.shortIntervalMicros)
+        assertEquals(120_000_000L, policy.fullPlanIntervalMicros)
+        assertEquals(5_000_000L, policy.scalingIntervalMicros)
         assertEquals(Policy().idleScaleInMicros, policy.idleScaleInMicros)
     }
 
--- a/src/test/kotlin/linemast/settings/SettingsReaderTest.kt
+++ b/src/test/kotlin/linemast/settings/SettingsReaderTest.kt
@@ -57,7 +57,7 @@
     @Test
     fun `a file in the platform's form is read, and unknown fields are ignored`() {
         val settings = SettingsReader.parse(validFile)
-        assertEquals(2, settings.controllers)
+        assertEquals(2, settings.controllerCount)
         assertEquals(11_000_000L, settings.workers.leaseMicros)
         assertEquals(16 * 1024, settings.storeLimits.valueBytes)
         assertEquals(Objective.Wait("lane", 12_000_000L), settings.objectives.single())
--- a/src/test/kotlin/linemast/simulation/InvariantChecks.kt
+++ b/src/test/kotlin/linemast/simulation/InvariantChecks.kt
@@ -9,7 +9,7 @@
     private val clock = world.clock
     private val jobs get() = world.jobs
     private val teams = settings.teams.associateBy { it.name }
-    private val cancelMicros = settings.workers.cancelMicros
+    private val cancelMicros = settings.workers.cancellationDeadlineMicros
 
     /** Rules that were broken, in the order in which that was noticed. */
     val violations = ArrayList<Violation>()
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
@@ -76,7 +76,7 @@
         val machines = registry.read(listOf(Entry(record.key, record.fields, 7)), types)
         assertEquals(record.fields.children("rigs").map { it.text("rig") }, machines.map { it.name })
         if (machines.isEmpty()) return mapOf("rigs" to emptyList<Fields>())
-        return registry.with(machines).getValue(record.key)
+        return registry.register(machines).getValue(record.key)
     }
 
     companion object {
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -112,7 +112,7 @@
         assertEquals(listOf("host-000001", "g8", "a"), listOf(machine.name, machine.type.name, machine.zone))
         assertTrue(machine.isBaseline)
         assertEquals(7L, record.revisionOf("fleet/0"))
-        val written = record.with(List(80) { Machine("host-%06d".format(it + 2), types.single(), "b", true) })
+        val written = record.register(List(80) { Machine("host-%06d".format(it + 2), types.single(), "b", true) })
         for ((at, key) in written.keys.sorted().withIndex()) {
             assertEquals("fleet/$at", key, "counted from 0 without a gap")
             for (entry in Fields(written.getValue(key)).children("rigs")) {
--- a/src/test/kotlin/linemast/workers/MachineRegistryTest.kt
+++ b/src/test/kotlin/linemast/workers/MachineRegistryTest.kt
@@ -21,7 +21,7 @@
 
     private fun machine(number: Int) = Machine("host-%06d".format(number), type, "bucuresti", number % 3 == 0)
 
-    private fun reread(registry: MachineRegistry) = registry.read(
+    private fun readNames(registry: MachineRegistry) = registry.read(
         stored.map { (key, value) ->
             Entry(key, Fields(value), 1)
         },
@@ -37,17 +37,17 @@
             val registry = MachineRegistry(limit)
             val expected = LinkedHashSet<String>()
             repeat(200) {
-                val gone = if (random.nextInt(3) == 0) expected.shuffled(random).take(random.nextInt(30)) else emptyList()
-                val come = List(if (gone.isEmpty()) random.nextInt(25) else 0) { machine(random.nextInt(400)) }
-                expected -= gone.toSet()
-                val writes = if (gone.isEmpty()) registry.with(come) else registry.without(gone)
+                val removed = if (random.nextInt(3) == 0) expected.shuffled(random).take(random.nextInt(30)) else emptyList()
+                val added = List(if (removed.isEmpty()) random.nextInt(25) else 0) { machine(random.nextInt(400)) }
+                expected -= removed.toSet()
+                val writes = if (removed.isEmpty()) registry.register(added) else registry.unregister(removed)
                 for ((key, value) in writes) {
                     stored[key] = value
                     assertTrue(JsonSize.of(value) <= limit, "$key is too large")
-                    assertTrue(reread(MachineRegistry(limit)).containsAll(expected))
+                    assertTrue(readNames(MachineRegistry(limit)).containsAll(expected))
                 }
-                come.forEach { expected += it.name }
-                assertEquals(expected, reread(MachineRegistry(limit)).toSet())
+                added.forEach { expected += it.name }
+                assertEquals(expected, readNames(MachineRegistry(limit)).toSet())
             }
         }
     }
@@ -65,23 +65,23 @@
         stored["fleet/0"] = mapOf("rigs" to List(60) { machineEntry(it) })
         stored["fleet/1"] = mapOf("rigs" to List(7) { machineEntry(60 + it) })
         val registry = MachineRegistry(2_048)
-        val all = reread(registry)
+        val all = readNames(registry)
         assertEquals(67, all.size)
-        for ((key, value) in registry.without(listOf("host-000003"))) {
+        for ((key, value) in registry.unregister(listOf("host-000003"))) {
             stored[key] = value
-            assertTrue(reread(MachineRegistry(2_048)).containsAll(all - "host-000003"))
+            assertTrue(readNames(MachineRegistry(2_048)).containsAll(all - "host-000003"))
         }
         assertTrue(stored.values.all { JsonSize.of(it) <= 2_048 })
         assertEquals(stored.keys.toList(), stored.keys.indices.map { "fleet/$it" }, "numbers without a gap, as that version counts them")
-        assertEquals((all - "host-000003").toSet(), reread(MachineRegistry(2_048)).toSet())
+        assertEquals((all - "host-000003").toSet(), readNames(MachineRegistry(2_048)).toSet())
     }
 
     @Test
     fun `a registry just at, under and over the limit of a value stays within it`() {
-        val size = JsonSize.of(MachineRegistry(16_384).with(List(10) { machine(it) }).getValue("fleet/0"))
-        assertEquals(setOf("fleet/0"), MachineRegistry(size + 1).with(List(10) { machine(it) }).keys)
-        assertEquals(setOf("fleet/0", "fleet/1"), MachineRegistry(size - 1).with(List(10) { machine(it) }).keys)
-        val at = MachineRegistry(size).with(List(10) { machine(it) })
-        assertTrue(at.values.all { JsonSize.of(it) <= size })
+        val size = JsonSize.of(MachineRegistry(16_384).register(List(10) { machine(it) }).getValue("fleet/0"))
+        assertEquals(setOf("fleet/0"), MachineRegistry(size + 1).register(List(10) { machine(it) }).keys)
+        assertEquals(setOf("fleet/0", "fleet/1"), MachineRegistry(size - 1).register(List(10) { machine(it) }).keys)
+        val exact = MachineRegistry(size).register(List(10) { machine(it) })
+        assertTrue(exact.values.all { JsonSize.of(it) <= size })
     }
 }
