--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -20,14 +20,14 @@
     private var isRegistering = false
 
     /** Reads the registered machines from the store; machines of unknown types are left out. */
-    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.PREFIX).entries, cluster.machineTypes)
+    suspend fun load(): List<Machine> = registry.read(term.store.listAll(MachineRegistry.KEY_PREFIX).entries, cluster.machineTypes)
 
     /** Registers [machines], then calls [onStored] on the event loop; does nothing while an earlier call is in progress. */
     fun register(machines: List<Machine>, onStored: () -> Unit) {
         if (isRegistering) return
         isRegistering = true
         term.scope.launch {
-            val isStored = write { registry.with(machines) }
+            val isStored = write { registry.register(machines) }
             term.eventLoop.enqueue {
                 isRegistering = false
                 if (isStored) onStored()
@@ -37,7 +37,7 @@
 
     /** Unregisters the machines with [names]; if the write fails, they stay registered. */
     fun unregister(names: List<String>) {
-        term.scope.launch { write { registry.without(names) } }
+        term.scope.launch { write { registry.unregister(names) } }
     }
 
     /** Writes one change of the registry at a time; reads the registry again after a write that was not confirmed as applied. */
@@ -46,7 +46,7 @@
             val preconditions = listOf(Precondition(key, registry.revisionOf(key)))
             val result = storeResultOrNull(log) { term.commit(preconditions, listOf(Write.Put(key, value))) }
             if (result is TermCommitResult.Applied) {
-                registry.written(key, result.revision)
+                registry.recordWritten(key, result.revision)
             } else {
                 storeResultOrNull(log) { load() }
                 return@withLock false
--- a/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
+++ b/src/main/kotlin/linemast/duties/WriteAheadCloudActionExecutor.kt
@@ -34,7 +34,7 @@
     private val writer = IntentWriter(store, leaderLease, settings.slots, limits.maxTxnOps, wallMicros)
 
     /** Carries out the intents that this term or previous terms have committed. */
-    val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.scaleOutRetryMicros)
+    val runner = IntentRunner(cloud, clock, wallMicros, leaderLease, writer, settings.scaleOutRetryTimeoutMicros)
 
     /** Open intents of previous terms, as read by [load]. */
     val openIntentsOfPreviousLeaders: List<StoredIntent>
--- a/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
+++ b/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
@@ -15,7 +15,7 @@
  * @property maxRenewalStalenessMicros maximum age of the view at which a worker's lease may be renewed.
  */
 class CancellationFreshness(private val maxRenewalStalenessMicros: Long) {
-    constructor(workers: WorkerSettings) : this(maxRenewalStalenessMicros(workers.leaseMicros, workers.cancelMicros))
+    constructor(workers: WorkerSettings) : this(maxRenewalStalenessMicros(workers.leaseMicros, workers.cancellationDeadlineMicros))
 
     /** When the latest complete read of the store was sent; null before the first read. */
     var freshAsOfMicros: Long? = null
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -36,12 +36,12 @@
      */
     fun isOutdated(job: Job): Boolean {
         val plan = plans[job.id] ?: return false
-        return deadlineWallMicros(job) < plan.deadlineWallMicros - policy.shortIntervalMicros
+        return deadlineWallMicros(job) < plan.deadlineWallMicros - policy.scalingIntervalMicros
     }
 
     /** Plans the jobs of [request] in their order, either all or only those without a plan that is up to date, and then the stages. */
     fun plan(request: PlanningRequest) {
-        val horizon = PlanningHorizon(request.nowMicros, policy.longIntervalMicros, INTERVALS)
+        val horizon = PlanningHorizon(request.nowMicros, policy.fullPlanIntervalMicros, INTERVALS)
         val forecast = BaselineForecast(request.baselineMachines, horizon, runTimes, request.isExcluded)
         val jobPlanner = JobPlanner(forecast, runTimes, horizon)
         for (job in request.jobs) {
--- a/src/main/kotlin/linemast/recovery/StateReconciliation.kt
+++ b/src/main/kotlin/linemast/recovery/StateReconciliation.kt
@@ -14,10 +14,10 @@
  */
 class StateReconciliation(settings: RecoverySettings) {
     private val logger = LoggerFactory.getLogger(StateReconciliation::class.java)
-    private val commandTokens = TokenBucket(settings.ordersPerSecond)
+    private val commandTokens = TokenBucket(settings.commandsPerSecond)
 
     /** Jobs that workers report and that are unknown to the leader. */
-    val unknownJobs = UnknownJobs(settings.confirmMicros, LOOKUP_TIMEOUT_MICROS)
+    val unknownJobs = UnknownJobs(settings.confirmationDelayMicros, LOOKUP_TIMEOUT_MICROS)
 
     /** Counts of the differences found and the commands sent until the reconciliation is complete. */
     val statistics = ReconciliationStatistics()
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -27,7 +27,7 @@
 class DutySimulationTest {
     /** Scales out and in within seconds, so that a cloud action is in progress at every failover. */
     private val fastScalingPolicy = Policy(
-        shortIntervalMicros = 1_000_000,
+        scalingIntervalMicros = 1_000_000,
         idleScaleInMicros = 1_500_000,
         leaderLeaseMicros = 1_500_000,
     )
