--- a/src/test/kotlin/linemast/serialization/CborTest.kt
+++ b/src/test/kotlin/linemast/serialization/CborTest.kt
@@ -13,7 +13,7 @@
     fun `generated maps come back as they were`(seed: Int) {
         val random = Random(seed)
         repeat(500) {
-            val map = map(random, 4)
+            val map = randomMap(random, 4)
             assertEquals(map, Cbor.decodeMap(Cbor.encode(map)).map)
         }
     }
@@ -23,7 +23,7 @@
     fun `every truncation is refused and a flipped bit is refused or read as something else`(seed: Int) {
         val random = Random(seed)
         repeat(60) {
-            val bytes = Cbor.encode(map(random, 3))
+            val bytes = Cbor.encode(randomMap(random, 3))
             for (length in bytes.indices) {
                 assertThrows(MalformedException::class.java) { Cbor.decodeMap(bytes.copyOf(length)) }
             }
@@ -47,31 +47,31 @@
         assertThrows(MalformedException::class.java) { Cbor.decodeMap(Cbor.encode(mapOf("a" to deep))) }
         assertThrows(MalformedException::class.java) { Cbor.decodeMap(Cbor.encode(listOf(1))) }
         // {"a": h'01'} and {"a": 2^64 - 1}
-        assertThrows(MalformedException::class.java) { Cbor.decodeMap(bytes(0xa1, 0x61, 0x61, 0x41, 0x01)) }
+        assertThrows(MalformedException::class.java) { Cbor.decodeMap(bytesOf(0xa1, 0x61, 0x61, 0x41, 0x01)) }
         assertThrows(MalformedException::class.java) {
-            Cbor.decodeMap(bytes(0xa1, 0x61, 0x61, 0x1b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff))
+            Cbor.decodeMap(bytesOf(0xa1, 0x61, 0x61, 0x1b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff))
         }
         // A text that claims two gigabytes.
-        assertThrows(MalformedException::class.java) { Cbor.decodeMap(bytes(0xa1, 0x61, 0x61, 0x7a, 0x7f, 0xff, 0xff, 0xff)) }
+        assertThrows(MalformedException::class.java) { Cbor.decodeMap(bytesOf(0xa1, 0x61, 0x61, 0x7a, 0x7f, 0xff, 0xff, 0xff)) }
     }
 
-    private fun bytes(vararg values: Int) = ByteArray(values.size) { values[it].toByte() }
+    private fun bytesOf(vararg values: Int) = ByteArray(values.size) { values[it].toByte() }
 
-    private fun map(random: Random, depth: Int): Map<String, Any?> =
-        (0 until random.nextInt(5)).associate { text(random) to value(random, depth) }
+    private fun randomMap(random: Random, depth: Int): Map<String, Any?> =
+        (0 until random.nextInt(5)).associate { randomText(random) to randomValue(random, depth) }
 
-    private fun value(random: Random, depth: Int): Any? = when (random.nextInt(if (depth > 0) 8 else 6)) {
+    private fun randomValue(random: Random, depth: Int): Any? = when (random.nextInt(if (depth > 0) 8 else 6)) {
         0 -> null
         1 -> random.nextLong()
         2 -> random.nextInt(100).toLong()
         3 -> random.nextDouble()
         4 -> random.nextBoolean()
-        5 -> text(random)
-        6 -> List(random.nextInt(4)) { value(random, depth - 1) }
-        else -> map(random, depth - 1)
+        5 -> randomText(random)
+        6 -> List(random.nextInt(4)) { randomValue(random, depth - 1) }
+        else -> randomMap(random, depth - 1)
     }
 
-    private fun text(random: Random) = String(CharArray(random.nextInt(12)) { random.nextInt(0x20, 0x17f).toChar() })
+    private fun randomText(random: Random) = String(CharArray(random.nextInt(12)) { random.nextInt(0x20, 0x17f).toChar() })
 
     private companion object {
         const val SEED = 4711
--- a/src/test/kotlin/linemast/transport/HttpServerTest.kt
+++ b/src/test/kotlin/linemast/transport/HttpServerTest.kt
@@ -18,7 +18,7 @@
 class HttpServerTest {
     @Test
     fun `requests are served and malformed ones refused`() {
-        val responses = serve { port ->
+        val responses = withServer { port ->
             listOf(
                 "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc",
                 "POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
@@ -37,7 +37,7 @@
 
     @Test
     fun `a connection serves several requests and a body that ends too early gets no answer`() {
-        val responses = serve { port ->
+        val responses = withServer { port ->
             val twoRequests = "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\na" +
                 "POST /echo HTTP/1.1\r\nContent-Length: 1\r\nConnection: close\r\n\r\nb"
             listOf(exchange(port, twoRequests), exchange(port, "POST /echo HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc"))
@@ -48,7 +48,7 @@
 
     @Test
     fun `with all connections taken a new one takes the place of the longest idle, never of one with a request under way`() {
-        val responses = serve { port ->
+        val responses = withServer { port ->
             val receiving = Socket("127.0.0.1", port).also { it.getOutputStream().write("POST /echo HTTP/1.1\r\nContent-".toByteArray()) }
             val idle = List(MAX_CONNECTIONS - 1) { Socket("127.0.0.1", port) }
             // Each has been served once, so that all are known to be open, the first one for longest.
@@ -76,7 +76,7 @@
         return input.read().toChar().toString()
     }
 
-    private fun <T> serve(exchanges: (Int) -> T): T {
+    private fun <T> withServer(exchanges: (Int) -> T): T {
         val port = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort }
         return EventLoop().use { loop ->
             loop.run {
