--- a/src/main/kotlin/linemast/app/ArchiveTraining.kt
+++ b/src/main/kotlin/linemast/app/ArchiveTraining.kt
@@ -11,9 +11,9 @@
 import kotlin.coroutines.coroutineContext
 
 /**
- * The training run of the class-data archive: one controller on loopback takes its usual paths once, with a stand-in store
- * and cloud, so that the archive written at its end holds their classes. A cold start, which has a small share of a core,
- * then spends little of it on loading classes.
+ * The training run for the class-data archive of the JVM: one controller on loopback runs the common code paths once, with a
+ * stand-in store and cloud, so that the archive written at exit contains the classes of these paths. A cold start, which has a
+ * small share of a core, then spends little of it on loading classes.
  */
 internal object ArchiveTraining {
     private const val JOB = "req-000001"
@@ -23,10 +23,10 @@
     private const val STAND_IN_CONNECTIONS = 64
     private const val CLIENT_CONNECTIONS = 4
 
-    /** The worker's task runs up to this round and is reported as ended from then on. */
+    /** The worker's task is reported as running before this round, and as ended from this round on. */
     private const val TASK_END_ROUND = 5
 
-    /** Runs for about a second and a half; the exit code of the process. */
+    /** Runs for about one and a half seconds; returns the exit code of the process. */
     fun run(): Int {
         val loop = EventLoop()
         loop.run {
--- a/src/main/kotlin/linemast/app/ArchiveTrainingConfiguration.kt
+++ b/src/main/kotlin/linemast/app/ArchiveTrainingConfiguration.kt
@@ -14,14 +14,14 @@
 import java.net.ServerSocket
 
 /**
- * The configuration of the controller in [ArchiveTraining], whose store and cloud are at [standInAddress].
+ * Returns the configuration of the controller in [ArchiveTraining], whose store and cloud are at [standInAddress].
  *
- * It is parsed like files, so that the classes for that are in the archive too.
+ * It is parsed from text like the settings files, so that the archive also contains the classes of the parsers.
  */
 internal fun trainingConfiguration(standInAddress: Address) =
     ControllerConfiguration(trainingSettings(standInAddress), Policy(), trainingFeatures())
 
-/** A loopback address with a port that nobody listens on. */
+/** Returns a loopback address with a port on which no process listens. */
 internal fun freeLoopbackAddress(): Address = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use {
     Address("127.0.0.1", it.localPort)
 }
--- a/src/main/kotlin/linemast/app/CommandLineOptions.kt
+++ b/src/main/kotlin/linemast/app/CommandLineOptions.kt
@@ -17,7 +17,7 @@
 
 private const val VERSION = "linemast 0.1.0"
 
-/** The command line with all its options; it executes [executeCommand]. */
+/** Returns the command line with all options; executing it calls [executeCommand]. */
 internal fun commandLine(): CommandLine {
     val line = CommandLine(commandSpec())
     line.executionStrategy = CommandLine.IExecutionStrategy { parsed ->
@@ -30,19 +30,21 @@
     return line
 }
 
-/** Built without annotations, whose reading would cost reflection at every cold start. */
+/** Defines the options without annotations, which picocli would read by reflection at every cold start. */
 private fun commandSpec(): CommandSpec {
     val spec = CommandSpec.create().name("linemast").version(VERSION)
-    spec.usageMessage().description("A controller of the linemast cluster scheduler.")
-    spec.addOption(fileOption(CONFIG_OPTION, "The settings file (TOML)."))
-    spec.addOption(flagOption(CHECK_OPTION, "Check the settings and exit."))
-    spec.addOption(fileOption(POLICY_OPTION, "The operators' own settings (Lua); see docs/operations.md."))
-    spec.addOption(fileOption(DUTIES_OPTION, "Enables single-holder duties (TOML); see docs/operations-duties.md."))
-    spec.addOption(fileOption(ADMISSION_OPTION, "Enables fair admission (TOML); see docs/operations-admission.md."))
-    spec.addOption(fileOption(RECOVERY_OPTION, "Enables the reconciliation after a total outage (TOML); see docs/operations-recovery.md."))
-    spec.addOption(flagOption(ACTIONS_OPTION, "Print the latest actions at the cloud from the store, audited, and exit."))
-    spec.addOption(fileOption(ACTIONS_HTML_OPTION, "With --actions: also write them as an HTML page."))
-    spec.addOption(flagOption(TRAINING_OPTION, "Run the usual paths once on loopback and exit; the build makes its class-data archive so."))
+    spec.usageMessage().description("Runs a controller of the linemast cluster scheduler.")
+    spec.addOption(fileOption(CONFIG_OPTION, "Settings file (TOML)."))
+    spec.addOption(flagOption(CHECK_OPTION, "Check the settings and the other given files, and exit."))
+    spec.addOption(fileOption(POLICY_OPTION, "Policy script with the operators' own settings (Lua); see docs/operations.md."))
+    spec.addOption(fileOption(DUTIES_OPTION, "TOML file that enables single-holder duties; see docs/operations-duties.md."))
+    spec.addOption(fileOption(ADMISSION_OPTION, "TOML file that enables fair admission; see docs/operations-admission.md."))
+    spec.addOption(
+        fileOption(RECOVERY_OPTION, "TOML file that enables reconciliation after a total outage; see docs/operations-recovery.md."),
+    )
+    spec.addOption(flagOption(ACTIONS_OPTION, "Print and audit the latest cloud actions recorded in the key-value store, and exit."))
+    spec.addOption(fileOption(ACTIONS_HTML_OPTION, "With --actions: also write the report to this file as an HTML page."))
+    spec.addOption(flagOption(TRAINING_OPTION, "Run the common code paths once on loopback and exit (for the build's class-data archive)."))
     spec.addOption(OptionSpec.builder("--help", "-h").usageHelp(true).description("Show this help.").build())
     spec.addOption(OptionSpec.builder("--version").versionHelp(true).description("Show the version.").build())
     return spec
--- a/src/main/kotlin/linemast/app/Commands.kt
+++ b/src/main/kotlin/linemast/app/Commands.kt
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParseResult
 import java.nio.file.Path
 
-/** Executes what the options ask for; the exit code of the process. */
+/** Executes the command that [options] select; returns the exit code of the process. */
 internal fun executeCommand(options: ParseResult): Int {
     if (options.hasMatchedOption(TRAINING_OPTION)) return ArchiveTraining.run()
     val settingsFile = options.file(CONFIG_OPTION)
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -14,12 +14,12 @@
 import linemast.transport.HttpServer
 import org.slf4j.LoggerFactory
 
-/** One controller: a [Node] with its sockets on [loop]. */
+/** One controller: a [Node] and its sockets, all of which run on [loop]. */
 class Controller(private val configuration: ControllerConfiguration, private val loop: EventLoop) {
     private val settings = configuration.settings
     private val log = LoggerFactory.getLogger(Controller::class.java)
 
-    /** Serves until it is cancelled; the store client, the servers and the node are its children. */
+    /** Serves until it is cancelled; the HTTP server, the peer links and the node run as its child coroutines. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
         val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllers, clock)
@@ -48,7 +48,7 @@
     }
 
     private companion object {
-        /** File descriptors left for the store, the cloud and the peers, and for what the JVM itself holds open. */
+        /** File descriptors reserved for the store, the cloud and the peers, and for those that the JVM itself keeps open. */
         const val RESERVED_SOCKETS = 40
     }
 }
--- a/src/main/kotlin/linemast/app/HealthCheck.kt
+++ b/src/main/kotlin/linemast/app/HealthCheck.kt
@@ -13,18 +13,23 @@
     private val peerView: PeerView,
     private val clock: Clock,
 ) {
-    /** The response to a health check. */
+    /** Returns the response to a health check: 200 if the load balancer should send users to this controller, otherwise 503. */
     fun respond() = HttpResponse(if (isHealthy()) HttpStatus.OK else HttpStatus.SERVICE_UNAVAILABLE)
 
     /**
-     * Without the key-value store no request can be handled. Users are sent elsewhere only if the store responds to another
-     * controller: in an outage of the store itself, taking all controllers out would only delay the return.
+     * Whether the load balancer should send users to this controller.
+     *
+     * A controller is unhealthy until it has read the machine types.
+     *
+     * Without the key-value store no request can be handled. A controller whose reads of the store fail is unhealthy only while
+     * the store responds to another controller: in an outage of the store itself, taking all controllers out of the load balancer
+     * would only delay the return to service.
      */
     private fun isHealthy(): Boolean =
         machineTypes.types != null && (healthProbe.failingForMicros(clock.nowMicros()) < MAX_FAILING_MICROS || !peerView.peerReachesStore)
 
     private companion object {
-        /** Longer than an outage takes to show in the status of peers: a second between probes, one between statuses. */
+        /** Longer than an outage takes to appear in the statuses of peers: one second between probes and one between statuses. */
         const val MAX_FAILING_MICROS = 3_500_000L
     }
 }
--- a/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
@@ -8,7 +8,7 @@
 import linemast.transport.HttpStatus
 import linemast.workers.HeartbeatCodec
 
-/** Receives the heartbeats of workers: the leader responds with commands, other controllers redirect to the leader. */
+/** Receives the heartbeats of workers: the leader responds with commands, other controllers redirect the worker to the leader. */
 internal class HeartbeatEndpoint(
     private val nodeName: String,
     private val clock: Clock,
@@ -16,7 +16,7 @@
     private val leaderLifecycle: LeaderLifecycle,
     private val peerStatusExchange: PeerStatusExchange,
 ) {
-    /** The response to a heartbeat. Throws [linemast.serialization.MalformedException] if its body cannot be decoded. */
+    /** Responds to a heartbeat; throws a [linemast.serialization.MalformedException] if its body cannot be decoded. */
     suspend fun respond(request: HttpRequest): HttpResponse {
         val heartbeat = HeartbeatCodec.decode(Cbor.decodeMap(request.body))
         peerStatusExchange.recordHeartbeat()
--- a/src/main/kotlin/linemast/app/InspectionCommand.kt
+++ b/src/main/kotlin/linemast/app/InspectionCommand.kt
@@ -16,9 +16,9 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Reports on the latest actions at the cloud from the store alone; no controller has to run. */
+/** Reports the latest cloud actions and their audit. It reads only the store; no controller has to run. */
 internal class InspectionCommand(private val settings: Settings, private val duties: DutySettings, private val htmlFile: Path?) {
-    /** Prints the report and writes it to [htmlFile] if there is one; the exit code of the process. */
+    /** Prints the report and also writes it to [htmlFile] if there is one; returns the exit code of the process. */
     fun run(): Int {
         try {
             val report = readReport()
@@ -26,11 +26,11 @@
             htmlFile?.let { Files.writeString(it, report.toHtml()) }
             return if (report.hasViolations) ExitCode.VIOLATIONS else ExitCode.OK
         } catch (e: StoreException) {
-            System.err.println("linemast: the key-value store at ${settings.storeAddress}: ${e.message}")
+            System.err.println("linemast: reading the key-value store at ${settings.storeAddress} failed: ${e.message}")
         } catch (e: MalformedException) {
-            System.err.println("linemast: a malformed record in the key-value store: ${e.message}")
+            System.err.println("linemast: the key-value store holds a malformed record: ${e.message}")
         } catch (e: IOException) {
-            System.err.println("linemast: $htmlFile: ${e.message}")
+            System.err.println("linemast: writing the report to $htmlFile failed: ${e.message}")
         }
         return ExitCode.FAILED
     }
--- a/src/main/kotlin/linemast/app/LeaderLifecycle.kt
+++ b/src/main/kotlin/linemast/app/LeaderLifecycle.kt
@@ -9,7 +9,7 @@
 import linemast.control.LeaderEnvironment
 import linemast.leadership.LeaderLease
 
-/** Runs a [Leader] while this controller holds the leader lease, in a scope of its own. */
+/** Runs a [Leader] in a scope of its own while this controller holds the leader lease. */
 internal class LeaderLifecycle(
     private val environment: LeaderEnvironment,
     private val scope: CoroutineScope,
@@ -21,7 +21,7 @@
         private set
     private var leaderScope: CoroutineScope? = null
 
-    /** Begins a term under [leaderLease]. */
+    /** Begins a term: starts a [Leader] that holds [leaderLease]. */
     fun beginTerm(leaderLease: LeaderLease) {
         val termScope = CoroutineScope(scope.coroutineContext + SupervisorJob(scope.coroutineContext[Job]))
         val newLeader = Leader(environment, leaderLease, termScope)
@@ -31,7 +31,7 @@
         onLeadershipChange(true)
     }
 
-    /** Ends the term and cancels all that the leader has under way. */
+    /** Ends the term and cancels all coroutines of the leader. */
     fun endTerm() {
         onLeadershipChange(false)
         leader = null
--- a/src/main/kotlin/linemast/app/MachineTypeCatalog.kt
+++ b/src/main/kotlin/linemast/app/MachineTypeCatalog.kt
@@ -14,16 +14,17 @@
 /**
  * The machine types that the cloud offers.
  *
- * They are kept in the store, so that a controller that starts while the cloud is unreachable can check submissions.
+ * They are stored in the key-value store, so that a controller that starts while the cloud is unreachable can check
+ * submissions.
  */
 internal class MachineTypeCatalog(private val store: KeyValueStore, private val cloud: Cloud) {
     private val log = LoggerFactory.getLogger(MachineTypeCatalog::class.java)
 
-    /** All machine types; null until they have been read. */
+    /** All machine types; null until [load] has read them. */
     var types: List<MachineType>? = null
         private set
 
-    /** Reads the machine types; repeats this until it succeeds. */
+    /** Reads the machine types from the store, or else from the cloud; retries until it succeeds. */
     suspend fun load() {
         val loaded = RETRY.untilResult(log, "machine types") { readStored() ?: fetchAndStore() }
         types = loaded
@@ -32,12 +33,12 @@
 
     private suspend fun readStored(): List<MachineType>? = store.get(MachineTypeCodec.KEY)?.let { MachineTypeCodec.decode(it.value) }
 
-    /** Null if the cloud does not respond, or if another controller stored the machine types first. */
+    /** Returns null if the call to the cloud fails, or if another controller stored the machine types first. */
     private suspend fun fetchAndStore(): List<MachineType>? {
         val fetched = try {
             cloud.listMachineTypes()
         } catch (e: CloudException) {
-            log.info("machine types: {}", e.message)
+            log.info("machine types: call to the cloud failed and is retried: {}", e.message)
             return null
         }
         val write = Write.Put(MachineTypeCodec.KEY, MachineTypeCodec.encode(fetched))
--- a/src/main/kotlin/linemast/app/Metrics.kt
+++ b/src/main/kotlin/linemast/app/Metrics.kt
@@ -11,9 +11,10 @@
 import java.lang.management.ManagementFactory
 
 /**
- * Latency of requests, duration of event loop iterations and processor usage, logged once a minute at level `debug`.
+ * Records the latency of requests, the duration of event loop iterations and the processor usage, and logs them once a minute at
+ * level `debug`.
  *
- * At other levels no instance is created, so that requests cost nothing for it.
+ * At other levels no instance is created, so that metrics add no cost to requests.
  */
 class Metrics(private val clock: Clock) {
     private val log = LoggerFactory.getLogger(Metrics::class.java)
@@ -21,13 +22,13 @@
     private var lastProcessorMicros = processorMicrosNow()
     private var lastLoggedMicros = clock.nowMicros()
 
-    /** A handler that passes requests on to [handler] and records their latency. */
+    /** Returns a handler that passes requests on to [handler] and records their latency. */
     fun measureLatency(handler: suspend (HttpRequest) -> HttpResponse): suspend (HttpRequest) -> HttpResponse = { request ->
         val start = clock.nowMicros()
         handler(request).also { record(requestKind(request), clock.nowMicros() - start) }
     }
 
-    /** Records that an iteration of the event loop took [micros]. */
+    /** Records that an iteration of the event loop ran coroutines for [micros]. */
     fun recordIteration(micros: Long) = record("turn", micros)
 
     private fun record(kind: String, micros: Long) {
@@ -42,7 +43,7 @@
         else -> "other"
     }
 
-    /** Logs and resets the figures once a minute, until it is cancelled. */
+    /** Logs and resets the metrics once a minute, until it is cancelled. */
     suspend fun run() {
         while (true) {
             delay(PERIOD_MILLIS)
@@ -75,7 +76,7 @@
         lastLoggedMicros = nowMicros
     }
 
-    /** Processor time that this process has used so far; 0 if the platform does not tell. */
+    /** Returns the processor time that this process has used so far; 0 if the platform does not report it. */
     private fun processorMicrosNow(): Long =
         (ManagementFactory.getOperatingSystemMXBean() as? OperatingSystemMXBean)?.let { it.processCpuTime / NANOS_PER_MICRO } ?: 0L
 
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -24,9 +24,9 @@
 import linemast.transport.HttpResponse
 
 /**
- * A controller without its sockets: requests come through [route], statuses of peers through [receivePeerStatus].
+ * A controller without its sockets: requests arrive through [route], statuses of peers through [receivePeerStatus].
  *
- * All of it runs on one thread, in [scope].
+ * All its code runs on one thread, in [scope].
  */
 class Node(
     private val configuration: ControllerConfiguration,
@@ -35,7 +35,7 @@
     private val clock: Clock,
     private val wallMicros: () -> Long,
     private val scope: CoroutineScope,
-    /** Called with true after this controller has begun to lead and with false before it ceases to. */
+    /** Called with true after a term of this controller as leader has begun, and with false before the term ends. */
     onLeadershipChange: (Boolean) -> Unit = {},
 ) {
     private val settings = configuration.settings
@@ -55,7 +55,7 @@
         createJobService(),
     )
 
-    /** The plan by which this controller admits submissions; null without fair admission. */
+    /** The plan by which this controller admits submissions; null if fair admission is not enabled. */
     val admissionPlan: AdmissionPlan? get() = admissionController?.plan
 
     /** Starts the long-running coroutines in the node's scope. */
@@ -67,13 +67,13 @@
         startAdmission()
     }
 
-    /** The response to a request of a user, a worker or the load balancer. */
+    /** Responds to a request of a user, a worker or the load balancer. */
     suspend fun route(request: HttpRequest): HttpResponse = router.route(request)
 
-    /** What this controller tells its peers now. */
+    /** Returns the status that this controller sends to its peers at this time. */
     fun peerStatus(): PeerStatus = peerStatusExchange.buildStatus()
 
-    /** Takes in a status that has arrived from another controller. */
+    /** Processes a status received from another controller. */
     fun receivePeerStatus(status: PeerStatus) = peerStatusExchange.receive(status)
 
     private fun createElection() = Election(
@@ -110,7 +110,7 @@
     }
 
     private companion object {
-        /** Below this fraction of its share of the admission capacity a controller does not report its demand. */
+        /** Demand below a controller's share of the admission capacity, divided by this number, is not reported. */
         const val REPORT_THRESHOLD_DIVISOR = 2
     }
 }
--- a/src/main/kotlin/linemast/app/PeerStatusExchange.kt
+++ b/src/main/kotlin/linemast/app/PeerStatusExchange.kt
@@ -6,7 +6,7 @@
 import linemast.store.StoreHealthProbe
 import linemast.time.Clock
 
-/** Builds the status that this controller sends to its peers, and takes in theirs. */
+/** Builds the status that this controller sends to its peers, and processes the statuses received from them. */
 internal class PeerStatusExchange(
     private val nodeName: String,
     private val clock: Clock,
@@ -17,12 +17,12 @@
 ) {
     private var lastHeartbeatMicros = NEVER_MICROS
 
-    /** Takes note of a worker's heartbeat to this controller. */
+    /** Records that a heartbeat of a worker has reached this controller. */
     fun recordHeartbeat() {
         lastHeartbeatMicros = clock.nowMicros()
     }
 
-    /** What this controller tells its peers now. */
+    /** Returns the status that this controller sends to its peers at this time. */
     fun buildStatus(): PeerStatus {
         val leader = leaderLifecycle.leader
         val receivesHeartbeats = clock.nowMicros() - lastHeartbeatMicros < HEARTBEAT_RECENT_MICROS
@@ -36,7 +36,7 @@
         )
     }
 
-    /** Takes in a status that has arrived from another controller. */
+    /** Processes a status received from another controller. */
     fun receive(status: PeerStatus) {
         leaderView.observeFencingToken(status.fencingToken)
         val isFromLeader = status.isLeader && status.fencingToken >= leaderView.highestFencingToken
@@ -46,10 +46,10 @@
     }
 
     private companion object {
-        /** Before any time of the clock, and far enough from the limits that differences do not overflow. */
+        /** Earlier than any time of the clock, and far enough from the limits of Long that differences do not overflow. */
         const val NEVER_MICROS = Long.MIN_VALUE / 2
 
-        /** A heartbeat is recent for this long. */
+        /** A heartbeat counts as recent for this long. */
         const val HEARTBEAT_RECENT_MICROS = 2_000_000L
     }
 }
--- a/src/main/kotlin/linemast/app/StandInServices.kt
+++ b/src/main/kotlin/linemast/app/StandInServices.kt
@@ -7,18 +7,18 @@
 import linemast.transport.HttpResponse
 import linemast.transport.HttpStatus
 
-/** Serves the key-value store and the cloud at one address, as much of them as one leader needs for a second. */
+/** Stand-in for the key-value store and the cloud at one address, reduced to what one leader needs for a second. */
 internal class StandInServices {
     private val cloud = StandInCloud()
     private val store = StandInStore()
 
-    /** The response to a controller's request. */
+    /** Responds to a request of a controller. */
     suspend fun respond(request: HttpRequest): HttpResponse = cloud.respond(request) ?: store.respond(request)
 }
 
-/** A cloud with one machine type and no machines. */
+/** Stand-in for a cloud with one machine type and no machines. */
 private class StandInCloud {
-    /** Null if the path is not one of the cloud. */
+    /** Responds to [request]; returns null if its path is not one of the cloud. */
     fun respond(request: HttpRequest): HttpResponse? = when (request.path) {
         "/machine_types" -> HttpResponse.of(HttpStatus.OK, "builds" to listOf(machineType()))
         "/machines" -> HttpResponse.of(HttpStatus.OK, "rigs" to emptyList<Any>(), "truncated" to false)
@@ -31,7 +31,7 @@
     )
 }
 
-/** A key-value store in memory, without expiry of leases and without pages. */
+/** Stand-in for the key-value store: in memory, without lease expiry and without pagination. */
 private class StandInStore {
     private class Entry(val value: Map<String, Any?>, val revision: Long)
 
--- a/src/main/kotlin/linemast/serialization/Cbor.kt
+++ b/src/main/kotlin/linemast/serialization/Cbor.kt
@@ -6,7 +6,7 @@
 import java.io.ByteArrayOutputStream
 import java.io.IOException
 
-/** The CBOR form of [ValueTree]s, in which the bodies of every interface travel. */
+/** Encodes and decodes [ValueTree]s as CBOR, the format of the message bodies of all interfaces. */
 object Cbor {
     private const val MAX_DEPTH = 24
     private const val INITIAL_BYTES = 256
@@ -15,14 +15,14 @@
         .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
         .build()
 
-    /** The bytes of a tree of maps, lists, texts, numbers, booleans and null. */
+    /** Encodes a tree of maps, lists, texts, numbers, booleans and null. */
     fun encode(value: Any?): ByteArray {
         val out = ByteArrayOutputStream(INITIAL_BYTES)
         factory.createGenerator(out).use { ValueTree.write(it, value) }
         return out.toByteArray()
     }
 
-    /** Reads a body, which has to be one map; throws [MalformedException] otherwise. */
+    /** Decodes a body, which must be a single map; throws a [MalformedException] otherwise. */
     fun decodeMap(bytes: ByteArray): Fields {
         try {
             factory.createParser(bytes).use { parser ->
--- a/src/main/kotlin/linemast/serialization/JsonSize.kt
+++ b/src/main/kotlin/linemast/serialization/JsonSize.kt
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.core.JsonFactory
 import java.io.OutputStream
 
-/** Sizes of [ValueTree]s in their JSON form, in which the limits of the protocol are counted. */
+/** Computes the size of [ValueTree]s in JSON, the form to which the size limits of the protocol apply. */
 object JsonSize {
     private val factory = JsonFactory()
 
-    /** How many bytes the JSON form of [value] takes. */
+    /** Returns the number of bytes of the JSON form of [value]. */
     fun of(value: Any?): Int {
         val out = CountingStream()
         factory.createGenerator(out).use { ValueTree.write(it, value) }
--- a/src/main/kotlin/linemast/serialization/MalformedException.kt
+++ b/src/main/kotlin/linemast/serialization/MalformedException.kt
@@ -1,4 +1,4 @@
 package linemast.serialization
 
-/** Input that does not have the form that the protocol, the settings or a stored record's codec gives it. */
+/** Thrown for input that does not have the form required by the protocol, the settings or the codec of a stored record. */
 class MalformedException(message: String) : Exception(message)
--- a/src/main/kotlin/linemast/serialization/ValueTree.kt
+++ b/src/main/kotlin/linemast/serialization/ValueTree.kt
@@ -7,10 +7,10 @@
 /**
  * Reads and writes trees of plain values: maps with text keys, lists, texts, numbers, booleans and null.
  *
- * Values are streamed, without data binding; the format is that of the parser or generator.
+ * Values are streamed, without data binding; the parser or generator determines the format.
  */
 object ValueTree {
-    /** Reads the value that starts at the parser's current token; throws [MalformedException] for any other kind of value. */
+    /** Reads the value that starts at the parser's current token; throws a [MalformedException] for any other kind of value. */
     fun read(parser: JsonParser): Any? = when (parser.currentToken()) {
         JsonToken.START_OBJECT -> readMap(parser)
         JsonToken.START_ARRAY -> buildList {
@@ -22,11 +22,11 @@
         JsonToken.VALUE_TRUE -> true
         JsonToken.VALUE_FALSE -> false
         JsonToken.VALUE_NULL -> null
-        else -> throw MalformedException("unexpected ${parser.currentToken()}")
+        else -> throw MalformedException("unexpected token ${parser.currentToken()}")
     }
 
     private fun readInteger(parser: JsonParser): Long {
-        if (parser.numberType == JsonParser.NumberType.BIG_INTEGER) throw MalformedException("an integer is too large")
+        if (parser.numberType == JsonParser.NumberType.BIG_INTEGER) throw MalformedException("an integer exceeds 64 bits")
         return parser.longValue
     }
 
@@ -43,7 +43,7 @@
 
     private fun nextToken(parser: JsonParser): JsonToken = parser.nextToken() ?: throw MalformedException("body: ends too early")
 
-    /** Writes [value]; throws IllegalStateException for a value of any other type. */
+    /** Writes [value]; throws an IllegalStateException for a value of any other type. */
     fun write(out: JsonGenerator, value: Any?) {
         when (value) {
             null -> out.writeNull()
@@ -54,7 +54,7 @@
             is Boolean -> out.writeBoolean(value)
             is Map<*, *> -> writeMap(out, value)
             is List<*> -> writeList(out, value)
-            else -> error("no wire form for ${value.javaClass}")
+            else -> error("cannot encode a value of ${value.javaClass}")
         }
     }
 
--- a/src/main/kotlin/linemast/time/Clock.kt
+++ b/src/main/kotlin/linemast/time/Clock.kt
@@ -1,8 +1,8 @@
 package linemast.time
 
-/** A monotonic clock in whole microseconds; never the time of day. */
+/** A monotonic clock in whole microseconds; it never returns wall time. */
 fun interface Clock {
-    /** The time now, counted from an arbitrary origin. */
+    /** Returns the current time, counted from an arbitrary origin. */
     fun nowMicros(): Long
 }
 
@@ -11,8 +11,8 @@
     override fun nowMicros(): Long = System.nanoTime() / 1_000
 }
 
-/** A second in microseconds. */
+/** One second in microseconds. */
 const val SECOND_MICROS = 1_000_000L
 
-/** A millisecond in microseconds. */
+/** One millisecond in microseconds. */
 const val MICROS_PER_MILLI = 1_000L
--- a/src/main/kotlin/linemast/transport/Connection.kt
+++ b/src/main/kotlin/linemast/transport/Connection.kt
@@ -9,8 +9,8 @@
 import java.nio.channels.SocketChannel
 
 /**
- * The bytes of one TCP connection, read and written by the coroutines of an [EventLoop] without any coroutine that copies
- * them in between.
+ * A TCP connection that is read and written directly by the coroutines of an [EventLoop]: no other coroutine copies the bytes
+ * in between.
  *
  * Reads and writes throw an IOException when the connection is broken or closed.
  */
@@ -18,7 +18,7 @@
     private val selectable = socket as Selectable
     private val channel = selectable.channel as SocketChannel
 
-    /** Received bytes that have not been taken are those from [start] up to [end]. */
+    /** Holds the received bytes that have not been taken, from index [start] (inclusive) to index [end] (exclusive). */
     private var buffer = EMPTY
     private var start = 0
     private var end = 0
@@ -26,7 +26,7 @@
     /** Number of received bytes that have not been taken. */
     val available: Int get() = end - start
 
-    /** Waits for more bytes; false when the other side has ended the stream. */
+    /** Waits for more bytes and adds them to the available ones; returns false if the remote side has ended the stream. */
     suspend fun fill(): Boolean {
         while (true) {
             loop.select(selectable, SelectInterest.READ)
@@ -45,7 +45,7 @@
         val unread = available
         val needed = unread + received.remaining()
         if (unread == 0 || needed > buffer.size - start) {
-            // An idle connection holds no memory: its buffer is as large as the bytes that came.
+            // A buffer without unread bytes becomes as large as the bytes received, so that an idle connection holds no memory.
             val grown = if (unread == 0) ByteArray(needed) else ByteArray(maxOf(needed, unread * 2))
             buffer.copyInto(grown, 0, start, end)
             buffer = grown
@@ -57,7 +57,7 @@
         end += count
     }
 
-    /** Where [pattern] begins among the available bytes, at [from] or later; -1 if nowhere. */
+    /** Returns the first index at or after [from] at which [pattern] begins among the available bytes; -1 if there is none. */
     fun indexOf(pattern: ByteArray, from: Int): Int {
         for (at in from..available - pattern.size) {
             if (pattern.indices.all { buffer[start + at + it] == pattern[it] }) return at
@@ -65,7 +65,7 @@
         return -1
     }
 
-    /** Takes [count] of the available bytes. */
+    /** Removes and returns the first [count] available bytes. */
     fun take(count: Int): ByteArray {
         val taken = buffer.copyOfRange(start, start + count)
         start += count
@@ -77,13 +77,13 @@
         return taken
     }
 
-    /** Waits for the next [count] bytes and takes them; throws an EOFException if the stream ends before. */
+    /** Waits for the next [count] bytes, removes and returns them; throws an EOFException if the stream ends before. */
     suspend fun read(count: Int): ByteArray {
-        while (available < count) if (!fill()) throw EOFException("the connection ended early")
+        while (available < count) if (!fill()) throw EOFException("the stream ended before all expected bytes had arrived")
         return take(count)
     }
 
-    /** Writes all of [message]. */
+    /** Writes [message] completely; waits while the socket cannot accept more bytes. */
     suspend fun write(message: ByteArray) {
         val remaining = ByteBuffer.wrap(message)
         channel.write(remaining)
@@ -93,7 +93,11 @@
         }
     }
 
-    /** Whether nothing has come since the last message, not even the end of the stream: the connection can be used again. */
+    /**
+     * Whether the connection can be reused: neither bytes nor the end of the stream have arrived after the last message.
+     *
+     * The check reads from the socket and discards what it finds, so a connection that is not reusable must be closed.
+     */
     fun isReusable(): Boolean {
         if (available > 0) return false
         val received = loop.receiveBuffer
--- a/src/main/kotlin/linemast/transport/EventLoop.kt
+++ b/src/main/kotlin/linemast/transport/EventLoop.kt
@@ -18,11 +18,11 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * One thread that runs every coroutine, every timer and every socket of a controller.
+ * An event loop that runs all coroutines, timers and sockets of a controller on one thread.
  *
- * ktor-network's own selector manager wants a thread to itself, and its sockets copy bytes in coroutines on a pool: each
- * message then passes through three threads. At a small share of a core that was most of the cost of a heartbeat. Here the
- * thread that runs the coroutines asks the selector between them.
+ * The selector manager of ktor-network needs a thread of its own, and its sockets copy bytes in coroutines on a thread pool, so
+ * that each message passes through three threads. With a small share of a core, this was most of the cost of a heartbeat. In
+ * this loop, the thread that runs the coroutines also polls the selector between them.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
 class EventLoop :
@@ -36,16 +36,16 @@
     private val timers = TimerQueue()
     private var thread: Thread? = null
 
-    /** Received bytes pass through here on their way to their connection. */
+    /** Shared by all connections: bytes are read from a socket into this buffer and then copied to the buffer of their connection. */
     internal val receiveBuffer: ByteBuffer = ByteBuffer.allocateDirect(RECEIVE_BUFFER_BYTES)
 
     override val coroutineContext: CoroutineContext get() = this
     override val provider: SelectorProvider get() = selector.provider()
 
-    /** Called with how long each iteration ran coroutines, in microseconds: for so long nothing else could be answered. */
+    /** Called after each iteration with the microseconds for which it ran coroutines; no socket or timer was served meanwhile. */
     var onIteration: ((Long) -> Unit)? = null
 
-    /** Runs [main] and all that it starts on the calling thread, until it ends. */
+    /** Runs [main] and its child coroutines on the calling thread until they end; returns the result of [main]. */
     fun <T> run(main: suspend CoroutineScope.() -> T): T {
         thread = Thread.currentThread()
         val result = CoroutineScope(this).async(block = main)
@@ -69,7 +69,7 @@
         while (remaining-- > 0) (readyTasks.removeFirstOrNull() ?: tasksFromOtherThreads.poll() ?: return).run()
     }
 
-    /** Waits for sockets, for no longer than until the next timer, and not at all while tasks are ready. */
+    /** Polls the selector: waits at most until the next timer is due, and not at all while tasks are ready. */
     private fun awaitSockets() {
         val hasTasks = readyTasks.isNotEmpty() || tasksFromOtherThreads.isNotEmpty()
         when (val waitNanos = if (hasTasks) 0L else timers.nanosUntilNext()) {
@@ -107,7 +107,7 @@
     private companion object {
         const val RECEIVE_BUFFER_BYTES = 64 * 1024
 
-        /** So that sockets and timers get their turn while coroutines keep each other busy. */
+        /** Bounds an iteration, so that sockets and timers are served even while coroutines keep resuming each other. */
         const val MAX_TASKS_PER_ITERATION = 64
         const val NANOS_PER_MICRO = 1_000
     }
--- a/src/main/kotlin/linemast/transport/HttpClient.kt
+++ b/src/main/kotlin/linemast/transport/HttpClient.kt
@@ -12,17 +12,17 @@
 import linemast.time.SteadyClock
 import java.io.IOException
 
-/** No usable reply came: the request may or may not have been executed. */
+/** Thrown for a request that got no usable response; the request may or may not have been executed. */
 class NoResponseException(message: String) : IOException(message)
 
 /**
  * Sends requests to one endpoint over a few persistent connections.
  *
- * A connection serves one request at a time and is closed after any doubt, so that a late reply can never be taken for the
- * reply to another request.
+ * A connection carries one request at a time and is closed unless its response has been read completely, so that a delayed
+ * response cannot be mistaken for the response to another request.
  *
- * @param maxConnections most requests at a time; more wait, within their timeout.
- * @property maxResponseBytes largest reply body that is taken.
+ * @param maxConnections largest number of concurrent requests; further requests wait, and their timeout includes the wait.
+ * @property maxResponseBytes size of the largest response body that is accepted.
  */
 class HttpClient(
     private val loop: EventLoop,
@@ -35,26 +35,28 @@
     private val permits = Semaphore(maxConnections)
     private val idle = ArrayDeque<IdleConnection>()
 
-    /** Sends a request and waits for its reply; throws [NoResponseException] if none comes within [timeoutMicros]. */
+    /** Sends a request and returns its response; throws a [NoResponseException] if none arrives within [timeoutMicros]. */
     suspend fun call(method: String, path: String, body: ByteArray?, timeoutMicros: Long): HttpClientResponse {
         val response = withTimeoutOrNull(timeoutMicros / MICROS_PER_MILLI) {
             permits.withPermit { exchange(method, path, body) }
         }
-        return response ?: throw NoResponseException("$address: no answer to $method $path within ${timeoutMicros / MICROS_PER_MILLI} ms")
+        return response ?: throw NoResponseException("$address: no response to $method $path within ${timeoutMicros / MICROS_PER_MILLI} ms")
     }
 
     private suspend fun exchange(method: String, path: String, body: ByteArray?): HttpClientResponse {
         val connection = try {
             takeIdle() ?: connect(loop, address)
         } catch (e: IOException) {
-            throw NoResponseException("$address: ${e.message}")
+            throw NoResponseException("$address: connection failed: ${e.message}")
         }
         var reusable = false
         try {
             connection.write(encodeRequest(method, path, body))
-            val head = readHead(connection)?.let { parseResponse(ByteReadChannel(it)) } ?: throwNoResponse("closed the connection")
+            val head = readHead(connection)?.let { parseResponse(ByteReadChannel(it)) }
+                ?: throwNoResponse("connection closed before a response")
             try {
-                val bytes = readBody(connection, head.headers, maxResponseBytes) ?: throwNoResponse("reply too large or without length")
+                val bytes = readBody(connection, head.headers, maxResponseBytes)
+                    ?: throwNoResponse("response body too large or of invalid length")
                 reusable = !closesConnection(head.headers)
                 return HttpClientResponse(head.status, bytes)
             } finally {
@@ -65,6 +67,7 @@
         } catch (e: NoResponseException) {
             throw e
         } catch (e: Exception) {
+            // Whatever failed, the request may have been executed; the failure must not end the process.
             throw NoResponseException("$address: $e")
         } finally {
             if (reusable) idle.addLast(IdleConnection(connection, SteadyClock.nowMicros())) else connection.close()
--- a/src/main/kotlin/linemast/transport/HttpFraming.kt
+++ b/src/main/kotlin/linemast/transport/HttpFraming.kt
@@ -11,19 +11,19 @@
 import kotlinx.io.readByteArray
 import linemast.serialization.MalformedException
 
-/** The bytes of the next message's first line and headers; null when the other side has ended instead. */
+/** Reads the first line and the headers of the next message; returns null if the stream ends before they are complete. */
 internal suspend fun readHead(connection: Connection): ByteArray? {
     var searched = 0
     while (true) {
         val end = connection.indexOf(HEAD_END, searched)
         if (end >= 0) return connection.take(end + HEAD_END.size)
-        if (connection.available > MAX_HEAD_BYTES) throw MalformedException("the head is too long")
+        if (connection.available > MAX_HEAD_BYTES) throw MalformedException("the first line and the headers are too long")
         searched = (connection.available - HEAD_END.size).coerceAtLeast(0)
         if (!connection.fill()) return null
     }
 }
 
-/** The body announced by [headers]; null if it is larger than [limit] or its length makes no sense. */
+/** Reads the body that [headers] announce; returns null if it exceeds [limit] bytes or if its length or encoding is invalid. */
 internal suspend fun readBody(connection: Connection, headers: HttpHeadersMap, limit: Int): ByteArray? {
     val transferEncoding = headers["Transfer-Encoding"]
     if (transferEncoding != null) {
@@ -53,7 +53,7 @@
     }
 }
 
-/** The bytes of a whole message, so that it leaves in one system call. */
+/** Encodes a whole message as one array, so that one system call sends it. */
 internal inline fun encodeMessage(write: RequestResponseBuilder.() -> Unit): ByteArray {
     val builder = RequestResponseBuilder()
     return try {
@@ -64,7 +64,7 @@
     }
 }
 
-/** Whether the other side closes the connection after this message. */
+/** Whether [headers] announce that the connection is closed after this message. */
 internal fun closesConnection(headers: HttpHeadersMap): Boolean =
     headers["Connection"]?.toString()?.equals("close", ignoreCase = true) == true
 
--- a/src/main/kotlin/linemast/transport/HttpServer.kt
+++ b/src/main/kotlin/linemast/transport/HttpServer.kt
@@ -11,20 +11,19 @@
 import java.io.IOException
 
 /**
- * Serves requests on one address, a coroutine per connection.
+ * Serves HTTP requests on one address, with one coroutine per connection.
  *
  * At most [maxConnections] are open at a time, so that users and workers cannot use up the sockets that the controller needs
- * for the store, the cloud and its peers. With more clients than that, a new connection takes the place of the one that has
- * been idle for longest.
+ * for the store, the cloud and its peers. When all are open, a new connection replaces the one that has been idle for longest.
  *
- * @property handler answers a request. A MalformedException becomes a 400, any other failure a 503.
+ * @property handler returns the response to a request. A MalformedException becomes a 400, any other failure a 503.
  */
 class HttpServer(loop: EventLoop, address: Address, maxConnections: Int, private val handler: suspend (HttpRequest) -> HttpResponse) {
     private val log = LoggerFactory.getLogger(HttpServer::class.java)
     private val connections = ServerConnections()
     private val listener = Listener(loop, address, maxConnections, connections::closeLongestIdle)
 
-    /** What the next bytes of a connection held. */
+    /** The result of reading one request from a connection. */
     private sealed interface Received {
         class Complete(val request: HttpRequest, val closeAfterwards: Boolean) : Received
 
@@ -33,7 +32,7 @@
         data object EndOfStream : Received
     }
 
-    /** Accepts connections until [scope] is cancelled; [onListening] is called once clients can connect. */
+    /** Accepts connections until [scope] is cancelled; calls [onListening] once clients can connect. */
     suspend fun serve(scope: CoroutineScope, onListening: () -> Unit = {}) {
         scope.launch { closeExpiredConnections() }
         listener.serve(scope, onListening, ::serveConnection)
@@ -52,13 +51,14 @@
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            log.debug("connection ended: {}", e.toString())
+            // No failure of one connection may end the process.
+            log.debug("connection closed after an error: {}", e.toString())
         } finally {
             connections.remove(connection)
         }
     }
 
-    /** Serves one request; false if the connection is to be closed. */
+    /** Serves one request; returns false if the connection must be closed. */
     private suspend fun serveRequest(connection: Connection): Boolean = when (val received = receive(connection)) {
         is Received.EndOfStream -> false
         is Received.Malformed -> {
@@ -82,7 +82,7 @@
         } catch (e: IOException) {
             throw e
         } catch (e: Exception) {
-            log.debug("malformed request: {}", e.toString())
+            log.debug("malformed request line or headers, responding with 400: {}", e.toString())
             null
         }
         if (head == null) return Received.Malformed
@@ -102,10 +102,10 @@
     } catch (e: CancellationException) {
         throw e
     } catch (e: MalformedException) {
-        log.debug("{} {} is malformed: {}", request.method, request.path, e.message)
+        log.debug("{} {}: malformed request, responding with 400: {}", request.method, request.path, e.message)
         HttpResponse(HttpStatus.BAD_REQUEST)
     } catch (e: Exception) {
-        log.error("{} {} failed", request.method, request.path, e)
+        log.error("{} {} failed, responding with 503", request.method, request.path, e)
         HttpResponse.unavailable()
     }
 
--- a/src/main/kotlin/linemast/transport/HttpStatus.kt
+++ b/src/main/kotlin/linemast/transport/HttpStatus.kt
@@ -2,37 +2,37 @@
 
 /** The HTTP status codes that controllers, workers, users, the cloud and the key-value store exchange. */
 object HttpStatus {
-    /** The request was carried out. */
+    /** The request was executed. */
     const val OK = 200
 
     /** A submission was accepted by this request. */
     const val CREATED = 201
 
-    /** The request is malformed; it is not retried. */
+    /** The request is malformed; the client does not retry it. */
     const val BAD_REQUEST = 400
 
     /** There is no such job, key, lease or path. */
     const val NOT_FOUND = 404
 
-    /** Preconditions of a transaction did not hold. */
+    /** A precondition of a transaction did not hold. */
     const val CONFLICT = 409
 
-    /** The store no longer has the changes that a watch asks for. */
+    /** The store no longer has all changes that a watch requests. */
     const val GONE = 410
 
     /** A worker's heartbeat reached a controller that is not the leader. */
     const val MISDIRECTED_REQUEST = 421
 
-    /** A job can never run, and is not accepted. */
+    /** The job can never run and is rejected. */
     const val UNPROCESSABLE_CONTENT = 422
 
-    /** A limit on requests is exceeded; the request may be repeated later. */
+    /** A request limit is exceeded; the request may be retried after a wait. */
     const val TOO_MANY_REQUESTS = 429
 
-    /** The request was not carried out, and may be repeated. */
+    /** The request was not executed and may be retried. */
     const val SERVICE_UNAVAILABLE = 503
 
-    /** The reason phrase of [status]. */
+    /** Returns the reason phrase of [status]. */
     fun reason(status: Int): String = when (status) {
         OK -> "OK"
         CREATED -> "Created"
--- a/src/main/kotlin/linemast/transport/Listener.kt
+++ b/src/main/kotlin/linemast/transport/Listener.kt
@@ -6,10 +6,10 @@
 import kotlinx.coroutines.launch
 
 /**
- * Accepts connections on one address, a coroutine for each, at most [maxConnections] at a time.
+ * Accepts connections on one address, with one coroutine for each, at most [maxConnections] at a time.
  *
- * @property closeIdleConnection is called when a new connection comes and all are taken: closes one that can be done without, or
- * returns false, and the new one is closed.
+ * @property closeIdleConnection called when a connection arrives while [maxConnections] are open. Closes one of the open
+ * connections, or returns false if none can be closed; the new connection is then closed instead.
  */
 class Listener(
     private val loop: EventLoop,
@@ -19,11 +19,15 @@
 ) {
     private var openConnections = 0
 
-    /** Accepts connections until [scope] is cancelled, and runs [onConnection] for each; [onListening] once the address is bound. */
+    /**
+     * Accepts connections until [scope] is cancelled and runs [onConnection] for each.
+     *
+     * Calls [onListening] once the address is bound.
+     */
     suspend fun serve(scope: CoroutineScope, onListening: () -> Unit = {}, onConnection: suspend (Connection) -> Unit) {
         val listener = aSocket(loop).tcp().bind(address.host, address.port) {
             reuseAddress = true
-            // All workers may come at once, when a controller is back.
+            // All workers may connect at the same time when a controller is reachable again.
             backlogSize = maxConnections
         }
         onListening()
--- a/src/main/kotlin/linemast/transport/SocketReadiness.kt
+++ b/src/main/kotlin/linemast/transport/SocketReadiness.kt
@@ -10,9 +10,9 @@
 import kotlin.coroutines.resume
 import kotlin.coroutines.resumeWithException
 
-/** The coroutines that wait until a socket can be read, written, accepted from or connected. */
+/** Suspends coroutines until their socket is ready to read, write, accept or connect. */
 internal class SocketReadiness(private val selector: Selector) {
-    /** Waits until [selectable] is ready for [interest]; throws when it is closed. */
+    /** Waits until [selectable] is ready for [interest]; throws if it is closed. */
     suspend fun await(selectable: Selectable, interest: SelectInterest) {
         suspendCancellableCoroutine { continuation ->
             selectable.suspensions.addSuspension(interest, continuation)
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Resumes the coroutines that wait for what [key] is ready for.
+     * Resumes the coroutines that wait for an operation for which [key] is ready.
      *
-     * The key may be cancelled by a socket that is closed while its turn comes: that must not end the loop.
+     * A socket that is closed after its selection has a cancelled key by now: this must not end the event loop.
      */
     fun onReady(key: SelectionKey) {
         try {
@@ -59,14 +59,14 @@
             if (readyOps and interest.flag == 0) continue
             val continuation = selectable.suspensions.removeSuspension(interest)
             continuation?.resume(Unit)
-            // What is read or accepted again and again stays watched, so that it costs no system call each time.
+            // Reading and accepting recur, so their interest stays registered, which saves a system call each time.
             val keepsInterest = interest == SelectInterest.READ || interest == SelectInterest.ACCEPT
             if (continuation == null || !keepsInterest) remaining = remaining and interest.flag.inv()
         }
         if (remaining != interests) key.interestOps(remaining)
     }
 
-    /** Fails all coroutines that wait for [selectable], which is closed. */
+    /** Fails all coroutines that wait for [selectable], which has been closed. */
     fun onClosed(selectable: Selectable) = fail(selectable, ClosedChannelException())
 
     private fun fail(selectable: Selectable, cause: Exception) {
--- a/src/test/kotlin/linemast/serialization/CborTest.kt
+++ b/src/test/kotlin/linemast/serialization/CborTest.kt
@@ -7,10 +7,14 @@
 import org.junit.jupiter.params.provider.ValueSource
 import kotlin.random.Random
 
+/**
+ * Guards against values that encoding changes, and against malformed bytes that are accepted, exhaust memory or the stack, or cause
+ * any exception other than a [MalformedException]. The bytes are encoded from generated maps, then truncated or altered.
+ */
 class CborTest {
     @ParameterizedTest
     @ValueSource(ints = [SEED])
-    fun `generated maps come back as they were`(seed: Int) {
+    fun `generated maps are equal after encoding and decoding`(seed: Int) {
         val random = Random(seed)
         repeat(500) {
             val map = randomMap(random, 4)
@@ -20,7 +24,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [SEED])
-    fun `every truncation is refused and a flipped bit is refused or read as something else`(seed: Int) {
+    fun `every truncation is rejected and a flipped bit is rejected or decoded as some map`(seed: Int) {
         val random = Random(seed)
         repeat(60) {
             val bytes = Cbor.encode(randomMap(random, 3))
@@ -41,7 +45,7 @@
     }
 
     @Test
-    fun `deep nesting, bytes, lists and huge integers are refused`() {
+    fun `deep nesting, a list as body, byte strings, too large integers and too long texts are rejected`() {
         var deep: Any? = 1
         repeat(60) { deep = listOf(deep) }
         assertThrows(MalformedException::class.java) { Cbor.decodeMap(Cbor.encode(mapOf("a" to deep))) }
@@ -51,7 +55,7 @@
         assertThrows(MalformedException::class.java) {
             Cbor.decodeMap(bytesOf(0xa1, 0x61, 0x61, 0x1b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff))
         }
-        // A text that claims two gigabytes.
+        // A text whose length field announces two gigabytes.
         assertThrows(MalformedException::class.java) { Cbor.decodeMap(bytesOf(0xa1, 0x61, 0x61, 0x7a, 0x7f, 0xff, 0xff, 0xff)) }
     }
 
--- a/src/test/kotlin/linemast/transport/EventLoopTest.kt
+++ b/src/test/kotlin/linemast/transport/EventLoopTest.kt
@@ -18,10 +18,14 @@
 import kotlin.concurrent.thread
 import kotlin.random.Random
 
+/**
+ * Guards against coroutines that are never resumed, or are resumed in the wrong order: one thread runs all coroutines, timers and
+ * sockets, and it may wait in the selector when a timer is due, another thread resumes a coroutine, or a socket becomes ready.
+ */
 @Timeout(60)
 class EventLoopTest {
     @Test
-    fun `timers fire in their order and cancelled ones never`() {
+    fun `timers fire in the order of their delays and cancelled timers never fire`() {
         val fired = ArrayList<Int>()
         val timedOutResult = EventLoop().use { loop ->
             loop.run {
@@ -49,9 +53,9 @@
         assertEquals("from elsewhere", received)
     }
 
-    /** More than the sockets' buffers hold, so that both sides have to wait for each other. */
+    /** The message exceeds the sockets' buffers, so that both sides have to wait until the other side has read. */
     @Test
-    fun `large messages pass whole in both directions at once`() {
+    fun `large messages arrive complete in both directions at the same time`() {
         val address = Address("127.0.0.1", ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { it.localPort })
         val sent = Random(SEED).nextBytes(12_000_000)
         println("seed $SEED")
--- a/src/test/kotlin/linemast/transport/HttpServerTest.kt
+++ b/src/test/kotlin/linemast/transport/HttpServerTest.kt
@@ -13,11 +13,14 @@
 import java.net.ServerSocket
 import java.net.Socket
 
-/** Real sockets on loopback: what a hostile or broken client sends must not pass for a request. */
+/**
+ * Guards against malformed or incomplete input of a hostile or faulty client that is served as a request, and against clients
+ * that take all connections. The clients use real sockets on loopback.
+ */
 @Timeout(60)
 class HttpServerTest {
     @Test
-    fun `requests are served and malformed ones refused`() {
+    fun `valid requests are served, malformed ones get status 400 and failing ones 503`() {
         val responses = withServer { port ->
             listOf(
                 "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc",
@@ -36,7 +39,7 @@
     }
 
     @Test
-    fun `a connection serves several requests and a body that ends too early gets no answer`() {
+    fun `a connection serves several requests and a request with an incomplete body gets no response`() {
         val responses = withServer { port ->
             val twoRequests = "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\na" +
                 "POST /echo HTTP/1.1\r\nContent-Length: 1\r\nConnection: close\r\n\r\nb"
@@ -47,11 +50,11 @@
     }
 
     @Test
-    fun `with all connections taken a new one takes the place of the longest idle, never of one with a request under way`() {
+    fun `when all connections are open a new one replaces the longest idle one, never one that has sent part of a request`() {
         val responses = withServer { port ->
             val receiving = Socket("127.0.0.1", port).also { it.getOutputStream().write("POST /echo HTTP/1.1\r\nContent-".toByteArray()) }
             val idle = List(MAX_CONNECTIONS - 1) { Socket("127.0.0.1", port) }
-            // Each has been served once, so that all are known to be open, the first one for longest.
+            // Each connection serves one request, so that all are known to be open and the first one has been idle for longest.
             idle.forEach { sendAndReadBody(it, "POST /echo HTTP/1.1\r\nContent-Length: 1\r\n\r\na") }
             val newConnectionResponse = exchange(port, "POST /echo HTTP/1.1\r\nContent-Length: 1\r\nConnection: close\r\n\r\nb")
             val longestIdleByte = idle.first().getInputStream().read()
@@ -63,7 +66,7 @@
         assertEquals(listOf("b", "-1", "c", "d"), responses)
     }
 
-    /** Sends [text] and reads up to the end of the answer's body of one byte. */
+    /** Sends [text] and returns the body of the response, which is one byte, or "closed" if the connection was closed. */
     private fun sendAndReadBody(socket: Socket, text: String): String {
         socket.getOutputStream().write(text.toByteArray())
         val input = socket.getInputStream()
