--- a/src/main/kotlin/linemast/transport/HttpFraming.kt
+++ b/src/main/kotlin/linemast/transport/HttpFraming.kt
@@ -17,7 +17,7 @@
     while (true) {
         val end = connection.indexOf(HEAD_END, searched)
         if (end >= 0) return connection.take(end + HEAD_END.size)
-        if (connection.available > MAX_HEAD_BYTES) throw MalformedException("the first line and the headers are too long")
+        if (connection.available > MAX_HEAD_BYTES) throw MalformedException("the head of the message (first line and headers) is too long")
         searched = (connection.available - HEAD_END.size).coerceAtLeast(0)
         if (!connection.fill()) return null
     }
--- a/src/main/kotlin/linemast/transport/HttpServer.kt
+++ b/src/main/kotlin/linemast/transport/HttpServer.kt
@@ -52,7 +52,7 @@
             throw e
         } catch (e: Exception) {
             // No failure of one connection may end the process.
-            log.debug("connection closed after an error: {}", e.toString())
+            log.debug("connection ended with an error: {}", e.toString())
         } finally {
             connections.remove(connection)
         }
