--- a/src/main/kotlin/linemast/app/ArchiveTraining.kt
+++ b/src/main/kotlin/linemast/app/ArchiveTraining.kt
@@ -16,7 +16,7 @@
  * small share of a core, then spends little of it on loading classes.
  */
 internal object ArchiveTraining {
-    private const val JOB = "req-000001"
+    private const val JOB_ID = "req-000001"
     private const val STARTUP_MILLIS = 400L
     private const val ROUNDS = 8
     private const val ROUND_MILLIS = 120L
@@ -45,12 +45,12 @@
         delay(STARTUP_MILLIS)
         for (round in 1..ROUNDS) {
             post(client, "/v1/jobs", jobBody())
-            get(client, "/v1/jobs/$JOB")
+            get(client, "/v1/jobs/$JOB_ID")
             get(client, "/healthz")
             post(client, "/agent/beat", heartbeatBody(round))
             delay(ROUND_MILLIS)
         }
-        post(client, "/v1/jobs/$JOB/cancel", emptyMap())
+        post(client, "/v1/jobs/$JOB_ID/cancel", emptyMap())
     }
 
     private suspend fun get(client: HttpClient, path: String) {
@@ -62,7 +62,7 @@
     }
 
     private fun jobBody(): Map<String, Any?> = mapOf(
-        "name_id" to JOB, "lane" to "lane", "crew" to "team", "shape" to "sweep", "urgency" to "normal",
+        "name_id" to JOB_ID, "lane" to "lane", "crew" to "team", "shape" to "sweep", "urgency" to "normal",
         "pieces" to 3, "vcpus" to 1.0, "gpus" to 0.0, "memory_gb" to 1.0, "bundle" to "img", "pull_gb" to 1.0,
         "builds" to null, "yard" to null, "same_place" to false, "apart" to false, "loaners" to true,
         "guess_s" to 10.0, "mark_every_s" to 0.0, "mark_s" to 0.0, "due_s" to 60.0,
@@ -72,7 +72,7 @@
         "rig" to "host-000001", "addr" to "127.0.0.1:9", "build" to "type", "yard" to "zone", "loaners" to false,
         "watch" to 1, "tick" to round, "helm" to 1, "recall_s" to null,
         "pieces" to listOf(
-            mapOf("piece" to "$JOB/0", "try" to 1, "status" to if (round < TASK_END_ROUND) "running" else "ended", "cause" to "done"),
+            mapOf("piece" to "$JOB_ID/0", "try" to 1, "status" to if (round < TASK_END_ROUND) "running" else "ended", "cause" to "done"),
         ),
     )
 }
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -39,7 +39,7 @@
             loop.onIteration = metrics::recordIteration
             launch { metrics.run() }
         }
-        val server = HttpServer(loop, settings.listenAddress, settings.processLimits.fdLimit - RESERVED_SOCKETS, handler)
+        val server = HttpServer(loop, settings.listenAddress, settings.processLimits.fdLimit - RESERVED_FILE_DESCRIPTORS, handler)
         launch { server.serve(this) }
         val links = PeerLinks(settings, loop, node::peerStatus, node::receivePeerStatus)
         launch { links.run(this) }
@@ -49,6 +49,6 @@
 
     private companion object {
         /** File descriptors reserved for the store, the cloud and the peers, and for those that the JVM itself keeps open. */
-        const val RESERVED_SOCKETS = 40
+        const val RESERVED_FILE_DESCRIPTORS = 40
     }
 }
