--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/Node.kt
@@ -110,7 +110,7 @@
     }
 
     private companion object {
-        /** Demand below a controller's share of the admission capacity, divided by this number, is not reported. */
+        /** A controller does not report demand that is below its share of the admission capacity divided by this number. */
         const val REPORT_THRESHOLD_DIVISOR = 2
     }
 }
--- a/src/main/kotlin/linemast/transport/SocketReadiness.kt
+++ b/src/main/kotlin/linemast/transport/SocketReadiness.kt
@@ -40,7 +40,8 @@
     /**
      * Resumes the coroutines that wait for an operation for which [key] is ready.
      *
-     * A socket that is closed after its selection has a cancelled key by now: this must not end the event loop.
+     * If the socket has been closed since it was selected, its key is cancelled; the exception that this causes must not end the
+     * event loop.
      */
     fun onReady(key: SelectionKey) {
         try {
