--- a/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/linemast/app/HeartbeatEndpoint.kt
@@ -21,7 +21,7 @@
         val heartbeat = HeartbeatCodec.decode(Cbor.decodeMap(request.body))
         peerStatusExchange.recordHeartbeat()
         leaderView.observeFencingToken(heartbeat.fencingToken)
-        val response = leaderLifecycle.leader?.answer(heartbeat) ?: return redirect()
+        val response = leaderLifecycle.leader?.handleHeartbeat(heartbeat) ?: return redirect()
         val body = HeartbeatCodec.encodeResponse(response.fencingToken, response.commands)
         return HttpResponse(HttpStatus.OK, Cbor.encode(body), isStillValid = { response.isValid(clock.nowMicros()) })
     }
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -16,7 +16,7 @@
 /**
  * Carries out scale-out and scale-in at the cloud.
  *
- * Results are applied in turns of the leader's event loop; the [Autoscaler] decides what to request.
+ * The [Autoscaler] decides what to request; results are applied on the leader's event loop.
  */
 internal class CloudOperations(
     private val term: LeaderTerm,
@@ -28,21 +28,21 @@
 ) {
     private val log = LoggerFactory.getLogger(CloudOperations::class.java)
 
-    /** Starts the requests of [actions]. */
-    fun run(actions: ScalingActions) {
+    /** Sends the requests of [actions] to the cloud, in coroutines of the term. */
+    fun execute(actions: ScalingActions) {
         actions.scaleOuts.forEach { request -> term.scope.launch { scaleOut(request) } }
         if (!actions.scaleIns.isEmpty) executor.split(actions.scaleIns).forEach(::scaleIn)
     }
 
-    /** A request without an answer is repeated under the same id, which the cloud carries out at most once. */
+    /** Retries a request that got no response under the same id, which the cloud carries out at most once. */
     private suspend fun scaleOut(request: ScaleOutRequest) {
         repeat(MAX_SCALE_OUT_ATTEMPTS) {
             if (!term.lease.mayIssueCommands(term.clock.nowMicros())) return@repeat
             val result = requestScaleOut(request)
-            if (result != ScaleOutResult.Unknown) return term.loop.run { scaleOutFinished(request, result) }
+            if (result != ScaleOutResult.Unknown) return term.eventLoop.enqueue { recordScaleOutResult(request, result) }
             delay(RETRY_MILLIS)
         }
-        term.loop.run {
+        term.eventLoop.enqueue {
             fleet.recordScaleOutAbandoned(request)
             autoscaler.scaleSoon()
         }
@@ -51,21 +51,21 @@
     private suspend fun requestScaleOut(request: ScaleOutRequest): ScaleOutResult = try {
         executor.scaleOut(request)
     } catch (e: CloudException) {
-        log.error("scale-out request {}: {}", request.requestId, e.message)
+        log.error("scale-out request {}: failed, treated as no capacity: {}", request.requestId, e.message)
         ScaleOutResult.NoCapacity
     }
 
     /** Applies the result of a scale-out request. */
-    fun scaleOutFinished(request: ScaleOutRequest, result: ScaleOutResult) {
+    fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) {
         val now = term.clock.nowMicros()
         if (result == ScaleOutResult.Unknown) return fleet.recordScaleOutAbandoned(request)
-        val granted = (result as? ScaleOutResult.Granted)?.names
-        if (granted == null) {
+        val grantedNames = (result as? ScaleOutResult.Granted)?.names
+        if (grantedNames == null) {
             fleet.recordScaleOutRefused(request, cluster.machineTypes, now)
         } else {
-            fleet.recordScaleOutGranted(request, granted, cluster.machineTypes, now)
+            fleet.recordScaleOutGranted(request, grantedNames, cluster.machineTypes, now)
         }
-        if ((granted?.size ?: 0) < request.machineCount || fleet.hasDeferredDemand) autoscaler.scaleSoon()
+        if ((grantedNames?.size ?: 0) < request.machineCount || fleet.hasDeferredDemand) autoscaler.scaleSoon()
     }
 
     private fun scaleIn(batch: ScaleInBatch) {
@@ -76,8 +76,8 @@
         }
         term.scope.launch {
             val isConfirmed = requestScaleIn(batch)
-            term.loop.run {
-                if (isConfirmed) scaleInConfirmed(names) else names.forEach { fleet.machines[it]?.isScalingIn = false }
+            term.eventLoop.enqueue {
+                if (isConfirmed) recordScaleInConfirmed(names) else names.forEach { fleet.machines[it]?.isScalingIn = false }
             }
         }
     }
@@ -86,15 +86,15 @@
         executor.scaleIn(batch)
         true
     } catch (e: CloudException) {
-        log.info("scale-in of {}: {}", batch.names, e.message)
+        log.info("scale-in of {}: failed, the machines may be scaled in again: {}", batch.names, e.message)
         false
     }
 
-    /** The cloud has confirmed that the machines are gone. */
-    fun scaleInConfirmed(names: List<String>) {
+    /** Removes the machines [names] from the leader's state and the registry: the cloud has confirmed that they are gone. */
+    fun recordScaleInConfirmed(names: List<String>) {
         fleet.recordScaleInConfirmed(names)
         cluster.markTerminated(names)
-        machineRegistryStore.remove(names)
+        machineRegistryStore.unregister(names)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -11,32 +11,37 @@
 import linemast.store.RetryPolicy
 import org.slf4j.LoggerFactory
 
-/** Adopts the scale-out and scale-in intents of previous leaders into a new leader's state, before its first decision. */
+/** Adopts the scale-out and scale-in intents of previous leaders into the state of a new leader, before its first decision. */
 internal class InheritedIntents(
     private val term: LeaderTerm,
-    private val duties: WriteAheadCloudActionExecutor,
+    private val executor: WriteAheadCloudActionExecutor,
     private val cluster: Cluster,
     private val fleet: Fleet,
     private val cloudOperations: CloudOperations,
 ) : IntentResolutionEffects {
     private val log = LoggerFactory.getLogger(InheritedIntents::class.java)
 
-    /** Returns once all intents are read and marked; what is left to be carried out goes on in the term's scope. */
-    suspend fun takeOver() {
-        RETRY.untilResult(log) { duties.load() }
-        val pendingIntents = PendingIntentResolver(duties, this, term.loop::run)
+    /**
+     * Reads all intents and marks their machines and requests in the leader's state, then returns.
+     *
+     * Intents that are still open are carried out by coroutines in the term's scope.
+     */
+    suspend fun adopt() {
+        RETRY.untilResult(log) { executor.load() }
+        val pendingIntents = PendingIntentResolver(executor, this, term.eventLoop::enqueue)
         cluster.markScalingIn(pendingIntents.machinesScalingIn)
         fleet.markScalingIn(pendingIntents.machinesScalingIn)
         pendingIntents.scaleOuts.forEach(fleet::addPendingScaleOut)
-        term.scope.launch { duties.run() }
+        term.scope.launch { executor.run() }
         pendingIntents.start(term.scope)
     }
 
     override fun isFree(machineName: String): Boolean = cluster.isFree(machineName)
 
-    override fun recordScaleInConfirmed(names: List<String>) = cloudOperations.scaleInConfirmed(names)
+    override fun recordScaleInConfirmed(names: List<String>) = cloudOperations.recordScaleInConfirmed(names)
 
-    override fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) = cloudOperations.scaleOutFinished(request, result)
+    override fun recordScaleOutResult(request: ScaleOutRequest, result: ScaleOutResult) =
+        cloudOperations.recordScaleOutResult(request, result)
 
     private companion object {
         val RETRY = RetryPolicy(delayMillis = 250)
