--- a/src/main/kotlin/linemast/app/ArchiveTraining.kt
+++ b/src/main/kotlin/linemast/app/ArchiveTraining.kt
@@ -11,22 +11,22 @@
 import kotlin.coroutines.coroutineContext
 
 /**
- * The training run of the class-data archive: one controller on loopback takes its usual paths once, with a stand-in store
- * and cloud, so that the archive written at its end holds their classes. A cold start, which has a small share of a core,
- * then spends little of it on loading classes.
+ * The training run for the class-data archive of the JVM: one controller on loopback runs the common code paths once, with a
+ * stand-in store and cloud, so that the archive written at exit contains the classes of these paths. A cold start, which has a
+ * small share of a core, then spends little of it on loading classes.
  */
 internal object ArchiveTraining {
-    private const val JOB = "req-000001"
+    private const val JOB_ID = "req-000001"
     private const val STARTUP_MILLIS = 400L
     private const val ROUNDS = 8
     private const val ROUND_MILLIS = 120L
     private const val STAND_IN_CONNECTIONS = 64
     private const val CLIENT_CONNECTIONS = 4
 
-    /** The worker's task runs up to this round and is reported as ended from then on. */
+    /** The worker's task is reported as running before this round, and as ended from this round on. */
     private const val TASK_END_ROUND = 5
 
-    /** Runs for about a second and a half; the exit code of the process. */
+    /** Runs for about one and a half seconds; returns the exit code of the process. */
     fun run(): Int {
         val loop = EventLoop()
         loop.run {
@@ -45,12 +45,12 @@
         delay(STARTUP_MILLIS)
         for (round in 1..ROUNDS) {
             post(client, "/v1/jobs", jobBody())
-            get(client, "/v1/jobs/$JOB")
+            get(client, "/v1/jobs/$JOB_ID")
             get(client, "/healthz")
             post(client, "/agent/beat", heartbeatBody(round))
             delay(ROUND_MILLIS)
         }
-        post(client, "/v1/jobs/$JOB/cancel", emptyMap())
+        post(client, "/v1/jobs/$JOB_ID/cancel", emptyMap())
     }
 
     private suspend fun get(client: HttpClient, path: String) {
@@ -62,7 +62,7 @@
     }
 
     private fun jobBody(): Map<String, Any?> = mapOf(
-        "name_id" to JOB, "lane" to "lane", "crew" to "team", "shape" to "sweep", "urgency" to "normal",
+        "name_id" to JOB_ID, "lane" to "lane", "crew" to "team", "shape" to "sweep", "urgency" to "normal",
         "pieces" to 3, "vcpus" to 1.0, "gpus" to 0.0, "memory_gb" to 1.0, "bundle" to "img", "pull_gb" to 1.0,
         "builds" to null, "yard" to null, "same_place" to false, "apart" to false, "loaners" to true,
         "guess_s" to 10.0, "mark_every_s" to 0.0, "mark_s" to 0.0, "due_s" to 60.0,
@@ -72,7 +72,7 @@
         "rig" to "host-000001", "addr" to "127.0.0.1:9", "build" to "type", "yard" to "zone", "loaners" to false,
         "watch" to 1, "tick" to round, "helm" to 1, "recall_s" to null,
         "pieces" to listOf(
-            mapOf("piece" to "$JOB/0", "try" to 1, "status" to if (round < TASK_END_ROUND) "running" else "ended", "cause" to "done"),
+            mapOf("piece" to "$JOB_ID/0", "try" to 1, "status" to if (round < TASK_END_ROUND) "running" else "ended", "cause" to "done"),
         ),
     )
 }
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -14,12 +14,12 @@
 import linemast.transport.HttpServer
 import org.slf4j.LoggerFactory
 
-/** One controller: a [Node] with its sockets on [loop]. */
+/** One controller: a [Node] and its sockets, all of which run on [loop]. */
 class Controller(private val configuration: ControllerConfiguration, private val loop: EventLoop) {
     private val settings = configuration.settings
     private val log = LoggerFactory.getLogger(Controller::class.java)
 
-    /** Serves until it is cancelled; the store client, the servers and the node are its children. */
+    /** Serves until it is cancelled; the HTTP server, the peer links and the node run as its child coroutines. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
         val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllerCount, clock)
@@ -39,7 +39,7 @@
             loop.onIteration = metrics::recordIteration
             launch { metrics.run() }
         }
-        val server = HttpServer(loop, settings.listenAddress, settings.processLimits.fdLimit - RESERVED_SOCKETS, handler)
+        val server = HttpServer(loop, settings.listenAddress, settings.processLimits.fdLimit - RESERVED_FILE_DESCRIPTORS, handler)
         launch { server.serve(this) }
         val links = PeerLinks(settings, loop, node::peerStatus, node::receivePeerStatus)
         launch { links.run(this) }
@@ -48,7 +48,7 @@
     }
 
     private companion object {
-        /** File descriptors left for the store, the cloud and the peers, and for what the JVM itself holds open. */
-        const val RESERVED_SOCKETS = 40
+        /** File descriptors reserved for the store, the cloud and the peers, and for those that the JVM itself keeps open. */
+        const val RESERVED_FILE_DESCRIPTORS = 40
     }
 }
