--- a/src/main/kotlin/linemast/app/HealthCheck.kt
+++ b/src/main/kotlin/linemast/app/HealthCheck.kt
@@ -25,8 +25,8 @@
      * the store responds to another controller: in an outage of the store itself, taking all controllers out of the load balancer
      * would only delay the return to service.
      */
-    private fun isHealthy(): Boolean =
-        machineTypes.types != null && (healthProbe.failingForMicros(clock.nowMicros()) < MAX_FAILING_MICROS || !peerView.anyPeerReachesStore)
+    private fun isHealthy(): Boolean = machineTypes.types != null &&
+        (healthProbe.failingForMicros(clock.nowMicros()) < MAX_FAILING_MICROS || !peerView.anyPeerReachesStore)
 
     private companion object {
         /** Longer than an outage takes to appear in the statuses of peers: one second between probes and one between statuses. */
--- a/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionSimulationTest.kt
@@ -108,7 +108,8 @@
     fun `two controllers with the same plan never decide differently`() {
         val decisions = ArrayList<RecordedDecision>()
         val world = simulate(seed = 54, scale = 2, features = Features(admission = AdmissionSettings()), objectives = objectives) { world ->
-            world.users.onSubmissionUnderPlan = { id, status, plan -> decisions += RecordedDecision(plan.epoch, plan.fencingToken, id, status) }
+            world.users.onSubmissionUnderPlan =
+                { id, status, plan -> decisions += RecordedDecision(plan.epoch, plan.fencingToken, id, status) }
             delay(15_000)
             repeat(40) { second ->
                 // The first controller sees the flood alone for a while.
--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -39,7 +39,11 @@
             for (machines in listOf(1, 200, 4_000, 6_000)) {
                 val names = List(machines) { "host-%06d".format(it + 998_000) }
                 val (store, loaded) = loadTwice(names, txnOps)
-                assertEquals(emptyList<String>(), store.oversizedTransactions, "$machines machines, $txnOps changes: exceeds the store's limits")
+                assertEquals(
+                    emptyList<String>(),
+                    store.oversizedTransactions,
+                    "$machines machines, $txnOps changes: exceeds the store's limits",
+                )
                 assertEquals(names.toSet(), loaded.first)
                 assertEquals(names.toSet(), loaded.second, "the next leader reads all names back")
             }
