--- a/src/main/kotlin/linemast/control/BaselineFleetStore.kt
+++ b/src/main/kotlin/linemast/control/BaselineFleetStore.kt
@@ -11,30 +11,35 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The stored names of the baseline fleet: the on-demand machines that the first leader of all found before any scale-out.
+ * Stores the names of the baseline fleet: the on-demand machines that the very first leader found before any scale-out.
  *
- * They are written once, in chunks that fit a value; the first chunk is written last and marks the list as complete.
+ * The names are written once, in chunks that fit a value. The first chunk is written last: its presence marks the list as
+ * complete.
  */
 internal class BaselineFleetStore(private val term: LeaderTerm, private val cloud: Cloud, private val listLagMicros: Long) {
     private val log = LoggerFactory.getLogger(BaselineFleetStore::class.java)
     private val batches = TransactionBatcher(term.limits.maxTxnOps)
     private val electedMicros = term.clock.nowMicros()
 
-    /** The names from the store, or, if it has none, from the cloud's list and stored; null if they cannot be told yet. */
+    /**
+     * Returns the names in the store; if the store has none, writes those of the cloud's list and returns them.
+     *
+     * Returns null if the cloud's list is empty and may still lag, or a write failed.
+     */
     suspend fun loadOrCreate(): Set<String>? {
         val stored = term.store.listAll(PREFIX).entries
         if (stored.any { it.key == FIRST_CHUNK }) return stored.flatMapTo(LinkedHashSet()) { BaselineFleetCodec.decode(it.value) }
-        val found = cloud.listMachines().filter { !it.spot && it.status != FAILED }.map { it.name }
-        if (found.isEmpty() && mayListLag()) return null
-        if (!write(found, stored)) return null
-        log.info("baseline fleet: {} machines", found.size)
-        return found.toSet()
+        val foundNames = cloud.listMachines().filter { !it.spot && it.status != STATUS_FAILED }.map { it.name }
+        if (foundNames.isEmpty() && mayEmptyListBeStale()) return null
+        if (!write(foundNames, stored)) return null
+        log.info("baseline fleet: {} machines", foundNames.size)
+        return foundNames.toSet()
     }
 
-    /** Only a list that stays empty for long enough says that there is no baseline fleet. */
-    private fun mayListLag() = term.clock.nowMicros() < electedMicros + LAGS_UNTIL_EMPTY * listLagMicros
+    /** Whether an empty list may be due to the list's lag; after that time it means that there is no baseline fleet. */
+    private fun mayEmptyListBeStale() = term.clock.nowMicros() < electedMicros + LIST_LAGS_UNTIL_EMPTY_IS_TRUSTED * listLagMicros
 
-    /** Chunks that are [stored] without the first one are left from a leader that failed half-way. */
+    /** Writes the chunks, and deletes surplus [stored] chunks of a leader that failed before it had written the first chunk. */
     private suspend fun write(names: List<String>, stored: List<Entry>): Boolean {
         val chunks = names.chunked(chunkSize(names)).ifEmpty { listOf(emptyList()) }
         val puts = chunks.mapIndexed { index, chunk -> Write.Put("$PREFIX$index", BaselineFleetCodec.encode(chunk)) }
@@ -46,19 +51,19 @@
 
     private fun chunkSize(names: List<String>): Int {
         val maxNameBytes = names.maxOfOrNull { JsonSize.of(it) + SEPARATOR_BYTES } ?: 1
-        return ((term.limits.maxValueBytes - FRAME_BYTES) / maxNameBytes).coerceIn(1, MAX_CHUNK_NAMES)
+        return ((term.limits.maxValueBytes - CHUNK_OVERHEAD_BYTES) / maxNameBytes).coerceIn(1, MAX_CHUNK_NAMES)
     }
 
     private companion object {
         const val PREFIX = "standing/"
         const val FIRST_CHUNK = "standing/0"
-        const val FAILED = "failed"
+        const val STATUS_FAILED = "failed"
         const val MAX_CHUNK_NAMES = 200
         const val SEPARATOR_BYTES = 1
 
-        /** What the stored form of a chunk holds besides the names. */
-        const val FRAME_BYTES = 11
-        const val LAGS_UNTIL_EMPTY = 2
+        /** Size of a stored chunk without names. */
+        const val CHUNK_OVERHEAD_BYTES = 11
+        const val LIST_LAGS_UNTIL_EMPTY_IS_TRUSTED = 2
     }
 }
 
@@ -66,9 +71,9 @@
 internal object BaselineFleetCodec {
     private const val NAMES = "rigs"
 
-    /** The stored form of a chunk. */
+    /** Returns the stored form of a chunk. */
     fun encode(names: List<String>): Map<String, Any?> = mapOf(NAMES to names)
 
-    /** The names in a stored chunk. */
+    /** Returns the names in a stored chunk. */
     fun decode(fields: Fields): List<String> = fields.textsOrNull(NAMES) ?: emptyList()
 }
--- a/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
+++ b/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
@@ -47,7 +47,7 @@
 
     /** Decodes a status; throws a [MalformedException] if [from] does not hold exactly one status. */
     fun decode(from: Buffer): PeerStatus = try {
-        if (from.readByte().toInt() != VERSION) malformed("the version is not $VERSION")
+        if (from.readByte().toInt() != VERSION) malformed("unknown version, must be $VERSION")
         val node = readText(from)
         val fencingToken = from.readLong()
         val flags = from.readByte().toInt()
--- a/src/main/kotlin/linemast/settings/SettingsReader.kt
+++ b/src/main/kotlin/linemast/settings/SettingsReader.kt
@@ -67,7 +67,8 @@
     private fun objective(fields: Fields): Objective {
         val kind = fields.text("kind")
         val jobClass = fields.textOrNull("class")
-        val withinMicros = fields.microsOrNull("within_s") ?: fields.numberOrNull("within_ms")?.let { (it * MICROS_PER_MILLI).toLong() }
+        val withinMicros =
+            fields.durationMicrosOrNull("within_s") ?: fields.numberOrNull("within_ms")?.let { (it * MICROS_PER_MILLI).toLong() }
         // No code uses the share of jobs to which an objective applies, but a malformed share is rejected like any other malformed field.
         fields.numberOrNull("share")
         val factor = fields.numberOrNull("times") ?: 1.0
--- a/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
+++ b/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
@@ -39,14 +39,14 @@
         incarnation = fields.long("watch"),
         sequenceNumber = fields.long("tick"),
         fencingToken = fields.long("helm"),
-        preemptionNoticeMicros = fields.microsOrNull("recall_s"),
+        preemptionNoticeMicros = fields.durationMicrosOrNull("recall_s"),
         tasks = fields.children("pieces").map(::decodeTask),
     )
 
     private fun decodeTask(fields: Fields) = TaskStatus(
         task = TaskId.parse(fields.text("piece")) ?: throw MalformedException("piece: is not a task id"),
         attempt = fields.long("try"),
-        state = states[fields.text("status")] ?: fields.fail("status", "is not a known task state"),
+        state = states[fields.text("status")] ?: fields.fail("status", "is an unknown task state"),
         cause = fields.textOrNull("cause")?.let { causes[it] ?: EndCause.OTHER },
         hasCheckpoint = fields.flagOrNull("saved") ?: false,
     )
