--- a/src/main/kotlin/linemast/admission/AdmissionCodec.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionCodec.kt
@@ -31,9 +31,9 @@
 
     private fun range(fields: Fields): HashRange {
         val range = HashRange(fields.long("head"), fields.long("width"), fields.long("pace"))
-        if (range.position !in 0 until HashRing.SIZE) fields.fail("head", "must be at least 0 and less than ${HashRing.SIZE}")
-        if (range.length !in 0..HashRing.SIZE) fields.fail("width", "must be from 0 to ${HashRing.SIZE}")
-        if (range.rate !in 1..HashRing.SIZE) fields.fail("pace", "must be from 1 to ${HashRing.SIZE}")
+        if (range.position !in 0 until HashRing.SIZE) fields.fail("head", "must be a position on the hash ring")
+        if (range.length !in 0..HashRing.SIZE) fields.fail("width", "must be a length on the hash ring")
+        if (range.rate !in 1..HashRing.SIZE) fields.fail("pace", "must be at least 1 and at most the size of the hash ring")
         return range
     }
 
--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -59,7 +59,7 @@
     private suspend fun watchPlan(fromRevision: Long) {
         var revision = fromRevision
         while (true) {
-            val result = RETRY.untilResult(logger) { store.watch(AdmissionCodec.PLAN_KEY, revision, WATCH_MICROS) }
+            val result = RETRY.untilResult(logger) { store.watch(AdmissionCodec.PLAN_KEY, revision, WATCH_TIMEOUT_MICROS) }
             when (result) {
                 is WatchResult.Changes -> {
                     result.changes.mapNotNull { it.value }.forEach { apply(it) }
@@ -113,7 +113,7 @@
 
     private companion object {
         val RETRY = RetryPolicy(delayMillis = 500L)
-        const val WATCH_MICROS = 10 * SECOND_MICROS
+        const val WATCH_TIMEOUT_MICROS = 10 * SECOND_MICROS
 
         /** As the revision in a precondition: the key must be absent. */
         const val NO_REVISION = 0L
--- a/src/main/kotlin/linemast/app/HealthCheck.kt
+++ b/src/main/kotlin/linemast/app/HealthCheck.kt
@@ -20,9 +20,8 @@
      * Without the key-value store no request can be handled. Users are sent elsewhere only if the store responds to another
      * controller: in an outage of the store itself, taking all controllers out would only delay the return.
      */
-    private fun isHealthy(): Boolean =
-        machineTypes.types != null &&
-            (healthProbe.failingForMicros(clock.nowMicros()) < MAX_FAILING_MICROS || !peerView.anyPeerReachesStore)
+    private fun isHealthy(): Boolean = machineTypes.types != null &&
+        (healthProbe.failingForMicros(clock.nowMicros()) < MAX_FAILING_MICROS || !peerView.anyPeerReachesStore)
 
     private companion object {
         /** Longer than an outage takes to show in the status of peers: a second between probes, one between statuses. */
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [35])
-    fun `a flood of jobs is limited to the share of its team at any controller, and no other flow is deferred`(seed: Int) {
+    fun `a flood of jobs is limited to the share of its team whichever controllers it reaches, and no other flow is deferred`(seed: Int) {
         val random = Random(seed)
         for (floodController in listOf<(Int) -> Int>({ 0 }, { random.nextInt(3) })) {
             val flood = Users(Flow("north", "tiny"), { if (it in 20..140) 60.0 else 0.5 }, floodController)
