--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -21,7 +21,7 @@
     private val wallMicros: () -> Long,
     private val leaderLease: LeaderLease,
     private val writer: IntentWriter,
-    private val scaleOutRetryMicros: Long,
+    private val scaleOutRetryTimeoutMicros: Long,
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
@@ -48,7 +48,7 @@
         return ScaleOutResult.Unknown
     }
 
-    private fun mayRetry(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryMicros
+    private fun mayRetry(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryTimeoutMicros
 
     /** Treats a request that the cloud rejects as malformed like one without capacity, since no retry can succeed. */
     private suspend fun tryScaleOut(action: CloudAction.ScaleOut): ScaleOutResult = try {
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -35,15 +35,15 @@
     private fun runSimulation(
         seed: Int,
         enabled: Boolean = true,
-        before: (SimWorld) -> Unit = {},
-        script: suspend TestScope.(SimWorld) -> Unit,
+        configure: (SimWorld) -> Unit = {},
+        scenario: suspend TestScope.(SimWorld) -> Unit,
     ): SimWorld = simulate(
         seed,
         baselineMachines = 1,
         features = Features(DutySettings().takeIf { enabled }),
         policy = fastScalingPolicy,
-        configure = before,
-        scenario = script,
+        configure = configure,
+        scenario = scenario,
     )
 
     private suspend fun submitContinuously(world: SimWorld) {
@@ -58,11 +58,16 @@
 
     private fun assertOnlyLeadersActed(world: SimWorld, minActions: Int) {
         val audit = CloudActionHistoryAudit(world)
-        val orders = world.cloud.actions
-        println("${orders.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.startCount} starts")
-        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
-        assertTrue(orders.size >= minActions, "only ${orders.size} cloud actions")
-        assertTrue(orders.any { it.scaleOutRequest != null } && orders.any { it.removedMachines.isNotEmpty() })
+        val actions = world.cloud.actions
+        println(
+            "${actions.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.startCount} starts",
+        )
+        assertEquals(
+            emptyList<Any>(),
+            audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" },
+        )
+        assertTrue(actions.size >= minActions, "only ${actions.size} cloud actions")
+        assertTrue(actions.any { it.scaleOutRequest != null } && actions.any { it.removedMachines.isNotEmpty() })
     }
 
     @ParameterizedTest
@@ -102,7 +107,7 @@
         val speeds = listOf(0.5, 1.0, 2.0)
         val world = runSimulation(
             seed = 3,
-            before = { world -> world.clockOf = { at -> Clock { (world.clock.nowMicros() * speeds[at]).toLong() } } },
+            configure = { world -> world.clockOf = { at -> Clock { (world.clock.nowMicros() * speeds[at]).toLong() } } },
         ) { world ->
             launchLoad(world)
             pauseLeaderBeforeCalls(world)
@@ -121,7 +126,7 @@
         val jumps = LongArray(3)
         val world = runSimulation(
             seed = 6,
-            before = { world -> world.clockOf = { at -> Clock { world.clock.nowMicros() + jumps[at] } } },
+            configure = { world -> world.clockOf = { at -> Clock { world.clock.nowMicros() + jumps[at] } } },
         ) { world ->
             launchLoad(world)
             world.cloud.lateActionProbability = 0.1
