--- a/src/test/kotlin/linemast/TestSettings.kt
+++ b/src/test/kotlin/linemast/TestSettings.kt
@@ -3,7 +3,7 @@
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
 
-/** A settings file of one zone with the given [teams], for tests of single slices. */
+/** Returns settings with one zone and the given [teams], for tests of single packages. */
 internal fun testSettings(teams: String = """{ name = "team", cpus = 8, cpus_max = 64, gpus = 0, gpus_max = 0 }"""): Settings =
     SettingsReader.parse(
         """
--- a/src/test/kotlin/linemast/TestSpecs.kt
+++ b/src/test/kotlin/linemast/TestSpecs.kt
@@ -4,7 +4,7 @@
 import linemast.jobs.JobSpecCodec
 import linemast.serialization.Fields
 
-/** A job as a user would submit it, a small sweep that may go anywhere, with [fields] in place of the usual ones. */
+/** Returns an array job of one small task without placement constraints; [fields] replace or extend the default fields. */
 internal fun testSpec(id: String, vararg fields: Pair<String, Any?>): JobSpec = JobSpecCodec.decode(
     Fields(
         mapOf(
--- a/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
@@ -7,16 +7,19 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Cancellations that coincide with faults; [InvariantChecks] checks the rules all the while. */
+/**
+ * Cancellations that coincide with faults. [InvariantChecks] reports tasks of a cancelled job that run for longer than the time
+ * limit for cancellations.
+ */
 class CancellationFaultCombinationTest {
     /**
-     * The store refuses the leader alone, or leaves its watches hanging while its renewals work; others confirm
-     * cancellations; then the store is down for all for longer than a cancellation has. What bounds the answers is what
-     * the leader knows, not what it renews.
+     * The store refuses the leader only, or leaves its watches hanging while it can renew its lease, and the other controllers
+     * confirm cancellations. Then an outage of the store lasts longer than the time limit for cancellations. How long the leader
+     * may respond to heartbeats is limited by the age of its data on cancellations, not by the renewal of its lease.
      */
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8, 9])
-    fun `tasks end in time if the leader cannot know that their jobs were cancelled`(seed: Int) {
+    fun `tasks end within the cancellation limit if the leader cannot read the cancellations of their jobs`(seed: Int) {
         println("seed $seed")
         val world = simulate(seed) { world ->
             val jobs = List(3) { arrayJob("req-90000$it", runMicros = 200_000_000) }
@@ -45,7 +48,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [41, 42])
-    fun `jobs end if they are cancelled, asked for and submitted again when their last task ends`(seed: Int) =
+    fun `jobs end if they are cancelled, polled and submitted again when their last task ends`(seed: Int) =
         runFaultCombination(seed) { world ->
             world.users.cancelAtCompletionProbability = 0.8
             world.store.lostResponseProbability = if (seed % 2 == 0) 0.1 else 0.0
@@ -59,7 +62,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [47, 48, 49])
-    fun `a team stays within its limit if the leader changes, machines are silent and a job is cancelled`(seed: Int) =
+    fun `a team stays within its limit after a failover while workers are silent and a job is cancelled`(seed: Int) =
         runFaultCombination(seed) { world ->
             val first = arrayJob("req-930000", runMicros = 60_000_000, taskCount = 24)
             world.users.submit(first, null)
@@ -76,7 +79,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [58, 59])
-    fun `jobs end if the store is slow, then refuses the leader, then everybody, while users cancel and ask`(seed: Int) =
+    fun `jobs end if the store is slow, refuses the leader, then has an outage while users cancel and poll`(seed: Int) =
         runFaultCombination(seed) { world ->
             submitMixedJobs(world, runMicros = 40_000_000)
             delay(8_000)
@@ -95,7 +98,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [66, 67])
-    fun `cancelled jobs end if their workers stay with a leader that is partitioned from store and peers`(seed: Int) =
+    fun `cancelled jobs end if their workers send heartbeats to a leader that is partitioned from store and peers`(seed: Int) =
         runFaultCombination(seed) { world ->
             submitMixedJobs(world, runMicros = 50_000_000)
             delay(10_000)
--- a/src/test/kotlin/linemast/simulation/FaultCombinationScenario.kt
+++ b/src/test/kotlin/linemast/simulation/FaultCombinationScenario.kt
@@ -7,7 +7,7 @@
 
 private const val FAULT_FREE_MILLIS = 200_000L
 
-/** Arrays and gangs of both teams, more than the standing machines run at once. */
+/** Submits array jobs and gangs of both teams, more than the baseline fleet can run at once. */
 internal suspend fun submitMixedJobs(world: SimWorld, runMicros: Long) = repeat(6) { number ->
     val gang = number % 3 == 2
     val team = if (number % 2 == 0) "north" else "south"
@@ -18,7 +18,7 @@
     delay(200)
 }
 
-/** Brings [faults] about; when they are over all accepted jobs have to end, none left waiting, and no rule may break. */
+/** Injects [faults], then waits without faults: all accepted jobs have to end, none may starve, and no rule may be violated. */
 internal fun runFaultCombination(seed: Int, faults: suspend TestScope.(SimWorld) -> Unit) {
     val world = simulate(seed) { world ->
         faults(world)
@@ -27,10 +27,10 @@
     }
     println("seed $seed: ${world.startCount} starts, ${world.completedTasks.size} tasks done, ${world.jobs.size} jobs")
     assertEquals(emptyList<Violation>(), world.violations)
-    assertEquals(emptyList<String>(), world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }, "without an end")
+    assertEquals(emptyList<String>(), world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }, "without a terminal status")
     assertTrue(world.completedTasks.isNotEmpty())
 }
 
-/** An array of single-cpu tasks that may run anywhere. */
+/** Returns an array job whose tasks need one vCPU each and may run on any machine. */
 internal fun arrayJob(id: String, runMicros: Long, taskCount: Int = 6, team: String = "north") =
     SimJob(id, team, taskCount, 1.0, gang = false, sameZone = false, spread = false, spot = true, runMicros)
--- a/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Faults that coincide, each brought about on purpose; [InvariantChecks] checks the rules all the while. */
+/** Combinations of chosen faults. [InvariantChecks] checks the rules throughout, and all accepted jobs have to end. */
 class FaultCombinationTest {
     @ParameterizedTest
     @ValueSource(ints = [43, 44])
@@ -26,7 +26,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [45, 46])
-    fun `jobs of all priorities end if there are more than fit and links are slow`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs of all priorities end if they exceed the capacity and the network is slow`(seed: Int) = runFaultCombination(seed) { world ->
         world.network.maxLatencyMillis = 1_500
         repeat(12) { number ->
             val team = if (number % 2 == 0) "north" else "south"
@@ -44,7 +44,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [50, 51])
-    fun `jobs bound to one zone end if they lose machines`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs with zone constraints end if machines are removed or paused`(seed: Int) = runFaultCombination(seed) { world ->
         val array = SimJob("req-940000", "north", 10, 1.0, gang = false, sameZone = true, spread = false, spot = true, 20_000_000)
         val gang = SimJob("req-940001", "south", 2, 4.0, gang = true, sameZone = true, spread = false, spot = true, 20_000_000)
         val spread = SimJob("req-940002", "north", 5, 1.0, gang = false, sameZone = false, spread = true, spot = true, 20_000_000)
@@ -76,22 +76,21 @@
 
     @ParameterizedTest
     @ValueSource(ints = [55, 56, 57])
-    fun `jobs end if leaders change ten times in two minutes, also during an outage of the store`(seed: Int) =
-        runFaultCombination(seed) { world ->
-            submitMixedJobs(world, runMicros = 20_000_000)
-            repeat(10) { change ->
-                delay(11_000)
-                if (change == 4) world.store.startOutage()
-                if (change == 6) world.store.endOutage()
-                val leader = leaderOf(world).coerceAtLeast(0)
-                launch { restartController(world, leader, if (seed % 2 == 0) 200 else 3_000) }
-                if (change == 5) world.users.cancel(world.jobs.values.last(), 0)
-            }
+    fun `jobs end after ten failovers in two minutes, also during an outage of the store`(seed: Int) = runFaultCombination(seed) { world ->
+        submitMixedJobs(world, runMicros = 20_000_000)
+        repeat(10) { change ->
+            delay(11_000)
+            if (change == 4) world.store.startOutage()
+            if (change == 6) world.store.endOutage()
+            val leader = leaderOf(world).coerceAtLeast(0)
+            launch { restartController(world, leader, if (seed % 2 == 0) 200 else 3_000) }
+            if (change == 5) world.users.cancel(world.jobs.values.last(), 0)
         }
+    }
 
     @ParameterizedTest
     @ValueSource(ints = [60, 61, 62, 63])
-    fun `jobs end if the leader is lost while machines with long tasks are unreachable`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs end if the leader crashes while workers with long tasks are unreachable`(seed: Int) = runFaultCombination(seed) { world ->
         submitMixedJobs(world, runMicros = 45_000_000)
         delay(10_000)
         val lost = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
@@ -108,14 +107,13 @@
 
     @ParameterizedTest
     @ValueSource(ints = [64, 65])
-    fun `jobs end if commands and answers are delayed for seconds and machines hang`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs end if paused controllers delay messages for seconds and workers are paused`(seed: Int) = runFaultCombination(seed) { world ->
         submitMixedJobs(world, runMicros = 10_000_000)
         repeat(6) {
             delay(4_000)
             world.network.pause(world.random.nextInt(3), world.random.nextLong(1_000_000, 9_000_000))
             world.workers.values.shuffled(world.random).take(2).forEach {
-                it.pausedUntilMicros =
-                    world.clock.nowMicros() + world.random.nextLong(7_500_000)
+                it.pausedUntilMicros = world.clock.nowMicros() + world.random.nextLong(7_500_000)
             }
             if (it == 3) world.users.cancel(world.jobs.values.first(), 0)
         }
@@ -123,7 +121,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [68, 69, 70])
-    fun `jobs end if transactions without an answer are applied late, after newer ones`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs end if transactions without a response are applied after newer transactions`(seed: Int) = runFaultCombination(seed) { world ->
         world.store.lostResponseProbability = 0.35
         repeat(10) { number ->
             val job = arrayJob("req-95%04d".format(number), runMicros = 4_000_000, taskCount = 3)
@@ -137,7 +135,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [71, 72, 73])
-    fun `jobs end if all controllers end and one returns within a second`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs end if all controllers crash and one restarts within a second`(seed: Int) = runFaultCombination(seed) { world ->
         submitMixedJobs(world, runMicros = 15_000_000)
         repeat(4) {
             delay(6_000)
@@ -151,7 +149,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [74, 75, 76])
-    fun `jobs end if heartbeats are delayed until a new leader has acted`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs end if duplicates of heartbeats arrive after the next leader has acted`(seed: Int) = runFaultCombination(seed) { world ->
         world.network.delayedDuplicateProbability = 0.5
         submitMixedJobs(world, runMicros = 12_000_000)
         repeat(4) {
@@ -166,31 +164,26 @@
 
     @ParameterizedTest
     @ValueSource(ints = [77, 78, 79])
-    fun `jobs end if their tasks end far apart across a failover`(seed: Int) = runFaultCombination(seed) { world ->
+    fun `jobs end if their tasks end many seconds apart across failovers`(seed: Int) = runFaultCombination(seed) { world ->
         repeat(6) { number ->
-            val job =
-                SimJob(
-                    "req-96%04d".format(
-                        number,
-                    ),
-                    "north", 2 + number % 2, 1.0, false, false, false, true, 4_000_000, staggerMicros = 14_000_000,
-                )
+            val job = SimJob(
+                "req-96%04d".format(number), "north", 2 + number % 2, 1.0, false, false, false, true, 4_000_000,
+                staggerMicros = 14_000_000,
+            )
             world.users.submit(job, null)
         }
         repeat(3) {
             delay(9_000)
             launch { restartController(world, leaderOf(world).coerceAtLeast(0), 400) }
-            if (seed % 2 ==
-                0
-            ) {
+            if (seed % 2 == 0) {
                 world.removeMachine(world.workers.values.filter { it.tasks.isNotEmpty() }.shuffled(world.random).first().name)
             }
         }
     }
 
-    /** The checks of the protocol can fail: a job that never gets an answer, and one that never starts, are noticed. */
+    /** Shows that the checks can fail: with all controllers down, a job without responses and without starts is reported. */
     @Test
-    fun `a job that is left waiting is reported as a violation`() {
+    fun `a job that starves is reported as a violation`() {
         val world = simulate(seed = 82) { world ->
             world.users.submit(arrayJob("req-970000", runMicros = 30_000_000), null)
             delay(10_000)
@@ -198,6 +191,6 @@
             repeat(3) { world.killController(it) }
             delay(120_000)
         }
-        assertTrue(world.violations.any { it.invariant == Invariant.NO_STARVATION }, "not noticed: ${world.violations}")
+        assertTrue(world.violations.any { it.invariant == Invariant.NO_STARVATION }, "starvation was not reported: ${world.violations}")
     }
 }
--- a/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.provider.MethodSource
 import java.util.stream.IntStream
 
-/** Three controllers under generated faults, in virtual time; the rules are checked after every step. */
+/** Three controllers under generated faults, in virtual time; [InvariantChecks] checks the rules throughout. */
 class FaultSimulationTest {
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `rules hold under generated faults and all accepted work ends`(seed: Int) {
+    fun `rules hold under generated faults and all accepted jobs end`(seed: Int) {
         assertAllWell(runScenario(seed, controllersLeaseSeconds = LEASE_SECONDS), seed)
     }
 
-    /** The same faults, with single-holder duties and fair admission. */
+    /** The same faults with single-holder duties, fair admission and recovery enabled. */
     @ParameterizedTest
     @MethodSource("seedsOfFeatures")
     fun `rules hold under generated faults with all optional parts enabled`(seed: Int) {
@@ -32,9 +32,7 @@
         assertAllWell(world, seed)
         assertEquals(
             emptyList<Any>(),
-            CloudActionHistoryAudit(world).faults().map { (order, fault) ->
-                "$fault: ${order.scaleOutRequest ?: order.removedMachines}"
-            },
+            CloudActionHistoryAudit(world).faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" },
         )
     }
 
@@ -47,25 +45,23 @@
         assertTrue(world.completedTasks.isNotEmpty())
     }
 
-    /** Controllers that believe leases to be far shorter than they are must be caught, or the checks are blind. */
+    /** Shows that the checks can fail: controllers that assume leases far shorter than they are start running tasks again. */
     @Test
-    fun `tasks that run twice are reported if controllers take leases for shorter than they are`() {
+    fun `tasks that run twice are reported if controllers assume leases shorter than they are`() {
         val seen = (1..4).flatMap { runScenario(it, controllersLeaseSeconds = 0.5).violations }
-        println("with a broken guard: ${seen.size} broken rules, first ${seen.firstOrNull()}")
+        println("controllers that assume leases of 0.5 s: ${seen.size} violations, the first is ${seen.firstOrNull()}")
         assertTrue(
-            seen.any {
-                it.invariant == Invariant.TASK_RUNS_ONCE || it.invariant == Invariant.QUOTA
-            },
-            "no broken rule was seen: $seen",
+            seen.any { it.invariant == Invariant.TASK_RUNS_ONCE || it.invariant == Invariant.QUOTA },
+            "neither a task that runs twice nor an exceeded quota was reported: $seen",
         )
     }
 
     /**
-     * A leader in degraded mode answers reports, and each answer renews a lease. It once did not count those
-     * answers: after an outage longer than a lease it took running tasks for lost and started them again.
+     * A leader in degraded mode responds to heartbeats, and each response renews the lease of a worker. If the leader does not
+     * record these renewals, it assumes after an outage longer than a lease that running tasks are lost, and starts them again.
      */
     @Test
-    fun `answers to heartbeats in degraded mode count as renewals of worker leases`() {
+    fun `responses to heartbeats in degraded mode count as renewals of worker leases`() {
         val world = simulate(seed = 1) { world ->
             repeat(4) { number ->
                 val job = SimJob("req-90000$number", "north", 12, 1.0, false, false, false, true, 40_000_000)
@@ -83,7 +79,10 @@
         assertEquals(48, world.completedTasks.size)
     }
 
-    /** Its workers go on reporting to it; held in degraded mode they would be lost to the new leader for that long. */
+    /**
+     * The workers still send their heartbeats to the partitioned leader. If the leader kept them in degraded mode, no heartbeats
+     * would reach the next leader for that time.
+     */
     @Test
     fun `a leader that is partitioned from store and peers redirects its workers`() {
         val world = simulate(seed = 2) { world ->
@@ -93,17 +92,23 @@
             world.store.refusedControllers += "mast-$leader"
             world.network.partitioned += leader
             delay(15_000)
-            assertEquals(setOf(2L), world.workers.values.map { it.fencingToken }.toSet(), "all workers are with the new leader")
+            assertEquals(
+                setOf(2L),
+                world.workers.values.map {
+                    it.fencingToken
+                }.toSet(),
+                "all workers have the next leader's fencing token",
+            )
             assertTrue(leaderOf(world) != leader)
             delay(FAULT_FREE_MILLIS)
         }
         assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(12, world.completedTasks.size)
-        assertEquals(12, world.startCount, "no task was lost on the way")
+        assertEquals(12, world.startCount, "each task is started once")
     }
 
     @Test
-    fun `a leader steps down if workers do not get through to it`() {
+    fun `a leader steps down if heartbeats do not reach it`() {
         val world = simulate(seed = 3) { world ->
             delay(10_000)
             val leader = leaderOf(world)
@@ -117,9 +122,9 @@
         assertEquals(emptyList<Violation>(), world.violations)
     }
 
-    /** Many machines at once: they die, hang for longer and shorter than a lease, and are back at once, while controllers end. */
+    /** Many machines are removed, paused for shorter and for longer than a lease, or restarted, while controllers restart. */
     @Test
-    fun `rules hold on a fleet of hundreds of machines`() {
+    fun `rules hold under faults on a fleet of hundreds of machines`() {
         val seed = 31
         val world = simulate(seed, scale = 50) { world ->
             world.network.delayedDuplicateProbability = 0.05
@@ -168,11 +173,11 @@
     }
 
     companion object {
-        /** More can be asked for by hand: -Dlinemast.seeds=13-200. */
+        /** Returns the seeds of generated faults; `-Dlinemast.seeds=13-200` selects others. */
         @JvmStatic
         fun seeds(): IntStream = seedRange("linemast.seeds", "1-12")
 
-        /** More can be asked for by hand: -Dlinemast.featureSeeds=300-400. */
+        /** Returns the seeds of the test with all optional parts; `-Dlinemast.featureSeeds=300-400` selects others. */
         @JvmStatic
         fun seedsOfFeatures(): IntStream = seedRange("linemast.featureSeeds", "201-206")
 
--- a/src/test/kotlin/linemast/simulation/GeneratedFaults.kt
+++ b/src/test/kotlin/linemast/simulation/GeneratedFaults.kt
@@ -7,7 +7,7 @@
 
 private const val FAULT_PERIOD_MILLIS = 240_000L
 
-/** Injects random faults for four minutes, one after another and overlapping, then waits for the longest to end. */
+/** Injects random, partly overlapping faults for four minutes, then waits until the longest of them has ended. */
 internal suspend fun TestScope.injectGeneratedFaults(world: SimWorld) {
     world.network.messageLossProbability = 0.02
     world.network.delayedDuplicateProbability = 0.05
@@ -28,11 +28,12 @@
     world.store.lostResponseProbability = 0.0
     world.store.delayedDuplicateProbability = 0.0
     world.users.cancelAtCompletionProbability = 0.0
-    // The longest fault that may still be on.
+    // The longest fault takes up to 45 s and may have begun just now.
     delay(45_000)
     world.checks.faultFreeSinceMicros = world.clock.nowMicros()
 }
 
+/** Injects one random fault. */
 private fun injectFault(world: SimWorld, scope: CoroutineScope) {
     val random = world.random
     val controller = random.nextInt(CONTROLLER_COUNT)
@@ -61,7 +62,7 @@
     }
 }
 
-/** Faults of one moment: [controller] is the controller and [machine] the machine that they befall, where they befall one. */
+/** Injects single faults; those of one controller affect [controller], those of one machine affect [machine]. */
 private class FaultInjector(
     private val world: SimWorld,
     private val scope: CoroutineScope,
@@ -129,7 +130,7 @@
         }
     }
 
-    /** The store and the other controllers are lost, the workers are not. */
+    /** Separates the controller from the store and the other controllers, but not from workers and users. */
     fun partitionController() {
         scope.launch {
             store.refusedControllers += "mast-$controller"
@@ -158,7 +159,7 @@
 
     private fun cancellableJobs() = world.jobs.values.filter { it.accepted && !it.cancelRequested && it.acknowledgedStatus == null }
 
-    /** Jobs that run are cancelled at once, and some of their machines hang. */
+    /** Cancels two unfinished jobs within 200 ms and pauses up to three workers that hold their tasks. */
     fun cancelJobsWhileWorkersPause() {
         val cancelledJobs = cancellableJobs().shuffled(random).take(2)
         cancelledJobs.forEach { world.users.cancel(it, random.nextLong(200)) }
@@ -174,7 +175,10 @@
         }
     }
 
-    /** The leader alone is refused, then an outage for longer than a cancellation has, with cancellations between the two. */
+    /**
+     * Makes the store refuse the leader only, cancels a job, and starts an outage of the store that may last longer than the time
+     * limit for cancellations.
+     */
     fun refuseLeaderThenStartOutage() {
         if (store.outage) return
         scope.launch {
--- a/src/test/kotlin/linemast/simulation/GeneratedJobs.kt
+++ b/src/test/kotlin/linemast/simulation/GeneratedJobs.kt
@@ -6,7 +6,7 @@
 
 private const val JOB_COUNT = 30
 
-/** Users submit jobs and pipelines of random sizes, and cancel some. */
+/** Submits jobs and pipelines of random sizes, and cancels some of them. */
 internal suspend fun CoroutineScope.submitGeneratedJobs(world: SimWorld) {
     repeat(JOB_COUNT) { number ->
         val gang = world.random.nextInt(3) == 0
@@ -31,7 +31,7 @@
     }
 }
 
-/** One job, two that need it, one that needs both; the first needs an earlier job too, now and then. */
+/** Returns one job, two that depend on it, and one that depends on both; the first sometimes depends on [earlierJob]. */
 private fun diamondPipeline(id: String, world: SimWorld, earlierJob: String): List<SimJob> {
     fun stage(number: Int, gang: Boolean, dependencies: List<String>) = SimJob(
         "$id$number", "north", if (gang) 2 else 4, if (gang) 2.0 else 1.0, gang, gang, false, true,
@@ -45,6 +45,7 @@
     )
 }
 
+/** Cancels [job] after a random delay, once it is accepted; does nothing if it is not accepted within a minute. */
 private suspend fun cancelOnceAccepted(world: SimWorld, job: SimJob) {
     delay(world.random.nextLong(25_000))
     repeat(60) {
--- a/src/test/kotlin/linemast/simulation/InvariantChecks.kt
+++ b/src/test/kotlin/linemast/simulation/InvariantChecks.kt
@@ -4,23 +4,23 @@
 import kotlinx.coroutines.launch
 import linemast.settings.Settings
 
-/** Checks the rules of the protocol on a [SimWorld], and collects what breaks them. */
+/** Checks the rules of the protocol on a [SimWorld] and collects the violations. */
 class InvariantChecks(private val world: SimWorld, settings: Settings) {
     private val clock = world.clock
     private val jobs get() = world.jobs
     private val teams = settings.teams.associateBy { it.name }
     private val cancelMicros = settings.workers.cancelMicros
 
-    /** Rules that were broken, in the order in which that was noticed. */
+    /** Violations in the order in which they were found. */
     val violations = ArrayList<Violation>()
 
-    /** From when on no job may be left waiting while a machine that fits has room and its team is under its limit. */
+    /** Since when no fault is injected; from then on no job may starve while machines have room for it and its team is under its limit. */
     var faultFreeSinceMicros: Long? = null
 
-    /** Since when a job has been waiting with room for it, while no fault is on. */
+    /** Since when each pending job could have started, counted from [faultFreeSinceMicros] at the earliest. */
     private val startableSinceMicros = HashMap<String, Long>()
 
-    /** Checks what has to hold at any time, again and again. */
+    /** Starts the periodic checks. */
     fun start() {
         world.scope.launch {
             while (true) {
@@ -31,12 +31,12 @@
         }
     }
 
-    /** Notes that [job] breaks [invariant] now. */
+    /** Records that [job] violates [invariant] now. */
     fun recordViolation(invariant: Invariant, job: String, detail: String) {
         violations += Violation(invariant, job, clock.nowMicros(), detail)
     }
 
-    /** Checks the start of [task] on [worker], which does not run it yet. */
+    /** Checks the start of [task] on [worker], which does not hold it yet. */
     fun checkStart(worker: SimWorker, task: SimWorker.Task) {
         val job = jobs.getValue(task.job)
         val others = world.liveTasks().filter { it.task.job == task.job }.toList()
@@ -84,30 +84,31 @@
         }
     }
 
-    /** Checks a [status] that a controller gives of [job], asked for at [sentMicros]. */
+    /** Checks the [status] of [job] in a response to a request that was sent at [sentMicros]. */
     fun checkStatus(job: SimJob, status: String, sentMicros: Long) {
         val isTerminal = status in TERMINAL_STATUSES
         val last = job.acknowledgedStatus
-        // The answer to a question asked before the end was acknowledged may be on its way; one end never follows another.
+        // The response to a request sent before the terminal status was acknowledged may arrive after it. A terminal status is
+        // never followed by another one.
         val isLater = sentMicros > job.acknowledgedMicros || isTerminal
         if (last != null && status != last && isLater) {
             recordViolation(Invariant.ACKNOWLEDGED_STATUS_IS_FINAL, job.id, "was $last, is $status")
         }
         if (!isTerminal) return checkDependentsAreCancelled(job, status, sentMicros)
         if (status == "withdrawn" && !job.cancelRequested && ancestors(job).none { it.cancelRequested }) {
-            recordViolation(Invariant.ACKNOWLEDGED_STATUS_IS_FINAL, job.id, "cancelled by nobody")
+            recordViolation(Invariant.ACKNOWLEDGED_STATUS_IS_FINAL, job.id, "is cancelled without a request of a user")
         }
         if (status == "done" && !world.isCompleted(job)) {
-            recordViolation(Invariant.DONE_JOB_HAS_COMPLETED_TASKS, job.id, "has tasks that are not done")
+            recordViolation(Invariant.DONE_JOB_HAS_COMPLETED_TASKS, job.id, "is done with incomplete tasks")
         }
     }
 
     private fun checkDependentsAreCancelled(job: SimJob, status: String, sentMicros: Long) {
         val since = ancestors(job).mapNotNull { it.cancelledMicros }.minOrNull() ?: return
-        if (sentMicros - since > cancelMicros) recordViolation(Invariant.DEPENDENTS_ARE_CANCELLED, job.id, "is $status")
+        if (sentMicros - since > cancelMicros) recordViolation(Invariant.DEPENDENTS_ARE_CANCELLED, job.id, "is still $status")
     }
 
-    /** Jobs that [job] depends on, directly or through others. */
+    /** Returns the jobs that [job] depends on, directly or indirectly. */
     private fun ancestors(job: SimJob): Set<SimJob> {
         val found = LinkedHashSet<SimJob>()
         val next = ArrayDeque(job.dependencies)
@@ -125,7 +126,7 @@
             }
             val since = startableSinceMicros.getOrPut(job.id) { maxOf(now, faultFreeSince) }
             if (now - since > MAX_WAIT_MICROS) {
-                recordViolation(Invariant.NO_STARVATION, job.id, "has waited for ${(now - since) / 1_000} ms")
+                recordViolation(Invariant.NO_STARVATION, job.id, "could start but has been pending for ${(now - since) / 1_000} ms")
                 startableSinceMicros[job.id] = now
             }
         }
@@ -147,7 +148,7 @@
         return if (job.sameZone) freeSlots.values.any { it >= requiredSlots } else freeSlots.values.sum() >= requiredSlots
     }
 
-    /** How many tasks of [job] fit on the machines of each zone that it may use. */
+    /** Returns for each zone how many tasks of [job] fit on the free machines that it may use. */
     private fun freeTaskSlotsByZone(job: SimJob, boundTo: Set<String>): Map<String, Int> = world.workers.values
         .filter { (job.spot || !it.spot) && (!job.sameZone || boundTo.isEmpty() || it.zone in boundTo) }
         .groupBy { it.zone }
--- a/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
@@ -7,12 +7,12 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Cancellations, releases, questions and submissions of pipelines within milliseconds of each other; [SimWorld] checks the rules. */
+/** Cancellations, releases, polls and submissions of pipelines within milliseconds of each other; [InvariantChecks] checks the rules. */
 class PipelineRacesTest {
-    /** The leader releases a job while its user cancels it, and all controllers are asked about it all the while. */
+    /** The leader releases a job while its user cancels it, and users poll its status at all controllers meanwhile. */
     @ParameterizedTest
     @ValueSource(ints = [201, 202, 203])
-    fun `a waiting job is cancelled while it is released`(seed: Int) = runPipelineScenario(seed) { world ->
+    fun `jobs end if a blocked job is cancelled while it is released`(seed: Int) = runPipelineScenario(seed) { world ->
         world.users.cancelDependentAtCompletionProbability = 0.7
         world.store.lostResponseProbability = if (seed % 2 == 0) 0.1 else 0.0
         world.store.delayedDuplicateProbability = 0.1
@@ -27,10 +27,10 @@
         world.store.delayedDuplicateProbability = 0.0
     }
 
-    /** Users submit the jobs of a pipeline, and submit them again, while its first job is cancelled. */
+    /** Users submit the jobs of a pipeline, some of them repeatedly, while its first job is cancelled. */
     @ParameterizedTest
     @ValueSource(ints = [204, 205])
-    fun `a job is cancelled while those that need it are submitted, and submitted again`(seed: Int) = runPipelineScenario(seed) { world ->
+    fun `pipelines are cancelled if their first job is cancelled while they are submitted`(seed: Int) = runPipelineScenario(seed) { world ->
         repeat(10) { number ->
             val chain = chain("req-61%03d".format(number), 5)
             world.users.submitPipeline(chain)
@@ -41,29 +41,24 @@
         }
         delay(40_000)
         assertTrue(
-            world.jobs.values.all {
-                it.acknowledgedStatus == "withdrawn"
-            },
-            "${world.jobs.values.filter { it.acknowledgedStatus != "withdrawn" }.map { it.id }}",
+            world.jobs.values.all { it.acknowledgedStatus == "withdrawn" },
+            "not cancelled: ${world.jobs.values.filter { it.acknowledgedStatus != "withdrawn" }.map { it.id }}",
         )
     }
 
     /**
-     * A waiting job holds no part of its team's limit or guarantee and nothing is planned or kept for it in place of jobs that
-     * may start: with wide jobs waiting, another job of the team begins as soon as without them.
+     * A blocked job uses no part of its team's limit or guarantee, and nothing is planned or reserved for it in place of jobs that
+     * may start: beside wide blocked jobs, another job of the team starts as soon as without them.
      */
     @Test
-    fun `jobs that wait take no room from their team`() {
+    fun `blocked jobs do not delay other jobs of their team`() {
         fun begun(waiting: Int): Long {
             var micros = 0L
             runPipelineScenario(seed = 206) { world ->
                 val root = SimJob("req-620000", "north", 4, 1.0, false, false, false, true, 40_000_000)
                 val wide = List(waiting) {
                     SimJob(
-                        "req-6201%02d".format(
-                            it,
-                        ),
-                        "north", 24, 1.0, false, false, false, true, 2_000_000, dependencies = listOf(root.id),
+                        "req-6201%02d".format(it), "north", 24, 1.0, false, false, false, true, 2_000_000, dependencies = listOf(root.id),
                     )
                 }
                 world.users.submitPipeline(listOf(root) + wide)
@@ -78,49 +73,41 @@
         }
         val alone = begun(waiting = 0)
         val beside = begun(waiting = 6)
-        println("all of a job's tasks begun after ${alone / 1_000} ms alone, ${beside / 1_000} ms beside waiting jobs")
-        assertTrue(beside < alone + 2_000_000, "alone after $alone us, beside waiting jobs after $beside us")
+        println("all tasks of a job started after ${alone / 1_000} ms alone, ${beside / 1_000} ms beside blocked jobs")
+        assertTrue(beside < alone + 2_000_000, "all tasks started after $alone us alone, after $beside us beside blocked jobs")
     }
 
-    /** As from a service whose limits drop while a new leader reads the store, or between two writes of one change. */
+    /** The store lowers its limits while a new leader reads its state, or between two writes of one change. */
     @ParameterizedTest
     @ValueSource(longs = [0, 30, 200, 900])
-    fun `the store's limits drop while a leader loads`(afterMillis: Long) = runPipelineScenario(seed = 207, scale = 4) { world ->
-        repeat(6) { world.users.submitPipeline(chain("req-63%03d".format(it), 4)) }
-        world.users.submit(SimJob("req-630900", "south", 60, 0.25, false, false, false, true, 9_000_000), 15_000)
-        delay(7_000)
-        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
-        delay(afterMillis)
-        world.store.maxValueBytes = 1_536
-        world.store.maxTransactionOperations = 5
-        // The record of machines has to be written again, in values that fit.
-        world.workers.keys.take(3).forEach(world::removeMachine)
-        delay(20_000)
-        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
-    }
+    fun `jobs end if the store's limits drop while a leader loads`(afterMillis: Long) =
+        runPipelineScenario(seed = 207, scale = 4) { world ->
+            repeat(6) { world.users.submitPipeline(chain("req-63%03d".format(it), 4)) }
+            world.users.submit(SimJob("req-630900", "south", 60, 0.25, false, false, false, true, 9_000_000), 15_000)
+            delay(7_000)
+            launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
+            delay(afterMillis)
+            world.store.maxValueBytes = 1_536
+            world.store.maxTransactionOperations = 5
+            // The removal makes the leader write the records of machines again, in values within the lowered limits.
+            world.workers.keys.take(3).forEach(world::removeMachine)
+            delay(20_000)
+            launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
+        }
 
     /**
-     * A roll from the version before pipelines with an outage in its middle; the limits drop as the last controller of that
-     * version has ended, while the new one starts and another one may be loading.
+     * A rolling upgrade from the version before pipelines with an outage of the store in its middle. The store's limits drop when
+     * the last controller of that version has ended, while its replacement starts and another controller may be loading its state.
      */
     @ParameterizedTest
     @ValueSource(ints = [208, 209, 210])
-    fun `a roll with an outage in the middle and lowered limits at its end`(seed: Int) = runPipelineScenario(seed, { world ->
-        world.previousVersionControllers +=
-            listOf(0, 1, 2)
+    fun `jobs end after a rolling upgrade with an outage and then lowered limits`(seed: Int) = runPipelineScenario(seed, { world ->
+        world.previousVersionControllers += listOf(0, 1, 2)
     }) { world ->
         repeat(6) { number ->
             world.users.submit(
                 SimJob(
-                    "req-64%04d".format(number),
-                    if (number % 2 ==
-                        0
-                    ) {
-                        "north"
-                    } else {
-                        "south"
-                    },
-                    6, 1.0, false, false, false, true, 14_000_000,
+                    "req-64%04d".format(number), if (number % 2 == 0) "north" else "south", 6, 1.0, false, false, false, true, 14_000_000,
                 ),
                 null,
             )
@@ -137,7 +124,7 @@
             }
             delay(1_000)
             world.startController(at)
-            // One that has not had its turn ends, and comes back as what it was.
+            // A controller that is not upgraded yet restarts with the previous version.
             if (turn < 2) restartController(world, order[turn + 1], 400)
             delay(world.random.nextLong(3_000, 9_000))
             if (turn == 1) world.store.endOutage()
@@ -149,13 +136,7 @@
     private fun chain(id: String, length: Int): List<SimJob> = List(length) { at ->
         SimJob(
             "$id$at", "north", 2, 1.0, false, false, false, true, 3_000_000,
-            dependencies = if (at ==
-                0
-            ) {
-                emptyList()
-            } else {
-                listOf("$id${at - 1}")
-            },
+            dependencies = if (at == 0) emptyList() else listOf("$id${at - 1}"),
         )
     }
 }
--- a/src/test/kotlin/linemast/simulation/PipelineScenario.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineScenario.kt
@@ -6,7 +6,10 @@
 
 private const val FAULT_FREE_MILLIS = 200_000L
 
-/** Runs [script] and a calm time after it: no rule may break, nothing too large may be stored, and every accepted job has to end. */
+/**
+ * Runs [scenario], then waits without faults: no rule may be violated, no transaction may exceed the store's limits, and every
+ * accepted job has to end.
+ */
 internal fun runPipelineScenario(
     seed: Int,
     configure: (SimWorld) -> Unit = {},
@@ -21,5 +24,5 @@
     println("seed $seed: ${world.startCount} starts, ${world.completedTasks.size} tasks done, ${world.jobs.size} jobs")
     assertEquals(emptyList<Violation>(), world.violations)
     assertEquals(emptyList<String>(), world.store.oversizedTransactions)
-    assertEquals(emptyList<String>(), world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }, "without an end")
+    assertEquals(emptyList<String>(), world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }, "without a terminal status")
 }
--- a/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
@@ -8,10 +8,13 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 
-/** Pipelines on three controllers in virtual time; [SimWorld] checks too_early and orphaned among the other rules. */
+/**
+ * Pipelines on three controllers in virtual time. Among the other rules, [InvariantChecks] checks that a job starts only after its
+ * dependencies and that it is cancelled with them.
+ */
 class PipelineSimulationTest {
     @Test
-    fun `a chain is handed on within seconds`() {
+    fun `each stage of a chain ends within seconds of the stage before`() {
         val ends = ArrayList<Long>()
         runPipelineScenario(seed = 91) { world ->
             world.users.submitPipeline(chain("req-50000", 6))
@@ -21,7 +24,8 @@
             }
             ends += world.clock.nowMicros()
         }
-        // Each runs for 3 s after an image of up to 2 s; the rest is the hand-over: commits, and up to two reports.
+        // A stage fetches its image for up to 2 s and runs for 3 s. The rest is the release of the next stage: commits and up to
+        // two heartbeats.
         val longest = ends.zipWithNext { one, next -> next - one }.max()
         println("ends of the stages: ${ends.map { it / 1_000 }} ms, the longest stage ${longest / 1_000} ms")
         assertTrue(longest < 8_500_000, "a stage took $longest us")
@@ -29,7 +33,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [92, 93, 94, 95])
-    fun `leaders change and the store is out while dependencies run and are cancelled`(seed: Int) = runPipelineScenario(seed) { world ->
+    fun `jobs end after a failover and an outage while dependencies run and are cancelled`(seed: Int) = runPipelineScenario(seed) { world ->
         repeat(5) { number ->
             val chain = chain("req-51%03d".format(number), 5)
             world.users.submitPipeline(chain, submitLastAfterDependencies = number == 2)
@@ -53,7 +57,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [96, 97])
-    fun `cancellations at the moment when a job ends`(seed: Int) = runPipelineScenario(seed) { world ->
+    fun `jobs end if jobs are cancelled when their last task completes`(seed: Int) = runPipelineScenario(seed) { world ->
         world.users.cancelAtCompletionProbability = 0.5
         repeat(8) { number ->
             world.users.submitPipeline(chain("req-52%03d".format(number), 4))
@@ -63,9 +67,12 @@
         world.users.cancelAtCompletionProbability = 0.0
     }
 
-    /** A wide fan between two jobs, cancelled at its first; no controller is asked to do it, the leader does. */
+    /**
+     * Forty jobs depend on the first job, and the last job depends on them. After the cancellation of the first job the leader
+     * cancels the others without further requests.
+     */
     @Test
-    fun `a wide fan is cancelled in the background, within the store's limits`() = runPipelineScenario(seed = 98) { world ->
+    fun `many dependents are cancelled in the background within the store's limits`() = runPipelineScenario(seed = 98) { world ->
         world.store.maxTransactionOperations = 5
         world.store.maxValueBytes = 1_536
         val first = SimJob("req-530000", "north", 2, 1.0, false, false, false, true, 60_000_000)
@@ -84,24 +91,19 @@
         world.users.pollingSuspended = false
     }
 
-    /** Two versions side by side on each other's records; one that dies before its turn comes back old. */
+    /**
+     * Controllers of two versions run at the same time and read each other's records. A controller that crashes before its upgrade
+     * restarts with the previous version.
+     */
     @ParameterizedTest
     @ValueSource(ints = [101, 102, 103, 104, 105, 106])
-    fun `a roll from the revision before, with faults, and dependencies once all are new`(seed: Int) = runPipelineScenario(seed, { world ->
-        world.previousVersionControllers +=
-            listOf(0, 1, 2)
+    fun `jobs end after a rolling upgrade with faults, also pipelines submitted after it`(seed: Int) = runPipelineScenario(seed, { world ->
+        world.previousVersionControllers += listOf(0, 1, 2)
     }) { world ->
         repeat(10) { number ->
             val gang = number % 4 == 3
             val job = SimJob(
-                "req-54%04d".format(number),
-                if (number % 2 ==
-                    0
-                ) {
-                    "north"
-                } else {
-                    "south"
-                },
+                "req-54%04d".format(number), if (number % 2 == 0) "north" else "south",
                 if (gang) 2 else 6, if (gang) 4.0 else 1.0, gang, gang, false, true, 12_000_000,
             )
             world.users.submit(job, if (number == 4) 9_000 else null)
@@ -110,7 +112,7 @@
         val trouble = launch {
             repeat(3) {
                 delay(4_000)
-                // Comes back as the version that it was.
+                // The controller restarts with the version that it ran before.
                 restartController(world, world.random.nextInt(3), 500)
                 world.workers.values.shuffled(world.random).first().pausedUntilMicros =
                     world.clock.nowMicros() + world.random.nextLong(9_000_000)
--- a/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
+++ b/src/test/kotlin/linemast/simulation/PreviousVersionStore.kt
@@ -9,9 +9,8 @@
 import linemast.store.Write
 
 /**
- * What a controller of the version before pipelines sees of the store and leaves in it.
- *
- * It drops fields that it does not know when it rewrites a record.
+ * The store as a controller of the version before pipelines reads and writes it: that version neither reads nor writes the
+ * records of blocked jobs, and it omits fields that it does not know when it rewrites a record.
  */
 internal class PreviousVersionStore(private val store: KeyValueStore) : KeyValueStore by store {
     override suspend fun list(prefix: String, after: String?): EntryPage = if (prefix.startsWith(BLOCKED_JOBS_PREFIX)) {
@@ -32,7 +31,7 @@
     }
 
     override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-        check(writes.none { it.key.startsWith(BLOCKED_JOBS_PREFIX) }) { "a key that the version before does not know" }
+        check(writes.none { it.key.startsWith(BLOCKED_JOBS_PREFIX) }) { "the previous version writes a record of a blocked job" }
         return store.commit(
             preconditions,
             writes.map {
--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -9,36 +9,44 @@
 import linemast.cloud.ScaleOutResult
 import linemast.domain.MachineType
 
-/** An order that the cloud has carried out, with the store's revision at that moment. */
+/** A scale-out or scale-in that the cloud has carried out. */
 class SimCloudAction(
+    /** Index of the controller that sent the call. */
     val controller: Int,
+    /** Null for a scale-in. */
     val scaleOutRequest: ScaleOutRequest?,
+    /** Empty for a scale-out. */
     val removedMachines: List<String>,
+    /** Revision of the store when the cloud carried the action out. */
     val revision: Long,
+    /** Tasks on the removed machines that had not ended. */
     val interruptedTasks: List<SimWorker.Task>,
 )
 
-/** Stand-in of the cloud: a list that lags, rentals up to a capacity, returns that are final, orders that come late. */
+/**
+ * Simulated cloud: its machine list lags, it grants machines up to a capacity, a scale-in is final, and a call may be carried
+ * out late or lose its response.
+ */
 class SimCloud(private val world: SimWorld, private val types: List<MachineType>) {
     private class Snapshot(val micros: Long, val machines: List<ListedMachine>)
 
     private val snapshots = ArrayList<Snapshot>()
     private val grantedMachines = HashMap<String, List<String>>()
 
-    /** All orders that were carried out. */
+    /** All actions that the cloud has carried out, in order. */
     val actions = ArrayList<SimCloudAction>()
 
-    /** Share of orders that get no answer and are carried out later, after a time within [lateActionDelayMillis]. */
+    /** Probability that a call gets no response and is carried out after a delay drawn from [lateActionDelayMillis]. */
     var lateActionProbability = 0.0
     var lateActionDelayMillis = 0L..20_000L
 
-    /** Told which controller is about to send an order, and whether that is a return. */
+    /** Called when a controller is about to send a scale-out or a scale-in. */
     var onAction: (controller: Int, isScaleIn: Boolean) -> Unit = { _, _ -> }
 
-    /** Share of orders that are carried out and whose answer is lost. */
+    /** Probability that a call is carried out and its response is lost. */
     var lostResponseProbability = 0.05
 
-    /** The cloud as the controller [controller] reaches it. */
+    /** Returns the client through which [controller] calls the cloud. */
     fun clientOf(controller: Int): Cloud = Client(controller)
 
     private fun list(): List<ListedMachine> {
@@ -67,7 +75,10 @@
     }
 
     private inner class Client(private val controller: Int) : Cloud {
-        /** An order leaves a controller that stands still only when it goes on, and may then be held up on its way. */
+        /**
+         * Sends a scale-out or a scale-in, which the cloud carries out by [execute]. A paused controller sends the call only when it
+         * resumes; the call may be delayed after that.
+         */
         private suspend fun <T> callCloud(isScaleIn: Boolean, execute: () -> T): T {
             onAction(controller, isScaleIn)
             world.network.awaitResume(controller)
@@ -77,11 +88,11 @@
                     execute()
                 }
                 delay(TIMEOUT_MILLIS)
-                throw CloudException.NoResponse("no answer")
+                throw CloudException.NoResponse("no response")
             }
             delay(LATENCY_MILLIS)
             val result = execute()
-            if (world.random.nextDouble() < lostResponseProbability) throw CloudException.NoResponse("no answer")
+            if (world.random.nextDouble() < lostResponseProbability) throw CloudException.NoResponse("no response")
             return result
         }
 
--- a/src/test/kotlin/linemast/simulation/SimJob.kt
+++ b/src/test/kotlin/linemast/simulation/SimJob.kt
@@ -1,6 +1,6 @@
 package linemast.simulation
 
-/** A job as the users of the simulation know it, with what was acknowledged to them. */
+/** A job of the simulated users, with the responses that they have received about it. */
 class SimJob(
     val id: String,
     val team: String,
@@ -11,27 +11,39 @@
     val spread: Boolean,
     val spot: Boolean,
     val runMicros: Long,
-    /** By how much longer each task runs than the one before it. */
+    /** Difference between the run times of a task and of the task before it. */
     val staggerMicros: Long = 0,
     val dependencies: List<String> = emptyList(),
     val jobClass: String = if (gang) "gangs" else "sweeps",
-    /** For how long its user goes on submitting it. */
+    /** How long the user retries the submission. */
     val submitTimeoutMicros: Long = Long.MAX_VALUE,
 ) {
+    /** Returns the run time of the task with the given [index]. */
     fun runMicrosOf(index: Int) = runMicros + index * staggerMicros
 
     var accepted = false
     var submittedMicros = 0L
     var acceptedMicros = 0L
 
-    /** When its first task was started. */
+    /** When the first task was started; 0 before. */
     var startedMicros = 0L
+
+    /** Number of submissions that were deferred with status 429. */
     var deferralCount = 0
+
+    /** The terminal status that a user has received; null before. */
     var acknowledgedStatus: String? = null
+
+    /** When a user first received a terminal status. */
     var acknowledgedMicros = Long.MAX_VALUE
+
+    /** When a user first received the status `withdrawn`; null before. */
     var cancelledMicros: Long? = null
+
+    /** Whether a user has requested the cancellation. */
     var cancelRequested = false
 
+    /** Returns the body of the submission. */
     fun submissionBody(): Map<String, Any?> = mapOf(
         "name_id" to id, "lane" to jobClass, "crew" to team, "shape" to if (gang) "gang" else "sweep",
         "urgency" to if (gang) "normal" else "idle", "pieces" to taskCount, "vcpus" to vcpus, "gpus" to 0.0, "memory_gb" to 1.0,
--- a/src/test/kotlin/linemast/simulation/SimNetwork.kt
+++ b/src/test/kotlin/linemast/simulation/SimNetwork.kt
@@ -3,52 +3,52 @@
 import kotlinx.coroutines.delay
 import linemast.time.Clock
 
-/** The faults of the links between users, workers and controllers, and of controllers that stand still. */
+/** Faults of the links between users, workers and controllers, and pauses of controller processes. */
 class SimNetwork(private val clock: Clock) {
-    /** Share of messages that get lost. */
+    /** Probability that a message is lost. */
     var messageLossProbability = 0.0
 
-    /** Longest time that a message between workers or users and controllers takes. */
+    /** Longest latency of a request from a worker or a user to a controller. */
     var maxLatencyMillis = 10L
 
-    /** Share of heartbeats of which a copy arrives later, up to several leases. */
+    /** Probability that a duplicate of a heartbeat arrives after a delay of up to several leases. */
     var delayedDuplicateProbability = 0.0
 
-    /** Controllers that neither users nor workers reach. */
+    /** Controllers that no request of a user or a worker reaches. */
     val unreachable = HashSet<Int>()
 
-    /** Controllers that workers do not get through to. */
+    /** Controllers that no heartbeat reaches; requests of users do. */
     val unreachableForWorkers = HashSet<Int>()
 
-    /** Controllers that exchange nothing with the other controllers. */
+    /** Controllers that exchange no statuses with the other controllers. */
     val partitioned = HashSet<Int>()
 
-    /** A zone of which the workers reach only controller 0, which nobody else reaches. */
+    /** A zone whose workers reach controller 0 only, and controller 0 is reached by these workers only; null for no partition. */
     var partitionedZone: String? = null
 
-    /** Until when controllers stand still while their clocks run on: nothing comes in, and nothing that is ready leaves. */
+    /** Until when each controller is paused: it receives and sends no messages, and its clock goes on. */
     private val pausedUntilMicros = LongArray(CONTROLLER_COUNT)
 
-    /** Makes the controller [controller] stand still for [micros] from now on. */
+    /** Pauses [controller] for [micros] from now on. */
     fun pause(controller: Int, micros: Long) {
         pausedUntilMicros[controller] = clock.nowMicros() + micros
     }
 
-    /** Waits while the controller [controller] stands still. */
+    /** Suspends while [controller] is paused. */
     suspend fun awaitResume(controller: Int) {
         while (clock.nowMicros() < pausedUntilMicros[controller]) delay((pausedUntilMicros[controller] - clock.nowMicros()) / 1_000 + 1)
     }
 
-    /** Whether nothing passes between the controller [controller] and senders in [zone]; null for users, who are in none. */
+    /** Whether [partitionedZone] separates [controller] from senders in [zone]; users have no zone, hence null. */
     fun isPartitionedByZone(controller: Int, zone: String?): Boolean =
         partitionedZone?.let { separated -> (zone == separated) != (controller == 0) } ?: false
 
-    /** Whether a request for [path] from [zone] does not reach the controller [controller]. */
+    /** Whether a request for [path] from [zone] does not reach [controller]. */
     fun isUnreachable(controller: Int, zone: String?, path: String): Boolean = isPartitionedByZone(controller, zone) ||
         controller in unreachable ||
         (controller in unreachableForWorkers && path == HEARTBEAT_PATH)
 
-    /** Whether the controllers [from] and [to] are apart. */
+    /** Whether a partition separates the controllers [from] and [to]. */
     fun isPartitioned(from: Int, to: Int): Boolean = from in partitioned || to in partitioned
 
     private companion object {
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -18,12 +18,12 @@
 import linemast.time.Clock
 import kotlin.random.Random
 
-/** Stand-in of the state service, with its leases, revisions and ways to fail. */
+/** Simulated key-value store with leases, revisions and injected faults. */
 class SimStore(
     private val scope: CoroutineScope,
     private val clock: Clock,
     private val random: Random,
-    /** Waits while a controller stands still. */
+    /** Suspends while the controller with the given name is paused. */
     private val awaitResume: suspend (String) -> Unit = {},
 ) {
     private class StoredValue(val value: ByteArray, val revision: Long, val lease: Long?)
@@ -36,31 +36,42 @@
     var revision = 1L
         private set
 
-    /** Told of each transaction that a controller's own call has carried out, before the answer leaves. */
+    /** Called with each transaction that a call has applied, before the response is sent; not for late transactions and duplicates. */
     var onApplied: (node: String, writes: List<Write>) -> Unit = { _, _ -> }
 
-    /** Every change that was carried out, in its order. */
+    /** Every change that was applied, in order. */
     val history: List<KeyChange> get() = changes
     private var lastLease = 0L
+
+    /** Whether the store refuses all calls. */
     var outage = false
         private set
+
+    /** Names of the controllers whose calls the store refuses. */
     val refusedControllers = HashSet<String>()
 
-    /** Controllers whose open watches get no answer, while all else is answered. */
+    /** Names of the controllers whose open watches get no response; their other calls do. */
     val controllersWithHangingWatches = HashSet<String>()
+
+    /** Probability that a transaction gets no response; it is applied at once or up to half a minute later. */
     var lostResponseProbability = 0.0
 
-    /** Most that a call takes. */
+    /** Longest latency of a call. */
     var maxLatencyMillis = 12L
 
-    /** Share of transactions that were carried out and arrive a second time later. */
+    /** Probability that a duplicate of a transaction arrives up to a minute after the transaction was applied. */
     var delayedDuplicateProbability = 0.0
 
-    /** What values and transactions may be at most; a larger one gets 400, and is noted. */
+    /** Largest size of a value; a transaction over a limit gets status 400 and is listed in [oversizedTransactions]. */
     var maxValueBytes = 8 * 1024
+
+    /** Most operations in a transaction. */
     var maxTransactionOperations = 16
+
+    /** Descriptions of the transactions that exceeded a limit. */
     val oversizedTransactions = ArrayList<String>()
 
+    /** Rejects a transaction that exceeds a limit. */
     private fun requireWithinLimits(writes: List<Write>) {
         val oversizedKeys = writes.filter { it is Write.Put && JsonSize.of(it.value) > maxValueBytes }.map { it.key }
         val bytes = writes.sumOf { it.key.length + if (it is Write.Put) JsonSize.of(it.value) else 0 }
@@ -69,34 +80,38 @@
         throw StoreException.ErrorStatus(400)
     }
 
+    /** Makes the store refuse all calls; leases do not expire until [endOutage]. */
     fun startOutage() {
         outage = true
     }
 
-    /** After an outage every lease again has its full time. */
+    /** Ends the outage and renews every lease for its full duration. */
     fun endOutage() {
         outage = false
         leases.values.forEach { it.expiresMicros = clock.nowMicros() + it.ttlMicros }
     }
 
-    /** Loses [key], as if it had never been written; nobody is told. */
+    /** Deletes [key] as if it had never been written: no watch reports the deletion. */
     fun deleteSilently(key: String) {
         entries.remove(key)
     }
 
-    /** Replaces all that is stored by [values], CBOR by key. */
+    /** Replaces all entries by [values], which are CBOR by key; no watch reports the changes. */
     fun replaceContents(values: Map<String, ByteArray>) {
         entries.clear()
         revision++
         for ((key, value) in values) entries[key] = StoredValue(value, revision, lease = null)
     }
 
+    /** Returns the decoded value of [key], or null if the store has no such key. */
     fun valueOf(key: String) = entries[key]?.let { Cbor.decodeMap(it.value) }
 
     fun keysUnder(prefix: String): Set<String> = entries.keys.filterTo(LinkedHashSet()) { it.startsWith(prefix) }
 
+    /** Returns the client through which the controller named [node] calls the store. */
     fun clientOf(node: String): KeyValueStore = Client(node)
 
+    /** Removes the leases that have expired, and their keys. */
     private fun expireLeases() {
         if (outage) return
         val expired = leases.filterValues { it.expiresMicros <= clock.nowMicros() }.keys
@@ -133,6 +148,7 @@
     }
 
     private inner class Client(private val node: String) : KeyValueStore {
+        /** Suspends while the controller is paused and for the latency of the call, then refuses the call if the store is not available. */
         private suspend fun beginCall() {
             awaitResume(node)
             delay(random.nextLong(1, maxLatencyMillis))
@@ -156,14 +172,14 @@
             beginCall()
             requireWithinLimits(writes)
             if (random.nextDouble() < lostResponseProbability) {
-                // Executed now or up to half a minute later; the caller never learns.
+                // The transaction is applied now or up to half a minute later; the caller gets no response either way.
                 val delayMillis = if (random.nextBoolean()) 0L else random.nextLong(30_000)
                 scope.launch {
                     delay(delayMillis)
                     apply(preconditions, writes)
                 }
                 delay(2_000)
-                throw StoreException.NoResponse("no answer")
+                throw StoreException.NoResponse("no response")
             }
             val result = apply(preconditions, writes)
             if (result is CommitResult.Applied) onApplied(node, writes)
@@ -181,7 +197,7 @@
             beginCall()
             val end = clock.nowMicros() + waitMicros
             while (true) {
-                if (clock.nowMicros() > end + WATCH_TIMEOUT_MARGIN_MICROS) throw StoreException.NoResponse("no answer")
+                if (clock.nowMicros() > end + WATCH_TIMEOUT_MARGIN_MICROS) throw StoreException.NoResponse("no response")
                 expireLeases()
                 val matching = changes.filter { it.revision > afterRevision && it.key.startsWith(prefix) }
                 if (!outage &&
--- a/src/test/kotlin/linemast/simulation/SimUsers.kt
+++ b/src/test/kotlin/linemast/simulation/SimUsers.kt
@@ -7,10 +7,10 @@
 import linemast.serialization.Cbor
 import linemast.transport.HttpResponse
 
-/** Statuses of a job that is over. */
+/** Statuses of a job that has ended. */
 internal val TERMINAL_STATUSES = setOf("done", "withdrawn")
 
-/** The users of a [SimWorld]: they submit jobs, ask about them and cancel them. */
+/** The users of a [SimWorld]: they submit jobs, poll their status and cancel them. */
 class SimUsers(private val world: SimWorld) {
     private val clock = world.clock
     private val random = world.random
@@ -18,25 +18,25 @@
     private val jobs get() = world.jobs
     private val checks get() = world.checks
 
-    /** Share of jobs that are cancelled at the moment when their last task is done. */
+    /** Probability that a job is cancelled within 1.5 s of the completion of its last task. */
     var cancelAtCompletionProbability = 0.0
 
-    /** Share of jobs that are cancelled within milliseconds of the end of a job that they depend on. */
+    /** Probability that a job is cancelled within 3 s of the completion of a job that it depends on. */
     var cancelDependentAtCompletionProbability = 0.0
 
-    /** Nobody asks about jobs. */
+    /** Whether the users do not poll the status of jobs. */
     var pollingSuspended = false
 
-    /** The controller that a submission of a job goes to. */
+    /** Returns the controller that a submission of the job is sent to. */
     var chooseController: (SimJob) -> Int = { random.nextInt(CONTROLLER_COUNT) }
 
-    /** Called with each answer to a submission. */
+    /** Called with each response to a submission. */
     var onSubmissionResponse: (id: String, status: Int) -> Unit = { _, _ -> }
 
-    /** Called with each answer to a submission, with the plan by which the controller admitted all the while. */
+    /** Called with each response to a submission during which the admission plan of the controller did not change. */
     var onSubmissionUnderPlan: (id: String, status: Int, plan: AdmissionPlan) -> Unit = { _, _, _ -> }
 
-    /** A user submits [job] until it is accepted, then polls; may cancel it at some time. */
+    /** Submits [job] until it is accepted, then polls its status; cancels it after [cancelAfterMillis] if that is given. */
     fun submit(job: SimJob, cancelAfterMillis: Long?) {
         jobs[job.id] = job
         scope.launch {
@@ -49,7 +49,7 @@
         if (cancelAfterMillis != null) cancel(job, cancelAfterMillis)
     }
 
-    /** False if the user gives up. */
+    /** Retries the submission until it is accepted; returns false if [SimJob.submitTimeoutMicros] passes before. */
     private suspend fun submitUntilAccepted(job: SimJob): Boolean {
         job.submittedMicros = clock.nowMicros()
         while (!job.accepted) {
@@ -60,7 +60,7 @@
                 job.accepted = true
                 job.acceptedMicros = clock.nowMicros()
             }
-            if (status == 400 || status == 422) checks.recordViolation(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "answered $status")
+            if (status == 400 || status == 422) checks.recordViolation(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "rejected with $status")
             if (status == 429) job.deferralCount++
             delay(maxOf(1, response?.retryAfterSeconds ?: 1) * 1_000L)
         }
@@ -78,12 +78,15 @@
         return response
     }
 
-    /** Submits a job once more, beside what its user does. */
+    /** Submits [job] once more, in addition to the submissions of [submit]. */
     fun resubmit(job: SimJob) {
         scope.launch { submitOnce(job) }
     }
 
-    /** A user submits the jobs of a pipeline one after another, each as soon as those that it depends on are accepted. */
+    /**
+     * Submits the jobs of a pipeline in order, each as soon as its dependencies are accepted; with
+     * [submitLastAfterDependencies] the last one only when its dependencies have ended.
+     */
     fun submitPipeline(pipeline: List<SimJob>, submitLastAfterDependencies: Boolean = false) {
         scope.launch {
             for (job in pipeline) {
@@ -98,7 +101,7 @@
         while (ids.any { jobs.getValue(it).acknowledgedStatus == null }) delay(500)
     }
 
-    /** The job's user cancels it, and asks until that is acknowledged. */
+    /** Sends cancellations of [job] until a response has a terminal status. */
     fun cancel(job: SimJob, afterMillis: Long) {
         scope.launch {
             delay(afterMillis)
@@ -111,7 +114,7 @@
         }
     }
 
-    /** Cancels [job], or jobs that depend on it, now and then when it is done. */
+    /** Cancels [job], or jobs that depend on it, with the given probabilities when its last task has completed. */
     fun onTaskDone(job: SimJob) {
         if (!world.isCompleted(job)) return
         if (!job.cancelRequested && random.nextDouble() < cancelAtCompletionProbability) cancel(job, random.nextLong(1_500))
@@ -120,7 +123,7 @@
         }
     }
 
-    /** Asks all controllers about [job], [times] times within milliseconds. */
+    /** Polls the status of [job] at all controllers, [times] times within milliseconds. */
     fun pollAllControllers(job: SimJob, times: Int) {
         scope.launch {
             repeat(times) {
@@ -148,7 +151,10 @@
         job.acknowledgedStatus = status
     }
 
-    /** What users also ask: submissions again, cancellations of what is over, jobs that are nowhere, that cannot run, or lack a field. */
+    /**
+     * Sends requests at the edge of the protocol: a repeated submission, a cancellation of a job that has ended, a poll of an
+     * unknown job, and submissions of jobs that cannot run or lack a field.
+     */
     suspend fun sendUnusualRequests() {
         val job = jobs.values.filter { it.accepted }.randomOrNull(random) ?: return
         resubmitAccepted(job)
@@ -157,7 +163,7 @@
         }
         val id = "req-99%04d".format(random.nextInt(10_000))
         if (sendRequest("GET", "/v1/jobs/$id", ByteArray(0))?.status == 200) {
-            checks.recordViolation(Invariant.UNKNOWN_JOB_IS_UNKNOWN, id, "answered 200")
+            checks.recordViolation(Invariant.UNKNOWN_JOB_IS_UNKNOWN, id, "got status 200")
         }
         sendMalformedSubmissions(job.submissionBody() + ("name_id" to id), id)
     }
@@ -166,7 +172,7 @@
         val sentMicros = clock.nowMicros()
         val response = sendRequest("POST", "/v1/jobs", Cbor.encode(job.submissionBody())) ?: return
         if (response.status !in setOf(200, 503)) {
-            checks.recordViolation(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "answered ${response.status} to a repeated submission")
+            checks.recordViolation(Invariant.ACCEPTED_JOB_IS_KNOWN, job.id, "got status ${response.status} for a repeated submission")
         }
         recordResponse(job, response, sentMicros)
     }
@@ -184,7 +190,7 @@
     private suspend fun expectRejection(status: Int, body: Map<String, Any?>) {
         val response = sendRequest("POST", "/v1/jobs", Cbor.encode(body)) ?: return
         if (response.status != status && response.status != 503) {
-            checks.recordViolation(Invariant.REJECTION_STATUS, "${body["name_id"]}", "${response.status} instead of $status for $body")
+            checks.recordViolation(Invariant.REJECTION_STATUS, "${body["name_id"]}", "got ${response.status} instead of $status for $body")
         }
     }
 
--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -8,7 +8,7 @@
 import linemast.serialization.Cbor
 import linemast.serialization.Fields
 
-/** Stand-in of a worker: sessions, leases, tokens and tasks as the protocol's page has them. */
+/** Simulated worker that follows the worker protocol: incarnations, leases, fencing tokens, commands and gangs. */
 class SimWorker(
     private val world: SimWorld,
     val name: String,
@@ -23,28 +23,38 @@
         var readyMicros = 0L
         var endMicros = 0L
 
-        /** Revision of the store when it was started. */
+        /** Revision of the store when the worker started the task. */
         var startRevision = 0L
     }
 
     private val random get() = world.random
     private val createdMicros = world.clock.nowMicros()
     val tasks = LinkedHashMap<String, Task>()
+
+    /** Whether the machine no longer exists. */
     var isRemoved = false
+
+    /** Until when the worker is paused: it runs no tasks and sends no heartbeats. */
     var pausedUntilMicros = 0L
+
+    /** Whether tasks end with an error when they would begin to run. */
     var failsTasks = false
 
-    /** Its reports get through, the answers to them do not. */
+    /** Whether heartbeats reach the controllers but their responses are lost. */
     var losesResponses = false
 
-    /** Reaches no controller. */
+    /** Whether the worker reaches no controller. */
     var isPartitioned = false
     private var incarnation = 1L
     private var sequenceNumber = 0L
     var fencingToken = 0L
         private set
     private var renewedMicros = world.clock.nowMicros()
+
+    /** Index of the controller that heartbeats are sent to. */
     private var controller = random.nextInt(3)
+
+    /** Whether the next heartbeat is sent early, because the state has changed. */
     private var heartbeatDue = true
 
     val isLeaseExpired: Boolean get() = world.clock.nowMicros() - renewedMicros > leaseMicros
@@ -52,9 +62,10 @@
 
     fun toListedMachine(now: Long) = ListedMachine(name, "10.9.0.1:9", type.name, zone, spot, "running", now - createdMicros)
 
+    /** Number of machine restarts; the response to a heartbeat that was sent before a restart is ignored. */
     private var bootCount = 0
 
-    /** The machine is back at once: its worker knows nothing of what was before. */
+    /** Restarts the machine without a delay; the new worker process has no tasks and no state of the previous one. */
     fun reboot() {
         bootCount++
         tasks.clear()
@@ -70,7 +81,7 @@
         world.scope.launch { sendHeartbeats() }
     }
 
-    /** Has a task run here that no controller of this store has ordered. */
+    /** Runs a task of [job] for which no controller has sent a start. */
     fun startUnrecordedTask(job: SimJob) {
         val task = Task(job.id, 0, 1)
         run(task, world.clock.nowMicros(), job.runMicros)
@@ -157,7 +168,7 @@
             return switchController()
         }
         if (random.nextDouble() < world.network.messageLossProbability) {
-            // Held back by the network: delivered late or never, and nobody waits for the answer.
+            // The network loses the heartbeat or delivers it late; the worker does not receive the response.
             if (random.nextBoolean()) {
                 world.scope.launch {
                     delay(random.nextLong(20_000))
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -21,12 +21,12 @@
 
 internal const val CONTROLLER_COUNT = 3
 
-/** A task that has not ended, with the worker that runs it. */
+/** A task that has not ended, with the worker that holds it. */
 data class LiveTask(val worker: SimWorker, val task: SimWorker.Task)
 
 /**
- * Three controllers, their store and cloud, workers and users, all in virtual time; [checks] has the rules of the
- * protocol checked at each start, each step and each answer.
+ * Three controllers with a simulated store, cloud, network, workers and users; [clock] gives the time of the simulation. [checks]
+ * checks the rules of the protocol at each start of a task, at each status response and periodically.
  */
 class SimWorld(
     val scope: CoroutineScope,
@@ -35,8 +35,9 @@
     private val settings: (String) -> Settings,
     private val types: List<MachineType>,
     private val workerLeaseMicros: Long,
-    /** Standing machines, and how many there can be in all. */
+    /** Number of machines of the baseline fleet. */
     private val baselineMachines: Int = 6,
+    /** Most machines that can exist at a time, the baseline fleet included. */
     val maxMachines: Int = 12,
     private val features: Features = Features(),
     private val policy: Policy = Policy(),
@@ -44,27 +45,32 @@
     val random = Random(seed)
     val workers = LinkedHashMap<String, SimWorker>()
     val jobs = LinkedHashMap<String, SimJob>()
+
+    /** Tasks that have completed, as `job/index`. */
     val completedTasks = HashSet<String>()
     val network = SimNetwork(clock)
     val store = SimStore(scope, clock, random) { node -> network.awaitResume(node.removePrefix("mast-").toInt()) }
+
+    /** Number of tasks that workers have started, repeated starts included. */
     var startCount = 0
         private set
     val cloud = SimCloud(this, types)
     val checks = InvariantChecks(this, settings("mast-0"))
     val users = SimUsers(this)
 
-    /** Rules that were broken so far. */
+    /** Violations of the rules found so far. */
     val violations: List<Violation> get() = checks.violations
 
-    /** What each controller's clock reads; they may run at different speeds. */
+    /** Returns the clock of a controller; the clocks may run at different speeds. */
     var clockOf: (Int) -> Clock = { clock }
     private val nodes = arrayOfNulls<Node>(CONTROLLER_COUNT)
     private val nodeScopes = arrayOfNulls<CoroutineScope>(CONTROLLER_COUNT)
     private var machineCount = 0
 
-    /** Takes requests to controllers that run elsewhere; without it they run here. */
+    /** Sends requests to controllers in other processes; if null, the controllers run in this process. */
     var transport: (suspend (controller: Int, request: HttpRequest) -> HttpResponse?)? = null
 
+    /** Adds the baseline fleet and starts the controllers and the checks. */
     fun start() {
         repeat(baselineMachines) { addMachine(types[it % types.size], if (it % 2 == 0) "a" else "b", spot = false) }
         if (transport == null) repeat(CONTROLLER_COUNT) { startController(it) }
@@ -72,7 +78,7 @@
         repeat(CONTROLLER_COUNT) { from -> scope.launch { sendPeerStatuses(from) } }
     }
 
-    /** Statuses between controllers; some come late, also from a process that has ended since. */
+    /** Sends statuses from one controller to the others; some arrive late, also after the sending process has ended. */
     private suspend fun sendPeerStatuses(from: Int) {
         while (true) {
             delay(1_000)
@@ -90,9 +96,10 @@
         }
     }
 
-    /** Controllers that still write what the version before pipelines writes, and see what it sees. */
+    /** Controllers that read and write the store as the version before pipelines does. */
     val previousVersionControllers = HashSet<Int>()
 
+    /** Starts [controller] if it does not run. */
     fun startController(controller: Int) {
         if (nodes[controller] != null) return
         val nodeScope = CoroutineScope(scope.coroutineContext + SupervisorJob(scope.coroutineContext[Job]))
@@ -111,11 +118,13 @@
         node.start()
     }
 
+    /** Ends [controller] without a shutdown. */
     fun killController(controller: Int) {
         nodeScopes[controller]?.cancel()
         nodes[controller] = null
     }
 
+    /** Adds a machine and starts its worker. */
     fun addMachine(type: MachineType, zone: String, spot: Boolean): SimWorker {
         val worker = SimWorker(this, "host-%06d".format(++machineCount), type, zone, spot, workerLeaseMicros)
         workers[worker.name] = worker
@@ -123,6 +132,7 @@
         return worker
     }
 
+    /** Removes a machine with its tasks. */
     fun removeMachine(name: String) {
         workers.remove(name)?.let {
             it.isRemoved = true
@@ -130,6 +140,7 @@
         }
     }
 
+    /** Sends a request to [controller]; returns null if no response arrives. Users send without a [zone]. */
     suspend fun send(controller: Int, method: String, path: String, body: ByteArray, zone: String? = null): HttpResponse? {
         delay(random.nextLong(1, network.maxLatencyMillis))
         if (network.isUnreachable(controller, zone, path)) {
@@ -149,7 +160,7 @@
         return if (response.stillValid()) response else HttpResponse.unavailable()
     }
 
-    /** A machine that hangs past its lease does not take its tasks up again: it kills them as soon as it goes on. */
+    /** Returns the tasks that have not ended. Tasks of a worker whose lease has expired do not count: it ends them when it resumes. */
     fun liveTasks(): Sequence<LiveTask> = workers.values.asSequence().filter { !it.isLeaseExpired }.flatMap { worker ->
         worker.tasks.values.filter { it.status != "ended" }.map { LiveTask(worker, it) }
     }
@@ -157,20 +168,22 @@
     private fun gangOf(task: SimWorker.Task): Sequence<SimWorker.Task> =
         liveTasks().map { it.task }.filter { it.job == task.job && it.attempt == task.attempt }
 
-    /** Whether all tasks of the gang of [task] are ready to run. */
+    /** Whether all tasks of the gang of [task] are live and have fetched their image. */
     fun isGangReady(task: SimWorker.Task): Boolean = isWholeGang(task.job, gangOf(task).filter { it.status != "fetching" })
 
-    /** Whether no task of the gang of [task] is lost. */
+    /** Whether all tasks of the gang of [task] are live. */
     fun isGangIntact(task: SimWorker.Task): Boolean = isWholeGang(task.job, gangOf(task))
 
     private fun isWholeGang(job: String, tasks: Sequence<SimWorker.Task>): Boolean =
         tasks.map { it.index }.distinct().count() == jobs.getValue(job).taskCount
 
+    /** Whether [task] has completed. */
     fun isTaskCompleted(task: SimWorker.Task): Boolean = "${task.job}/${task.index}" in completedTasks
 
+    /** Whether all tasks of [job] have completed. */
     fun isCompleted(job: SimJob): Boolean = (0 until job.taskCount).all { "${job.id}/$it" in completedTasks }
 
-    /** A worker is about to start [task]. */
+    /** Records and checks the start of [task], which [worker] does not hold yet. */
     fun onStart(worker: SimWorker, task: SimWorker.Task) {
         startCount++
         val job = jobs.getValue(task.job)
@@ -178,12 +191,12 @@
         checks.checkStart(worker, task)
     }
 
-    /** Called with each command that a worker carries out. */
+    /** Called with each command that a worker executes. */
     var onCommand: (machine: String, verb: String, task: String) -> Unit = { _, _, _ -> }
 
-    /** Called with the tasks, ended ones included, that a worker forgets with its lease. */
+    /** Called with the tasks, ended ones included, that a worker removes when its lease expires. */
     var onLeaseExpiry: (tasks: List<String>) -> Unit = {}
 
-    /** The plan by which the controller [controller] admits; null if it does not run, or limits nothing. */
+    /** Returns the admission plan of [controller]; null if it does not run or has no plan. */
     fun admissionPlanOf(controller: Int): AdmissionPlan? = nodes[controller]?.admissionPlan
 }
--- a/src/test/kotlin/linemast/simulation/Simulation.kt
+++ b/src/test/kotlin/linemast/simulation/Simulation.kt
@@ -11,13 +11,18 @@
 import linemast.time.Clock
 import kotlin.time.Duration.Companion.minutes
 
+/** Duration of the workers' leases; also the controllers' setting unless a test gives another one. */
 internal const val LEASE_SECONDS = 8.0
+
 private val TYPES = listOf(
     MachineType("small", 4.0, 0.0, 32.0, 10.0, 1.0, 0.4, 0.1, 10_000_000, listOf("a", "b")),
     MachineType("large", 8.0, 0.0, 64.0, 10.0, 1.0, 0.8, 0.2, 10_000_000, listOf("a", "b")),
 )
 
-/** [scale] is how many times the usual fleet, and the usual limits of teams, there are. */
+/**
+ * Runs [scenario] on a [SimWorld] in virtual time. [scale] multiplies the size of the fleet and the limits of the teams;
+ * [configure] runs before the controllers start.
+ */
 internal fun simulate(
     seed: Int,
     controllersLeaseSeconds: Double = LEASE_SECONDS,
@@ -51,16 +56,20 @@
     return world
 }
 
-/** Number of the controller that leads by the store, or -1. */
+/** Returns the index of the leader by its record in the store, or -1 if there is none. */
 internal fun leaderOf(world: SimWorld): Int = world.store.valueOf("leader")?.text("node")?.removePrefix("mast-")?.toInt() ?: -1
 
+/** Kills [controller] and starts it again after [afterMillis]. */
 internal suspend fun restartController(world: SimWorld, controller: Int, afterMillis: Long) {
     world.killController(controller)
     delay(afterMillis)
     world.startController(controller)
 }
 
-/** Each knows of the others: without that a leader would take it that no earlier one can be in its grace. */
+/**
+ * Settings of the other controllers. Without other members a leader assumes that no previous leader can be within its grace
+ * period.
+ */
 private fun otherMembers(name: String) = (0..2).map { "mast-$it" }.filter { it != name }
     .joinToString { """{ node_name = "$it", domain = "a", peer_addr = "10.0.0.1:9" }""" }
 
--- a/src/test/kotlin/linemast/simulation/Violation.kt
+++ b/src/test/kotlin/linemast/simulation/Violation.kt
@@ -1,45 +1,45 @@
 package linemast.simulation
 
-/** The rules of the protocol that the simulation checks; [title] is what messages call them. */
+/** A rule of the protocol that the simulation checks; [title] is its name in messages. */
 enum class Invariant(val title: String) {
     /** No task starts before the jobs that its job depends on are done. */
     STARTS_AFTER_DEPENDENCIES("too_early"),
 
-    /** A task runs on one machine at a time. */
+    /** A task runs on at most one machine at a time. */
     TASK_RUNS_ONCE("ran_twice"),
 
     /** No team uses more than its limit. */
     QUOTA("quota"),
 
-    /** Tasks run only where their job allows. */
+    /** Tasks run only in the zones and on the machines that their job allows. */
     PLACEMENT("wrong_place"),
 
-    /** Tasks of a cancelled job end in time. */
+    /** Tasks of a cancelled job end within the time limit for cancellations. */
     CANCELLED_JOB_STOPS("ran_cancelled"),
 
-    /** An accepted job stays accepted and known. */
+    /** An accepted job stays accepted and known: no submission of it is rejected, and no poll gets status 404. */
     ACCEPTED_JOB_IS_KNOWN("forgotten"),
 
-    /** A job that nobody submitted is not known. */
+    /** A poll of a job that no user has submitted does not get status 200. */
     UNKNOWN_JOB_IS_UNKNOWN("invented"),
 
-    /** What cannot be accepted is refused with the status that the protocol gives. */
-    REJECTION_STATUS("accepted oddly"),
+    /** A submission that cannot be accepted is rejected with the status that the protocol specifies. */
+    REJECTION_STATUS("wrong_rejection_status"),
 
-    /** An acknowledged end of a job stays, and no job is cancelled unasked. */
+    /** An acknowledged terminal status never changes, and no job is cancelled unless a user has requested it. */
     ACKNOWLEDGED_STATUS_IS_FINAL("went_back"),
 
-    /** Jobs that depend on a cancelled one are cancelled in time. */
+    /** Jobs that depend on a cancelled job are cancelled within the time limit for cancellations. */
     DEPENDENTS_ARE_CANCELLED("orphaned"),
 
-    /** A job that counts as done has done all its tasks. */
+    /** A job with the status `done` has completed all its tasks. */
     DONE_JOB_HAS_COMPLETED_TASKS("not_done"),
 
-    /** No job waits for long while there is room for it. */
-    NO_STARVATION("left waiting"),
+    /** No job stays pending for long while it could start. */
+    NO_STARVATION("starved"),
 }
 
-/** A broken rule: which one, by which job, when in virtual time, and how. */
+/** A violation of [invariant] by [job] at [micros] of the simulation's clock; [detail] says how the rule is violated. */
 data class Violation(val invariant: Invariant, val job: String, val micros: Long, val detail: String) {
     override fun toString() = "${micros / 1_000} ms: ${invariant.title}: $job $detail"
 }
