--- a/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
@@ -92,13 +92,7 @@
             world.store.refusedControllers += "mast-$leader"
             world.network.partitioned += leader
             delay(15_000)
-            assertEquals(
-                setOf(2L),
-                world.workers.values.map {
-                    it.fencingToken
-                }.toSet(),
-                "all workers have the next leader's fencing token",
-            )
+            assertEquals(setOf(2L), world.workers.values.map { it.fencingToken }.toSet(), "all workers have the next leader's token")
             assertTrue(leaderOf(world) != leader)
             delay(FAULT_FREE_MILLIS)
         }
--- a/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
@@ -80,20 +80,19 @@
     /** The store lowers its limits while a new leader reads its state, or between two writes of one change. */
     @ParameterizedTest
     @ValueSource(longs = [0, 30, 200, 900])
-    fun `jobs end if the store's limits drop while a leader loads`(afterMillis: Long) =
-        runPipelineScenario(seed = 207, scale = 4) { world ->
-            repeat(6) { world.users.submitPipeline(chain("req-63%03d".format(it), 4)) }
-            world.users.submit(SimJob("req-630900", "south", 60, 0.25, false, false, false, true, 9_000_000), 15_000)
-            delay(7_000)
-            launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
-            delay(afterMillis)
-            world.store.maxValueBytes = 1_536
-            world.store.maxTransactionOperations = 5
-            // The removal makes the leader write the records of machines again, in values within the lowered limits.
-            world.workers.keys.take(3).forEach(world::removeMachine)
-            delay(20_000)
-            launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
-        }
+    fun `jobs end if the store's limits drop as a leader loads`(afterMillis: Long) = runPipelineScenario(seed = 207, scale = 4) { world ->
+        repeat(6) { world.users.submitPipeline(chain("req-63%03d".format(it), 4)) }
+        world.users.submit(SimJob("req-630900", "south", 60, 0.25, false, false, false, true, 9_000_000), 15_000)
+        delay(7_000)
+        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
+        delay(afterMillis)
+        world.store.maxValueBytes = 1_536
+        world.store.maxTransactionOperations = 5
+        // The removal makes the leader write the records of machines again, in values within the lowered limits.
+        world.workers.keys.take(3).forEach(world::removeMachine)
+        delay(20_000)
+        launch { restartController(world, leaderOf(world).coerceAtLeast(0), 100) }
+    }
 
     /**
      * A rolling upgrade from the version before pipelines with an outage of the store in its middle. The store's limits drop when
@@ -107,7 +106,13 @@
         repeat(6) { number ->
             world.users.submit(
                 SimJob(
-                    "req-64%04d".format(number), if (number % 2 == 0) "north" else "south", 6, 1.0, false, false, false, true, 14_000_000,
+                    "req-64%04d".format(number),
+                    if (number % 2 == 0) {
+                        "north"
+                    } else {
+                        "south"
+                    },
+                    6, 1.0, false, false, false, true, 14_000_000,
                 ),
                 null,
             )
@@ -136,7 +141,11 @@
     private fun chain(id: String, length: Int): List<SimJob> = List(length) { at ->
         SimJob(
             "$id$at", "north", 2, 1.0, false, false, false, true, 3_000_000,
-            dependencies = if (at == 0) emptyList() else listOf("$id${at - 1}"),
+            dependencies = if (at == 0) {
+                emptyList()
+            } else {
+                listOf("$id${at - 1}")
+            },
         )
     }
 }
--- a/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
@@ -103,7 +103,12 @@
         repeat(10) { number ->
             val gang = number % 4 == 3
             val job = SimJob(
-                "req-54%04d".format(number), if (number % 2 == 0) "north" else "south",
+                "req-54%04d".format(number),
+                if (number % 2 == 0) {
+                    "north"
+                } else {
+                    "south"
+                },
                 if (gang) 2 else 6, if (gang) 4.0 else 1.0, gang, gang, false, true, 12_000_000,
             )
             world.users.submit(job, if (number == 4) 9_000 else null)
