--- a/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
@@ -67,14 +67,16 @@
             val first = arrayJob("req-930000", runMicros = 60_000_000, taskCount = 24)
             world.users.submit(first, null)
             delay(12_000)
-            val silent = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
-            silent.forEach { if (seed % 2 == 0) it.isPartitioned = true else it.pausedUntilMicros = world.clock.nowMicros() + 20_000_000 }
+            val silentWorkers = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
+            silentWorkers.forEach {
+                if (seed % 2 == 0) it.isPartitioned = true else it.pausedUntilMicros = world.clock.nowMicros() + 20_000_000
+            }
             world.users.submit(arrayJob("req-930001", runMicros = 5_000_000, taskCount = 24), null)
             launch { restartController(world, leaderOf(world), 1_000) }
             delay(world.random.nextLong(6_000))
             world.users.cancel(first, 0)
             delay(25_000)
-            silent.forEach { it.isPartitioned = false }
+            silentWorkers.forEach { it.isPartitioned = false }
         }
 
     @ParameterizedTest
@@ -116,10 +118,10 @@
     fun `cancelled jobs end if their workers reach no controller`(seed: Int) = runFaultCombination(seed) { world ->
         submitMixedJobs(world, runMicros = 50_000_000)
         delay(10_000)
-        val mute = world.workers.values.shuffled(world.random).take(if (seed % 2 == 0) 3 else world.workers.size)
-        mute.forEach { it.isPartitioned = true }
+        val unreachableWorkers = world.workers.values.shuffled(world.random).take(if (seed % 2 == 0) 3 else world.workers.size)
+        unreachableWorkers.forEach { it.isPartitioned = true }
         world.jobs.values.take(2).forEach { world.users.cancel(it, world.random.nextLong(3_000)) }
         delay(40_000)
-        mute.forEach { it.isPartitioned = false }
+        unreachableWorkers.forEach { it.isPartitioned = false }
     }
 }
--- a/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultCombinationTest.kt
@@ -51,9 +51,9 @@
         listOf(array, gang, spread).forEach { world.users.submit(it, null) }
         repeat(4) {
             delay(8_000)
-            val used = world.workers.values.filter { it.tasks.isNotEmpty() }.shuffled(world.random)
-            used.take(1).forEach { world.removeMachine(it.name) }
-            used.drop(1).take(2).forEach { it.pausedUntilMicros = world.clock.nowMicros() + world.random.nextLong(12_000_000) }
+            val busyWorkers = world.workers.values.filter { it.tasks.isNotEmpty() }.shuffled(world.random)
+            busyWorkers.take(1).forEach { world.removeMachine(it.name) }
+            busyWorkers.drop(1).take(2).forEach { it.pausedUntilMicros = world.clock.nowMicros() + world.random.nextLong(12_000_000) }
             if (it == 2) launch { restartController(world, leaderOf(world).coerceAtLeast(0), 300) }
         }
     }
@@ -93,13 +93,13 @@
     fun `jobs end if the leader crashes while workers with long tasks are unreachable`(seed: Int) = runFaultCombination(seed) { world ->
         submitMixedJobs(world, runMicros = 45_000_000)
         delay(10_000)
-        val lost = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
-        lost.forEach { if (seed % 2 == 0) it.losesResponses = true else it.isPartitioned = true }
+        val unreachableWorkers = world.workers.values.filter { it.tasks.isNotEmpty() }.take(3)
+        unreachableWorkers.forEach { if (seed % 2 == 0) it.losesResponses = true else it.isPartitioned = true }
         delay(world.random.nextLong(3_000))
         launch { restartController(world, leaderOf(world), 500) }
         world.jobs.values.take(1).forEach { world.users.cancel(it, 3_000) }
         delay(5_000 + world.random.nextLong(30_000))
-        lost.forEach {
+        unreachableWorkers.forEach {
             it.losesResponses = false
             it.isPartitioned = false
         }
--- a/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
@@ -20,7 +20,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     fun `rules hold under generated faults and all accepted jobs end`(seed: Int) {
-        assertAllWell(runScenario(seed, controllersLeaseSeconds = LEASE_SECONDS), seed)
+        assertRulesHoldAndJobsEnd(runScenario(seed, controllersLeaseSeconds = LEASE_SECONDS), seed)
     }
 
     /** The same faults with single-holder duties, fair admission and recovery enabled. */
@@ -29,30 +29,32 @@
     fun `rules hold under generated faults with all optional parts enabled`(seed: Int) {
         val world =
             runScenario(seed, controllersLeaseSeconds = LEASE_SECONDS, Features(DutySettings(), AdmissionSettings(), RecoverySettings()))
-        assertAllWell(world, seed)
+        assertRulesHoldAndJobsEnd(world, seed)
         assertEquals(
             emptyList<Any>(),
-            CloudActionHistoryAudit(world).faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" },
+            CloudActionHistoryAudit(world).faults().map { (action, fault) ->
+                "$fault: ${action.scaleOutRequest ?: action.removedMachines}"
+            },
         )
     }
 
-    private fun assertAllWell(world: SimWorld, seed: Int) {
+    private fun assertRulesHoldAndJobsEnd(world: SimWorld, seed: Int) {
         println("seed $seed: ${world.startCount} starts, ${world.completedTasks.size} tasks done, ${world.jobs.size} jobs")
         assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(emptyList<String>(), world.store.oversizedTransactions)
-        val open = world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }
-        assertEquals(emptyList<String>(), open)
+        val unfinishedJobs = world.jobs.values.filter { it.acknowledgedStatus == null }.map { it.id }
+        assertEquals(emptyList<String>(), unfinishedJobs)
         assertTrue(world.completedTasks.isNotEmpty())
     }
 
     /** Shows that the checks can fail: controllers that assume leases far shorter than they are start running tasks again. */
     @Test
     fun `tasks that run twice are reported if controllers assume leases shorter than they are`() {
-        val seen = (1..4).flatMap { runScenario(it, controllersLeaseSeconds = 0.5).violations }
-        println("controllers that assume leases of 0.5 s: ${seen.size} violations, the first is ${seen.firstOrNull()}")
+        val violations = (1..4).flatMap { runScenario(it, controllersLeaseSeconds = 0.5).violations }
+        println("controllers that assume leases of 0.5 s: ${violations.size} violations, the first is ${violations.firstOrNull()}")
         assertTrue(
-            seen.any { it.invariant == Invariant.TASK_RUNS_ONCE || it.invariant == Invariant.QUOTA },
-            "neither a task that runs twice nor an exceeded quota was reported: $seen",
+            violations.any { it.invariant == Invariant.TASK_RUNS_ONCE || it.invariant == Invariant.QUOTA },
+            "neither a task that runs twice nor an exceeded quota was reported: $violations",
         )
     }
 
@@ -175,8 +177,8 @@
         @JvmStatic
         fun seedsOfFeatures(): IntStream = seedRange("linemast.featureSeeds", "201-206")
 
-        private fun seedRange(property: String, usual: String): IntStream {
-            val (first, last) = System.getProperty(property, usual).split('-').map { it.toInt() }
+        private fun seedRange(property: String, defaultRange: String): IntStream {
+            val (first, last) = System.getProperty(property, defaultRange).split('-').map { it.toInt() }
             return IntStream.rangeClosed(first, last)
         }
 
--- a/src/test/kotlin/linemast/simulation/InvariantChecks.kt
+++ b/src/test/kotlin/linemast/simulation/InvariantChecks.kt
@@ -87,12 +87,12 @@
     /** Checks the [status] of [job] in a response to a request that was sent at [sentMicros]. */
     fun checkStatus(job: SimJob, status: String, sentMicros: Long) {
         val isTerminal = status in TERMINAL_STATUSES
-        val last = job.acknowledgedStatus
+        val acknowledgedStatus = job.acknowledgedStatus
         // The response to a request sent before the terminal status was acknowledged may arrive after it. A terminal status is
         // never followed by another one.
         val isLater = sentMicros > job.acknowledgedMicros || isTerminal
-        if (last != null && status != last && isLater) {
-            recordViolation(Invariant.ACKNOWLEDGED_STATUS_IS_FINAL, job.id, "was $last, is $status")
+        if (acknowledgedStatus != null && status != acknowledgedStatus && isLater) {
+            recordViolation(Invariant.ACKNOWLEDGED_STATUS_IS_FINAL, job.id, "was $acknowledgedStatus, is $status")
         }
         if (!isTerminal) return checkDependentsAreCancelled(job, status, sentMicros)
         if (status == "withdrawn" && !job.cancelRequested && ancestors(job).none { it.cancelRequested }) {
@@ -136,15 +136,15 @@
         job.accepted && job.acknowledgedStatus == null && job.dependencies.all { world.isCompleted(jobs.getValue(it)) }
 
     private fun canStart(job: SimJob): Boolean {
-        val live = world.liveTasks().toList()
-        val own = live.filter { it.task.job == job.id }
+        val liveTasks = world.liveTasks().toList()
+        val tasksOfJob = liveTasks.filter { it.task.job == job.id }
         val pendingTasks = (0 until job.taskCount)
-            .count { index -> "${job.id}/$index" !in world.completedTasks && own.none { it.task.index == index } }
-        if (pendingTasks == 0 || (job.gang && own.isNotEmpty())) return false
+            .count { index -> "${job.id}/$index" !in world.completedTasks && tasksOfJob.none { it.task.index == index } }
+        if (pendingTasks == 0 || (job.gang && tasksOfJob.isNotEmpty())) return false
         val requiredSlots = if (job.gang) job.taskCount else 1
-        val used = vcpusOfTeam(job.team, live.asSequence())
+        val used = vcpusOfTeam(job.team, liveTasks.asSequence())
         if (used + requiredSlots * job.vcpus > teams.getValue(job.team).maxVcpus) return false
-        val freeSlots = freeTaskSlotsByZone(job, boundTo = own.map { it.worker.zone }.toSet())
+        val freeSlots = freeTaskSlotsByZone(job, boundTo = tasksOfJob.map { it.worker.zone }.toSet())
         return if (job.sameZone) freeSlots.values.any { it >= requiredSlots } else freeSlots.values.sum() >= requiredSlots
     }
 
@@ -154,8 +154,8 @@
         .groupBy { it.zone }
         .mapValues { (_, machines) -> machines.sumOf { ((it.type.vcpus - vcpusUsedOn(it)) / job.vcpus).toInt() } }
 
-    private fun vcpusOfTeam(team: String, live: Sequence<LiveTask>): Double =
-        live.map { jobs.getValue(it.task.job) }.filter { it.team == team }.sumOf { it.vcpus }
+    private fun vcpusOfTeam(team: String, liveTasks: Sequence<LiveTask>): Double =
+        liveTasks.map { jobs.getValue(it.task.job) }.filter { it.team == team }.sumOf { it.vcpus }
 
     private fun vcpusUsedOn(machine: SimWorker) = machine.tasks.values.filter { it.status != "ended" }.sumOf { jobs.getValue(it.job).vcpus }
 
--- a/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineRacesTest.kt
@@ -52,11 +52,11 @@
      */
     @Test
     fun `blocked jobs do not delay other jobs of their team`() {
-        fun begun(waiting: Int): Long {
+        fun startMicros(blockedJobs: Int): Long {
             var micros = 0L
             runPipelineScenario(seed = 206) { world ->
                 val root = SimJob("req-620000", "north", 4, 1.0, false, false, false, true, 40_000_000)
-                val wide = List(waiting) {
+                val wide = List(blockedJobs) {
                     SimJob(
                         "req-6201%02d".format(it), "north", 24, 1.0, false, false, false, true, 2_000_000, dependencies = listOf(root.id),
                     )
@@ -71,8 +71,8 @@
             }
             return micros
         }
-        val alone = begun(waiting = 0)
-        val beside = begun(waiting = 6)
+        val alone = startMicros(blockedJobs = 0)
+        val beside = startMicros(blockedJobs = 6)
         println("all tasks of a job started after ${alone / 1_000} ms alone, ${beside / 1_000} ms beside blocked jobs")
         assertTrue(beside < alone + 2_000_000, "all tasks started after $alone us alone, after $beside us beside blocked jobs")
     }
@@ -119,32 +119,32 @@
         }
         delay(6_000)
         val order = listOf(0, 1, 2).shuffled(world.random)
-        for ((turn, at) in order.withIndex()) {
-            world.previousVersionControllers -= at
-            if (turn == 1) world.store.startOutage()
-            world.killController(at)
-            if (turn == 2) {
+        for ((step, controller) in order.withIndex()) {
+            world.previousVersionControllers -= controller
+            if (step == 1) world.store.startOutage()
+            world.killController(controller)
+            if (step == 2) {
                 world.store.maxValueBytes = 1_536
                 world.store.maxTransactionOperations = 5
             }
             delay(1_000)
-            world.startController(at)
+            world.startController(controller)
             // A controller that is not upgraded yet restarts with the previous version.
-            if (turn < 2) restartController(world, order[turn + 1], 400)
+            if (step < 2) restartController(world, order[step + 1], 400)
             delay(world.random.nextLong(3_000, 9_000))
-            if (turn == 1) world.store.endOutage()
+            if (step == 1) world.store.endOutage()
         }
         repeat(3) { world.users.submitPipeline(chain("req-65%03d".format(it), 4)) }
         delay(10_000)
     }
 
-    private fun chain(id: String, length: Int): List<SimJob> = List(length) { at ->
+    private fun chain(id: String, length: Int): List<SimJob> = List(length) { number ->
         SimJob(
-            "$id$at", "north", 2, 1.0, false, false, false, true, 3_000_000,
-            dependencies = if (at == 0) {
+            "$id$number", "north", 2, 1.0, false, false, false, true, 3_000_000,
+            dependencies = if (number == 0) {
                 emptyList()
             } else {
-                listOf("$id${at - 1}")
+                listOf("$id${number - 1}")
             },
         )
     }
--- a/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
@@ -114,7 +114,7 @@
             world.users.submit(job, if (number == 4) 9_000 else null)
         }
         delay(8_000)
-        val trouble = launch {
+        val faults = launch {
             repeat(3) {
                 delay(4_000)
                 // The controller restarts with the version that it ran before.
@@ -123,12 +123,12 @@
                     world.clock.nowMicros() + world.random.nextLong(9_000_000)
             }
         }
-        for (at in listOf(0, 1, 2).shuffled(world.random)) {
-            world.previousVersionControllers -= at
-            restartController(world, at, 1_000)
+        for (controller in listOf(0, 1, 2).shuffled(world.random)) {
+            world.previousVersionControllers -= controller
+            restartController(world, controller, 1_000)
             delay(world.random.nextLong(2_000, 9_000))
         }
-        trouble.join()
+        faults.join()
         repeat(3) { world.users.submitPipeline(chain("req-55%03d".format(it), 4)) }
         delay(5_000)
         world.store.maxValueBytes = 1_536
@@ -137,11 +137,11 @@
         launch { restartController(world, leaderOf(world).coerceAtLeast(0), 300) }
     }
 
-    private fun chain(id: String, length: Int): List<SimJob> = List(length) { at ->
-        val gang = at % 3 == 2
+    private fun chain(id: String, length: Int): List<SimJob> = List(length) { number ->
+        val gang = number % 3 == 2
         SimJob(
-            "$id$at", "north", 2, if (gang) 2.0 else 1.0, gang, gang, false, true, 3_000_000,
-            dependencies = if (at == 0) emptyList() else listOf("$id${at - 1}"),
+            "$id$number", "north", 2, if (gang) 2.0 else 1.0, gang, gang, false, true, 3_000_000,
+            dependencies = if (number == 0) emptyList() else listOf("$id${number - 1}"),
         )
     }
 }
--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -91,11 +91,11 @@
     private suspend fun runTasks() {
         while (!isRemoved) {
             delay(STEP_MILLIS)
-            if (!isPaused) step()
+            if (!isPaused) updateTasks()
         }
     }
 
-    private fun step() {
+    private fun updateTasks() {
         val now = world.clock.nowMicros()
         if (now - renewedMicros > leaseMicros) {
             world.onLeaseExpiry(tasks.values.map { "${it.job}/${it.index}" })
