--- a/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
+++ b/src/test/kotlin/linemast/control/BaselineFleetStoreTest.kt
@@ -16,9 +16,14 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The names of a baseline fleet of any size are stored within the limits of the store, and read back whole. */
+/**
+ * Guards against a baseline fleet whose names do not fit the store's limits on values and transactions.
+ *
+ * A large fleet takes several chunks and transactions. A refused one would leave the stored list incomplete, and the next
+ * leader could not read all names back.
+ */
 class BaselineFleetStoreTest {
-    private class ListingCloud(private val names: List<String>) : Cloud {
+    private class FixedListCloud(private val names: List<String>) : Cloud {
         override suspend fun listMachineTypes(): List<MachineType> = emptyList()
 
         override suspend fun listMachines() = names.map { ListedMachine(it, "", "small", "z", false, "running", 0L) }
@@ -34,9 +39,13 @@
             for (machines in listOf(1, 200, 4_000, 6_000)) {
                 val names = List(machines) { "host-%06d".format(it + 998_000) }
                 val (store, loaded) = loadTwice(names, txnOps)
-                assertEquals(emptyList<String>(), store.oversizedTransactions, "$machines machines, $txnOps changes")
+                assertEquals(
+                    emptyList<String>(),
+                    store.oversizedTransactions,
+                    "$machines machines, $txnOps changes: exceeds the store's limits",
+                )
                 assertEquals(names.toSet(), loaded.first)
-                assertEquals(names.toSet(), loaded.second, "as the next leader reads them")
+                assertEquals(names.toSet(), loaded.second, "the next leader reads all names back")
             }
         }
     }
@@ -50,7 +59,7 @@
         client.commit(emptyList(), listOf(Write.Put(LeaderKeys.LEADER, emptyMap())))
         val limits = StoreLimits(rps = 100.0, writeRps = 30.0, valueBytes = store.maxValueBytes, txnOps = txnOps)
         val term = testTerm(client, backgroundScope, clock, limits)
-        fun fleet() = BaselineFleetStore(term, ListingCloud(names), listLagMicros = 10_000_000)
-        return store to (fleet().loadOrCreate() to fleet().loadOrCreate())
+        fun baselineFleetStore() = BaselineFleetStore(term, FixedListCloud(names), listLagMicros = 10_000_000)
+        return store to (baselineFleetStore().loadOrCreate() to baselineFleetStore().loadOrCreate())
     }
 }
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -25,10 +25,16 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
+/**
+ * Guards against wrong effects of the release of blocked jobs on the store and on the leader's other jobs.
+ *
+ * Requirements and planned capacity could outlast the blocked job that they stem from, and a release that is in progress
+ * while a user cancels the job could bring the job back.
+ */
 class DependencyCoordinatorTest {
-    /** Requirements of blocked jobs, and capacity planned ahead for them, must not outlast them. */
+    /** Requirements of a blocked job, and capacity planned ahead for it, must not outlast the job's release. */
     @Test
-    fun `when the last blocked job is released no job has inherited requirements any more`() = runTest {
+    fun `after the release of the last blocked job no job has inherited requirements`() = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(1))
         val client = store.clientOf("mast-0")
@@ -42,24 +48,24 @@
         client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
         client.commit(emptyList(), listOf(Write.Put(JobKeys.blocked("req-2"), JobRecordCodec.encode(blocked))))
         val fixture = ClusterFixture()
-        val first = fixture.submit("req-1", 2)
+        val dependency = fixture.submit("req-1", 2)
         FakeWorker(fixture, "host-000001").heartbeatFor(3)
         val coordinator = coordinator(client, fixture)
         coordinator.load(client.list(JobKeys.BLOCKED_PREFIX, null).entries)
-        coordinator.step()
+        coordinator.startDueActions()
         assertEquals(listOf("req-2"), fixture.cluster.waitingStages.map { it.job.id })
-        assertEquals(JobPriority.HIGH, first.priority)
-        fixture.cluster.finish(first)
-        val other = fixture.submit("req-3", 1)
-        coordinator.jobEnded("req-1", JobOutcome.DONE)
+        assertEquals(JobPriority.HIGH, dependency.priority)
+        fixture.cluster.finish(dependency)
+        val unrelated = fixture.submit("req-3", 1)
+        coordinator.recordOutcome("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(1_000)
-        assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves it")
+        assertEquals(setOf("o/req-2"), store.keysUnder("o/") + store.keysUnder("w/"), "one transaction moves the record")
         assertEquals(setOf("req-2", "req-3"), fixture.cluster.jobs.keys)
-        coordinator.changed(KeyChange(JobKeys.blocked("req-2"), null, 9))
+        coordinator.apply(KeyChange(JobKeys.blocked("req-2"), null, 9))
         fixture.advance(2_000_000)
-        coordinator.step()
+        coordinator.startDueActions()
         assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
-        assertNull(other.requiredEndWallMicros)
+        assertNull(unrelated.requiredEndWallMicros)
         assertEquals(
             listOf(true, true),
             Fields(store.valueOf("o/req-2")?.map.orEmpty()).let {
@@ -68,27 +74,27 @@
         )
     }
 
-    /** Its user cancels it through another controller while the leader's release is on its way. */
+    /** The user cancels the job through another controller while the leader's release is in progress. */
     @Test
-    fun `a job cancelled just before its release is carried out stays cancelled`() = runTest {
+    fun `a job that is cancelled just before its release is applied stays cancelled`() = runTest {
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(2))
-        val inner = store.clientOf("mast-0")
+        val client = store.clientOf("mast-0")
         val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 0, activated = false, cancelled = false)
-        inner.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
-        inner.commit(emptyList(), listOf(Write.Put(JobKeys.blocked("req-2"), JobRecordCodec.encode(blocked))))
-        val racing = object : KeyValueStore by inner {
+        client.commit(emptyList(), listOf(Write.Put("leader", emptyMap())))
+        client.commit(emptyList(), listOf(Write.Put(JobKeys.blocked("req-2"), JobRecordCodec.encode(blocked))))
+        val storeCancellingBeforeCommit = object : KeyValueStore by client {
             override suspend fun commit(preconditions: List<Precondition>, writes: List<Write>, priority: RequestPriority): CommitResult {
-                inner.commit(emptyList(), listOf(Write.Delete(JobKeys.blocked("req-2"))))
-                return inner.commit(preconditions, writes, priority)
+                client.commit(emptyList(), listOf(Write.Delete(JobKeys.blocked("req-2"))))
+                return client.commit(preconditions, writes, priority)
             }
         }
         val fixture = ClusterFixture()
-        val coordinator = coordinator(racing, fixture)
-        coordinator.load(inner.list(JobKeys.BLOCKED_PREFIX, null).entries)
-        coordinator.jobEnded("req-1", JobOutcome.DONE)
+        val coordinator = coordinator(storeCancellingBeforeCommit, fixture)
+        coordinator.load(client.list(JobKeys.BLOCKED_PREFIX, null).entries)
+        coordinator.recordOutcome("req-1", JobOutcome.DONE)
         testScheduler.advanceTimeBy(5_000)
-        assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "nothing brings it back")
+        assertEquals(emptySet<String>(), store.keysUnder("o/") + store.keysUnder("w/"), "a release does not bring a cancelled job back")
         assertEquals(emptySet<String>(), fixture.cluster.jobs.keys)
     }
 
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -157,7 +157,7 @@
         }
         network.awaitResume(controller)
         if (nodes[controller] !== node || network.isPartitionedByZone(controller, zone)) return null
-        return if (response.stillValid()) response else HttpResponse.unavailable()
+        return if (response.isStillValid()) response else HttpResponse.unavailable()
     }
 
     /** Returns the tasks that have not ended. Tasks of a worker whose lease has expired do not count: it ends them when it resumes. */
