--- a/src/test/kotlin/linemast/simulation/SimCloud.kt
+++ b/src/test/kotlin/linemast/simulation/SimCloud.kt
@@ -38,6 +38,8 @@
 
     /** Probability that a call gets no response and is carried out after a delay drawn from [lateActionDelayMillis]. */
     var lateActionProbability = 0.0
+
+    /** Range of the delay of late actions. */
     var lateActionDelayMillis = 0L..20_000L
 
     /** Called when a controller is about to send a scale-out or a scale-in. */
--- a/src/test/kotlin/linemast/simulation/SimNetwork.kt
+++ b/src/test/kotlin/linemast/simulation/SimNetwork.kt
@@ -23,7 +23,7 @@
     /** Controllers that exchange no statuses with the other controllers. */
     val partitioned = HashSet<Int>()
 
-    /** A zone whose workers reach controller 0 only, and controller 0 is reached by these workers only; null for no partition. */
+    /** If set, the workers of this zone reach only controller 0, and nobody else reaches controller 0. */
     var partitionedZone: String? = null
 
     /** Until when each controller is paused: it receives and sends no messages, and its clock goes on. */
--- a/src/test/kotlin/linemast/simulation/SimStore.kt
+++ b/src/test/kotlin/linemast/simulation/SimStore.kt
@@ -62,7 +62,7 @@
     /** Probability that a duplicate of a transaction arrives up to a minute after the transaction was applied. */
     var delayedDuplicateProbability = 0.0
 
-    /** Largest size of a value; a transaction over a limit gets status 400 and is listed in [oversizedTransactions]. */
+    /** Largest size of a value in bytes of JSON; a transaction over a limit gets status 400 and is listed in [oversizedTransactions]. */
     var maxValueBytes = 8 * 1024
 
     /** Most operations in a transaction. */
--- a/src/test/kotlin/linemast/simulation/SimWorker.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorker.kt
@@ -206,6 +206,7 @@
         }
     }
 
+    /** Switches to the controller that the response names, or to the next one if it names none. */
     private suspend fun followRedirect(bridge: String?) {
         val target = bridge?.removePrefix("mast-")?.toInt()
         if (target == null || target == controller) {
@@ -220,6 +221,7 @@
         controller = (controller + 1) % 3
     }
 
+    /** Renews the lease and executes the commands, unless the response is from a previous leader. */
     private fun handleResponse(response: Fields, sentMicros: Long) {
         val token = response.longOrNull("helm") ?: return
         if (token < fencingToken) return
--- a/src/test/kotlin/linemast/simulation/Simulation.kt
+++ b/src/test/kotlin/linemast/simulation/Simulation.kt
@@ -67,7 +67,7 @@
 }
 
 /**
- * Settings of the other controllers. Without other members a leader assumes that no previous leader can be within its grace
+ * Returns the settings of the other controllers. Without other members a leader assumes that no previous leader can be within its grace
  * period.
  */
 private fun otherMembers(name: String) = (0..2).map { "mast-$it" }.filter { it != name }
