--- a/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
+++ b/src/test/kotlin/linemast/simulation/CancellationFaultCombinationTest.kt
@@ -9,7 +9,7 @@
 
 /**
  * Cancellations that coincide with faults. [InvariantChecks] reports tasks of a cancelled job that run for longer than the time
- * limit for cancellations.
+ * limit for cancellations, and violations of the other rules; all accepted jobs have to end.
  */
 class CancellationFaultCombinationTest {
     /**
--- a/src/test/kotlin/linemast/simulation/InvariantChecks.kt
+++ b/src/test/kotlin/linemast/simulation/InvariantChecks.kt
@@ -17,7 +17,7 @@
     /** Since when no fault is injected; from then on no job may starve while machines have room for it and its team is under its limit. */
     var faultFreeSinceMicros: Long? = null
 
-    /** Since when each pending job could have started, counted from [faultFreeSinceMicros] at the earliest. */
+    /** Since when a pending job could start without interruption, counted from [faultFreeSinceMicros] at the earliest. */
     private val startableSinceMicros = HashMap<String, Long>()
 
     /** Starts the periodic checks. */
--- a/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/PipelineSimulationTest.kt
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = [96, 97])
-    fun `jobs end if jobs are cancelled when their last task completes`(seed: Int) = runPipelineScenario(seed) { world ->
+    fun `pipelines end if jobs are cancelled when their last task completes`(seed: Int) = runPipelineScenario(seed) { world ->
         world.users.cancelAtCompletionProbability = 0.5
         repeat(8) { number ->
             world.users.submitPipeline(chain("req-52%03d".format(number), 4))
