--- a/src/test/kotlin/linemast/simulation/InvariantChecks.kt
+++ b/src/test/kotlin/linemast/simulation/InvariantChecks.kt
@@ -9,7 +9,7 @@
     private val clock = world.clock
     private val jobs get() = world.jobs
     private val teams = settings.teams.associateBy { it.name }
-    private val cancelMicros = settings.workers.cancelMicros
+    private val cancelMicros = settings.workers.cancellationDeadlineMicros
 
     /** Violations in the order in which they were found. */
     val violations = ArrayList<Violation>()
