--- a/src/test/kotlin/linemast/architecture/DocumentedNamesTest.kt
+++ b/src/test/kotlin/linemast/architecture/DocumentedNamesTest.kt
@@ -10,13 +10,13 @@
 
 /** Pages that describe the code name types and members that exist: a page with a stale name sends its reader astray. */
 class DocumentedNamesTest {
-    private class Source(val packageName: String, val text: String) {
+    private class CodeFile(val packageName: String, val text: String) {
         val types = TYPE_DECLARATION.findAll(text).map { it.groupValues[1] }.toSet()
     }
 
-    private val sources = listOf("src/main/kotlin", "src/test/kotlin").flatMap(::kotlinFiles).map { file ->
+    private val codeFiles = listOf("src/main/kotlin", "src/test/kotlin").flatMap(::kotlinFiles).map { file ->
         val text = file.readText()
-        Source(text.lineSequence().first { it.startsWith("package ") }.removePrefix("package linemast").removePrefix("."), text)
+        CodeFile(text.lineSequence().first { it.startsWith("package ") }.removePrefix("package linemast").removePrefix("."), text)
     }
 
     @Test
@@ -29,11 +29,11 @@
 
     private fun exists(name: MatchResult): Boolean {
         val (packageName, type, member) = name.destructured
-        if (type in WORDS) return true
-        return sources.any { source ->
-            type in source.types &&
-                (packageName.isEmpty() || source.packageName == packageName.removeSuffix("/")) &&
-                (member.isEmpty() || Regex("\\b${Regex.escape(member.removePrefix("."))}\\b").containsMatchIn(source.text))
+        if (type in LIBRARY_NAMES) return true
+        return codeFiles.any { file ->
+            type in file.types &&
+                (packageName.isEmpty() || file.packageName == packageName.removeSuffix("/")) &&
+                (member.isEmpty() || Regex("\\b${Regex.escape(member.removePrefix("."))}\\b").containsMatchIn(file.text))
         }
     }
 
@@ -51,6 +51,6 @@
         val NAME = Regex("`((?:[a-z]+/)?)([A-Z][a-z]+(?:[A-Z][a-z]+)+|(?<=/)[A-Z][a-z]+|[A-Z][a-z]+(?=\\.))((?:\\.[a-z]\\w*)?)`")
 
         /** Names of libraries and of the virtual machine. */
-        val WORDS = setOf("ExitOnOutOfMemoryError", "SelectorManager")
+        val LIBRARY_NAMES = setOf("ExitOnOutOfMemoryError", "SelectorManager")
     }
 }
--- a/src/test/kotlin/linemast/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/linemast/architecture/PackageDependenciesTest.kt
@@ -44,11 +44,11 @@
             architecture = architecture.layer(layer).definedBy(*packages.map { "linemast.$it.." }.toTypedArray())
         }
         for ((index, layer) in layers.withIndex()) {
-            val above = layers.drop(index + 1).map { it.first }.toTypedArray()
-            architecture = if (above.isEmpty()) {
+            val higherLayers = layers.drop(index + 1).map { it.first }.toTypedArray()
+            architecture = if (higherLayers.isEmpty()) {
                 architecture.whereLayer(layer.first).mayNotBeAccessedByAnyLayer()
             } else {
-                architecture.whereLayer(layer.first).mayOnlyBeAccessedByLayers(*above)
+                architecture.whereLayer(layer.first).mayOnlyBeAccessedByLayers(*higherLayers)
             }
         }
         architecture.check(classes)
--- a/src/test/kotlin/linemast/architecture/ProtocolWordsTest.kt
+++ b/src/test/kotlin/linemast/architecture/ProtocolWordsTest.kt
@@ -35,7 +35,7 @@
     )
 
     /** Other files that still hold such words, with the reason. This list may only shrink. */
-    private val otherPlaces = mapOf(
+    private val otherFiles = mapOf(
         "app/Metrics.kt" to "names the path of heartbeats in its table of latencies",
         "app/RequestRouter.kt" to "routes the path of heartbeats",
         "app/StandInServices.kt" to "stands in for the store and the cloud over the real protocols",
@@ -45,22 +45,22 @@
         "recovery/ReconciliationReport.kt" to "writes the record of the last failover itself",
     )
 
-    private fun wordsIn(file: SourceFile): Set<String> {
-        val identifiers = IDENTIFIER.findAll(file.code).flatMap { partsOf(it.value) }
+    private fun protocolWordsIn(file: SourceFile): Set<String> {
+        val identifiers = IDENTIFIER.findAll(file.code).flatMap { wordsOfIdentifier(it.value) }
         val literalWords = file.literals.asSequence().flatMap { literal -> IDENTIFIER.findAll(literal).map { it.value } }
         return (identifiers + literalWords).filterTo(sortedSetOf()) { it in distinctive } + file.literals.filter { it in ambiguous }
     }
 
     /** An identifier as a whole, and the words that it is put together from. */
-    private fun partsOf(identifier: String): List<String> =
+    private fun wordsOfIdentifier(identifier: String): List<String> =
         CAMEL_WORD.findAll(identifier).map { it.value.lowercase() }.toList() + identifier.lowercase()
 
     @Test
     fun `words of the wire and the store occur only in codecs, clients and the places listed`() {
-        val found = SourceFile.ofProgram().associate { it.name to wordsIn(it) }.filterValues { it.isNotEmpty() }
-        val unexpected = found.filterKeys { it !in codecs && it !in otherPlaces }
+        val found = SourceFile.ofProgram().associate { it.name to protocolWordsIn(it) }.filterValues { it.isNotEmpty() }
+        val unexpected = found.filterKeys { it !in codecs && it !in otherFiles }
         assertEquals(emptyMap<String, Set<String>>(), unexpected, "map these words to terms of docs/glossary.md in a codec")
-        assertEquals(emptySet<String>(), (codecs + otherPlaces.keys) - found.keys, "listed without need: take them off the list")
+        assertEquals(emptySet<String>(), (codecs + otherFiles.keys) - found.keys, "listed without need: take them off the list")
     }
 
     @Test
@@ -74,7 +74,7 @@
     fun `a word planted in an identifier, a literal or a key is found`() {
         val planted =
             SourceFile("Planted.kt", "val rigName = map[\"yard\"] // a crew\nval shape = \"gang\"\nlog.info(\"\"\"{} pieces\"\"\")")
-        assertEquals(setOf("gang", "pieces", "rig", "yard"), wordsIn(planted))
+        assertEquals(setOf("gang", "pieces", "rig", "yard"), protocolWordsIn(planted))
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/architecture/SourceFile.kt
+++ b/src/test/kotlin/linemast/architecture/SourceFile.kt
@@ -24,15 +24,15 @@
             }
         }
         code = withoutLiterals.replace(LITERAL_MARK, " ")
-        literals = joined(found, withoutLiterals)
+        literals = joinConcatenated(found, withoutLiterals)
     }
 
     /** Joins literals of which nothing but a `+` lies between. */
-    private fun joined(found: List<String>, marked: String): List<String> {
+    private fun joinConcatenated(found: List<String>, marked: String): List<String> {
         val result = ArrayList<String>()
         val between = marked.split(LITERAL_MARK)
-        for ((at, literal) in found.withIndex()) {
-            if (at > 0 && between[at].trim() == "+") result[result.lastIndex] += literal else result += literal
+        for ((index, literal) in found.withIndex()) {
+            if (index > 0 && between[index].trim() == "+") result[result.lastIndex] += literal else result += literal
         }
         return result
     }
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A measurement, not part of CI: real processes on loopback, of which the holder of the duties is stopped and continued
+ * A measurement, not part of CI: real processes on loopback, of which the leader of the duties is stopped and continued
  * (SIGSTOP, SIGCONT) again and again. See docs/operations-duties.md for how to run it.
  */
 @Tag("loopback")
 class DutyLoopbackTest {
     private val seed = Integer.getInteger("linemast.seed", 1)
-    private val freezes = Integer.getInteger("linemast.freezes", 20)
+    private val requiredPauses = Integer.getInteger("linemast.freezes", 20)
 
     private val options = LoopbackOptions(
         seed = seed,
@@ -37,33 +37,33 @@
     fun `no order of a stale holder in hundreds of freezes`() {
         val cluster = LoopbackCluster(options)
         val terms = HashSet<Long>()
-        var frozen = 0
-        var afterCommit = 0
+        var pauseCount = 0
+        var pausesAfterCommit = 0
         cluster.runScenario {
             val world = cluster.world
-            launch { submitForEver(world) }
+            launch { submitContinuously(world) }
             assertTrue(cluster.await(20_000) { world.startCount > 0 }, "nothing was started")
             world.cloud.lateActionProbability = 0.05
 
-            fun freezeFor(at: Int, millis: Long) {
-                frozen++
-                cluster.freeze(at)
+            fun pauseFor(index: Int, millis: Long) {
+                pauseCount++
+                cluster.pause(index)
                 launch {
                     delay(millis)
-                    cluster.thaw(at)
+                    cluster.resume(index)
                 }
             }
             // Between the commit of an intent and the call: the answer to the commit waits in the socket meanwhile.
             world.store.onApplied = { node, writes ->
-                if (writes.any(::beginsAction) && world.random.nextBoolean()) {
-                    afterCommit++
-                    freezeFor(node.removePrefix("mast-").toInt(), world.random.nextLong(500, 3_500))
+                if (writes.any(::writesOpenIntent) && world.random.nextBoolean()) {
+                    pausesAfterCommit++
+                    pauseFor(node.removePrefix("mast-").toInt(), world.random.nextLong(500, 3_500))
                 }
             }
-            while (frozen < freezes) {
+            while (pauseCount < requiredPauses) {
                 delay(world.random.nextLong(5_000, 10_000))
-                val holder = leaderOf(world)
-                if (holder >= 0) freezeFor(holder, world.random.nextLong(300, 3_500))
+                val leader = leaderOf(world)
+                if (leader >= 0) pauseFor(leader, world.random.nextLong(300, 3_500))
                 world.store.valueOf("leader")?.let { terms += it.long("helm") }
             }
             world.store.onApplied = { _, _ -> }
@@ -71,23 +71,27 @@
         }
         val world = cluster.world
         val audit = CloudActionHistoryAudit(world)
-        val orders = world.cloud.actions
+        val cloudActions = world.cloud.actions
         println(
-            "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${orders.size} orders " +
-                "(${orders.count { it.scaleOutRequest != null }} rentals, ${orders.count { it.removedMachines.isNotEmpty() }} returns), " +
+            "seed $seed: $pauseCount freezes ($pausesAfterCommit just after the commit of an intent), ${terms.size} terms, " +
+                "${cloudActions.size} orders (${cloudActions.count { it.scaleOutRequest != null }} rentals, " +
+                "${cloudActions.count { it.removedMachines.isNotEmpty() }} returns), " +
                 "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
                 "${world.startCount} starts, " +
                 "${world.jobs.values.count { it.acknowledgedStatus == "done" }} of ${world.jobs.size} jobs done",
         )
-        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
+        assertEquals(
+            emptyList<Any>(),
+            audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" },
+        )
         assertEquals(emptyList<Violation>(), world.violations)
-        assertTrue(orders.size >= frozen / 4, "only ${orders.size} orders")
+        assertTrue(cloudActions.size >= pauseCount / 4, "only ${cloudActions.size} orders")
     }
 
-    private fun beginsAction(write: Write): Boolean =
+    private fun writesOpenIntent(write: Write): Boolean =
         write is Write.Put && IntentCodec.slot(write.key) != null && !IntentCodec.decode(Fields(write.value)).state.isTerminal
 
-    private suspend fun CoroutineScope.submitForEver(world: SimWorld) {
+    private suspend fun CoroutineScope.submitContinuously(world: SimWorld) {
         var number = 0
         while (true) {
             val id = "req-70%04d".format(++number)
--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -30,7 +30,7 @@
     val baselineMachines: Int,
     val maxMachines: Int,
     val requestsPerSecond: Double = 3_000.0,
-    val changesPerSecond: Double = 1_000.0,
+    val writesPerSecond: Double = 1_000.0,
     val objectives: String = "",
     /** The program that each controller runs. */
     val programs: List<Path> = List(CONTROLLER_COUNT) { Path.of("target", "linemast.jar") },
@@ -38,7 +38,7 @@
 
 /** Three controllers as processes of their own, with stand-ins of everything else in this one, on loopback and in real time. */
 internal class LoopbackCluster(private val options: LoopbackOptions) {
-    private class Ports(val serve: Address, val peers: Address, val store: Address, val cloud: Address)
+    private class Ports(val http: Address, val peers: Address, val store: Address, val cloud: Address)
 
     private val directory: Path = Files.createTempDirectory("loopback")
     private val ports = List(CONTROLLER_COUNT) { Ports(freeAddress(), freeAddress(), freeAddress(), freeAddress()) }
@@ -46,8 +46,8 @@
     lateinit var world: SimWorld
         private set
 
-    /** Runs [script] with the cluster up, and ends all processes. */
-    fun runScenario(script: suspend CoroutineScope.(LoopbackCluster) -> Unit) {
+    /** Runs [scenario] with the cluster up, and ends all processes. */
+    fun runScenario(scenario: suspend CoroutineScope.(LoopbackCluster) -> Unit) {
         val loop = EventLoop()
         try {
             loop.run {
@@ -61,10 +61,10 @@
                     baselineMachines = options.baselineMachines,
                     maxMachines = options.maxMachines,
                 )
-                connect(loop)
+                startServersAndClients(loop)
                 repeat(CONTROLLER_COUNT) { start(it) }
                 world.start()
-                script(this@LoopbackCluster)
+                scenario(this@LoopbackCluster)
                 coroutineContext.cancelChildren()
             }
         } finally {
@@ -73,17 +73,17 @@
         }
     }
 
-    private fun CoroutineScope.connect(loop: EventLoop) {
-        for ((at, port) in ports.withIndex()) {
-            val store = StoreServer(world.store.clientOf("mast-$at"))
-            val cloud = CloudServer(world.cloud.clientOf(at))
-            launch { HttpServer(loop, port.store, MAX_CONNECTIONS, store::answer).serve(this) }
-            launch { HttpServer(loop, port.cloud, MAX_CONNECTIONS, cloud::answer).serve(this) }
+    private fun CoroutineScope.startServersAndClients(loop: EventLoop) {
+        for ((index, port) in ports.withIndex()) {
+            val store = StoreServer(world.store.clientOf("mast-$index"))
+            val cloud = CloudServer(world.cloud.clientOf(index))
+            launch { HttpServer(loop, port.store, MAX_CONNECTIONS, store::handle).serve(this) }
+            launch { HttpServer(loop, port.cloud, MAX_CONNECTIONS, cloud::handle).serve(this) }
         }
-        val clients = ports.map { HttpClient(loop, it.serve, MAX_CONNECTIONS) }
-        world.transport = { at, request ->
+        val clients = ports.map { HttpClient(loop, it.http, MAX_CONNECTIONS) }
+        world.transport = { index, request ->
             try {
-                clients[at].call(request.method, request.path, request.body.takeIf { it.isNotEmpty() }, CALL_MICROS)
+                clients[index].call(request.method, request.path, request.body.takeIf { it.isNotEmpty() }, CALL_TIMEOUT_MICROS)
                     .let { HttpResponse(it.status, it.body) }
             } catch (e: NoResponseException) {
                 null
@@ -91,59 +91,59 @@
         }
     }
 
-    /** Starts the controller [at], if it does not run. */
-    fun start(at: Int) {
-        if (processes[at]?.isAlive == true) return
-        val config = directory.resolve("mast-$at.toml")
-        Files.writeString(config, settingsText("mast-$at"))
+    /** Starts the controller [index], if it does not run. */
+    fun start(index: Int) {
+        if (processes[index]?.isAlive == true) return
+        val config = directory.resolve("mast-$index.toml")
+        Files.writeString(config, settingsText("mast-$index"))
         val policy = directory.resolve("policy.lua")
         Files.writeString(policy, options.policy)
-        val command = listOf("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-jar", options.programs[at].toString()) +
+        val command = listOf("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-jar", options.programs[index].toString()) +
             options.arguments + listOf("--policy", policy.toString(), "--config", config.toString())
-        processes[at] = ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(Path.of("target", "loopback-${options.seed}-$at.log").toFile())).start()
+        processes[index] = ProcessBuilder(command).redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(Path.of("target", "loopback-${options.seed}-$index.log").toFile())).start()
     }
 
-    /** Ends the controller [at] without a signal that it could handle. */
-    fun kill(at: Int) {
-        processes[at]?.destroyForcibly()?.waitFor()
+    /** Ends the controller [index] without a signal that it could handle. */
+    fun kill(index: Int) {
+        processes[index]?.destroyForcibly()?.waitFor()
     }
 
-    /** Has the controller [at] stand still; its clocks run on. */
-    fun freeze(at: Int) = signal(at, "STOP")
+    /** Has the controller [index] stand still; its clocks run on. */
+    fun pause(index: Int) = signal(index, "STOP")
 
-    /** Has the controller [at] go on. */
-    fun thaw(at: Int) = signal(at, "CONT")
+    /** Has the controller [index] go on. */
+    fun resume(index: Int) = signal(index, "CONT")
 
-    private fun signal(at: Int, name: String) {
-        val process = processes[at] ?: return
+    private fun signal(index: Int, name: String) {
+        val process = processes[index] ?: return
         if (process.isAlive) ProcessBuilder("kill", "-$name", process.pid().toString()).start().waitFor()
     }
 
-    /** Waits until [precondition] holds, at most [maxMillis]; whether it does. */
-    suspend fun await(maxMillis: Long, precondition: () -> Boolean): Boolean {
-        repeat((maxMillis / STEP_MILLIS).toInt()) {
-            if (precondition()) return true
-            delay(STEP_MILLIS)
+    /** Waits until [condition] holds, at most [maxMillis]; whether it does. */
+    suspend fun await(maxMillis: Long, condition: () -> Boolean): Boolean {
+        repeat((maxMillis / POLL_INTERVAL_MILLIS).toInt()) {
+            if (condition()) return true
+            delay(POLL_INTERVAL_MILLIS)
         }
-        return precondition()
+        return condition()
     }
 
     private fun settings(name: String): Settings = SettingsReader.parse(settingsText(name))
 
     private fun settingsText(name: String): String {
-        val own = ports[name.removePrefix("mast-").toInt()]
+        val ownPorts = ports[name.removePrefix("mast-").toInt()]
         val members = ports.indices.filter { "mast-$it" != name }
             .joinToString { """{ node_name = "mast-$it", domain = "a", peer_addr = "${ports[it].peers}" }""" }
         return """
             node_name = "$name"
             domain = "a"
-            serve_on = "${own.serve}"
-            peer_listen = "${own.peers}"
+            serve_on = "${ownPorts.http}"
+            peer_listen = "${ownPorts.peers}"
             members = [$members]
             [external]
-            cloud = "${own.cloud}"
-            state = "${own.store}"
+            cloud = "${ownPorts.cloud}"
+            state = "${ownPorts.store}"
             [settings]
             zones = ["a", "b"]
             clock_off_ms = 10.0
@@ -160,7 +160,7 @@
             cancel_s = 20.0
             [settings.state]
             rps = ${options.requestsPerSecond}
-            write_rps = ${options.changesPerSecond}
+            write_rps = ${options.writesPerSecond}
             value_kb = 8.0
             txn_ops = 16
             [settings.cloud]
@@ -178,8 +178,8 @@
     private companion object {
         const val LEASE_MICROS = 8_000_000L
         const val MAX_CONNECTIONS = 1_000
-        const val CALL_MICROS = 5_000_000L
-        const val STEP_MILLIS = 50L
+        const val CALL_TIMEOUT_MICROS = 5_000_000L
+        const val POLL_INTERVAL_MILLIS = 50L
         val TYPES = listOf(
             MachineType("small", 4.0, 0.0, 32.0, 10.0, 1.0, 0.4, 0.1, 3_000_000, listOf("a", "b")),
             MachineType("large", 8.0, 0.0, 64.0, 10.0, 1.0, 0.8, 0.2, 3_000_000, listOf("a", "b")),
--- a/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
@@ -29,10 +29,10 @@
     @Test
     fun `the orders after a total outage are the differences`() {
         val cluster = LoopbackCluster(options)
-        val orders = ArrayList<Pair<String, String>>()
-        var lost = emptySet<String>()
-        var unregistered = emptySet<String>()
-        var adopted = 0
+        val commands = ArrayList<Pair<String, String>>()
+        var lostTasks = emptySet<String>()
+        var unrecordedTasks = emptySet<String>()
+        var adoptedCount = 0
         cluster.runScenario {
             val world = cluster.world
             val tasks = machines * 2
@@ -44,34 +44,37 @@
                 SimJob("req-000002", "south", tasks / 4, 1.0, false, false, false, false, RUN_MICROS, staggerMicros = 20_000),
                 null,
             )
-            fun live() = world.workers.values.flatMap { it.tasks.values }.filter { it.status != "ended" }
+            fun unfinishedTasks() = world.workers.values.flatMap { it.tasks.values }.filter { it.status != "ended" }
             assertTrue(
-                cluster.await(STARTUP_MILLIS) { live().size + world.completedTasks.size == tasks + tasks / 4 },
+                cluster.await(STARTUP_TIMEOUT_MILLIS) { unfinishedTasks().size + world.completedTasks.size == tasks + tasks / 4 },
                 "not all is under way",
             )
             repeat(CONTROLLER_COUNT) { cluster.kill(it) }
-            val silent = world.workers.values.filter { it.tasks.isNotEmpty() }.take(machines / 25)
-            lost = silent.flatMapTo(HashSet()) { machine -> machine.tasks.values.map { "${it.job}/${it.index}" } }
-            silent.forEach { it.isPartitioned = true }
-            val others = world.workers.values.filter { it !in silent }.take(machines / 50)
-            unregistered = others.mapIndexedTo(HashSet()) { at, machine ->
-                val job = SimJob("req-99%04d".format(at), "north", 1, 0.0, false, false, false, false, 300_000_000)
+            val partitioned = world.workers.values.filter { it.tasks.isNotEmpty() }.take(machines / 25)
+            lostTasks = partitioned.flatMapTo(HashSet()) { machine -> machine.tasks.values.map { "${it.job}/${it.index}" } }
+            partitioned.forEach { it.isPartitioned = true }
+            val workersWithUnrecordedTasks = world.workers.values.filter { it !in partitioned }.take(machines / 50)
+            unrecordedTasks = workersWithUnrecordedTasks.mapIndexedTo(HashSet()) { index, machine ->
+                val job = SimJob("req-99%04d".format(index), "north", 1, 0.0, false, false, false, false, 300_000_000)
                 world.jobs[job.id] = job
                 machine.startUnrecordedTask(job)
                 "${job.id}/0"
             }
-            adopted = live().size - lost.size - unregistered.size
-            world.onLeaseExpiry = { forgotten -> lost = lost + forgotten }
-            world.onCommand = { _, verb, task -> orders += verb to task.substringBefore('#') }
+            adoptedCount = unfinishedTasks().size - lostTasks.size - unrecordedTasks.size
+            world.onLeaseExpiry = { expired -> lostTasks = lostTasks + expired }
+            world.onCommand = { _, verb, task -> commands += verb to task.substringBefore('#') }
             delay(OUTAGE_MILLIS)
             repeat(CONTROLLER_COUNT) { cluster.start(it) }
-            cluster.await(END_MILLIS) { world.jobs.values.all { !it.accepted || it.acknowledgedStatus == "done" } }
+            cluster.await(COMPLETION_TIMEOUT_MILLIS) { world.jobs.values.all { !it.accepted || it.acknowledgedStatus == "done" } }
         }
-        val byVerb = orders.groupBy({ it.first }, { it.second })
+        val byVerb = commands.groupBy({ it.first }, { it.second })
         val started = byVerb["start"].orEmpty()
         val stopped = byVerb["halt"].orEmpty()
-        println("seed $seed, $machines workers, $adopted tasks running at the outage of $OUTAGE_MILLIS ms:")
-        println("  differences: ${(lost - unregistered).size} tasks lost, ${(unregistered - lost).size} tasks of jobs without a record")
+        println("seed $seed, $machines workers, $adoptedCount tasks running at the outage of $OUTAGE_MILLIS ms:")
+        println(
+            "  differences: ${(lostTasks - unrecordedTasks).size} tasks lost, " +
+                "${(unrecordedTasks - lostTasks).size} tasks of jobs without a record",
+        )
         println("  orders: ${started.size} starts, ${stopped.size} stops, ${byVerb["clear"].orEmpty().size} acknowledgements")
         println(
             "  jobs done: ${cluster.world.jobs.values.count {
@@ -80,15 +83,15 @@
         )
         assertEquals(emptyList<Violation>(), cluster.world.violations)
         assertEquals(2, cluster.world.jobs.values.count { it.acknowledgedStatus == "done" })
-        assertEquals(lost - unregistered, started.toSet(), "started anew")
-        assertEquals(unregistered - lost, stopped.toSet(), "stopped")
+        assertEquals(lostTasks - unrecordedTasks, started.toSet(), "started anew")
+        assertEquals(unrecordedTasks - lostTasks, stopped.toSet(), "stopped")
     }
 
     private companion object {
         const val CONTROLLER_COUNT = 3
         const val RUN_MICROS = 30_000_000L
         const val OUTAGE_MILLIS = 2_000L
-        const val STARTUP_MILLIS = 60_000L
-        const val END_MILLIS = 120_000L
+        const val STARTUP_TIMEOUT_MILLIS = 60_000L
+        const val COMPLETION_TIMEOUT_MILLIS = 120_000L
     }
 }
--- a/src/test/kotlin/linemast/loopback/StandInServers.kt
+++ b/src/test/kotlin/linemast/loopback/StandInServers.kt
@@ -20,7 +20,7 @@
 
 /** The stand-in of the state service behind its protocol, as one controller reaches it. */
 internal class StoreServer(private val store: KeyValueStore) {
-    suspend fun answer(request: HttpRequest): HttpResponse = try {
+    suspend fun handle(request: HttpRequest): HttpResponse = try {
         route(request)
     } catch (e: StoreException) {
         if (e.mayHaveExecuted) awaitCancellation()
@@ -41,16 +41,16 @@
         }
     }
 
-    private fun pair(entry: Entry) = mapOf("k" to entry.key, "v" to entry.value.map, "stamp" to entry.revision)
+    private fun encode(entry: Entry) = mapOf("k" to entry.key, "v" to entry.value.map, "stamp" to entry.revision)
 
     private suspend fun get(key: String): HttpResponse {
         val entry = store.get(key) ?: return HttpResponse.of(404, "era" to 0)
-        return HttpResponse(200, Cbor.encode(pair(entry)))
+        return HttpResponse(200, Cbor.encode(encode(entry)))
     }
 
     private suspend fun list(query: Map<String, String>): HttpResponse {
         val page = store.list(query.getValue("under"), query["after"])
-        return HttpResponse.of(200, "pairs" to page.entries.map(::pair), "truncated" to page.truncated, "era" to page.revision)
+        return HttpResponse.of(200, "pairs" to page.entries.map(::encode), "truncated" to page.truncated, "era" to page.revision)
     }
 
     private suspend fun commit(body: Fields): HttpResponse {
@@ -69,22 +69,22 @@
     private suspend fun watch(query: Map<String, String>): HttpResponse {
         val result = store.watch(query.getValue("under"), query.getValue("after").toLong(), query.getValue("wait_ms").toLong() * 1_000)
         if (result !is WatchResult.Changes) return HttpResponse(410)
-        val news = result.changes.map { change ->
+        val changes = result.changes.map { change ->
             val value = change.value
             if (value == null) {
                 mapOf("drop" to change.key, "stamp" to change.revision)
             } else {
-                pair(Entry(change.key, value, change.revision))
+                encode(Entry(change.key, value, change.revision))
                     .let { it - "k" + ("put" to change.key) }
             }
         }
-        return HttpResponse.of(200, "era" to result.revision, "news" to news)
+        return HttpResponse.of(200, "era" to result.revision, "news" to changes)
     }
 }
 
 /** The stand-in of the cloud behind its protocol, as one controller reaches it. */
 internal class CloudServer(private val cloud: Cloud) {
-    suspend fun answer(request: HttpRequest): HttpResponse = when {
+    suspend fun handle(request: HttpRequest): HttpResponse = when {
         request.path == "/machine_types" -> HttpResponse(200, Cbor.encode(MachineTypeCodec.encode(cloud.listMachineTypes())))
         request.path == "/machines/return" -> scaleIn(Cbor.decodeMap(request.body).textsOrNull("rigs")!!)
         request.method == "POST" -> scaleOut(Cbor.decodeMap(request.body))
@@ -92,7 +92,7 @@
     }
 
     private suspend fun list(): HttpResponse {
-        val rigs = cloud.listMachines().map {
+        val machines = cloud.listMachines().map {
             mapOf(
                 "name_id" to it.name,
                 "addr" to it.address,
@@ -103,7 +103,7 @@
                 "age_s" to it.ageMicros / 1e6,
             )
         }
-        return HttpResponse.of(200, "rigs" to rigs, "truncated" to false)
+        return HttpResponse.of(200, "rigs" to machines, "truncated" to false)
     }
 
     private suspend fun scaleOut(body: Fields): HttpResponse {
--- a/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
@@ -25,7 +25,7 @@
 @Tag("loopback")
 class UpgradeLoopbackTest {
     private val previousJar = Path.of(System.getProperty("linemast.previous.jar", "previous.jar"))
-    private val accepted = HashMap<Boolean, Int>()
+    private val acceptedCounts = HashMap<Boolean, Int>()
     private val failovers = HashMap<String, Int>()
 
     @ParameterizedTest
@@ -54,22 +54,22 @@
         report(cluster.world, previousCount)
         assertEquals(emptyList<Violation>(), cluster.world.violations)
         val faults = CloudActionHistoryAudit(cluster.world).faults()
-        assertEquals(emptyList<Any>(), faults.map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
-        assertEquals(setOf(true, false), accepted.keys, "controllers of both builds have accepted jobs")
+        assertEquals(emptyList<Any>(), faults.map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" })
+        assertEquals(setOf(true, false), acceptedCounts.keys, "controllers of both builds have accepted jobs")
         assertTrue(failovers.keys.containsAll(setOf(PREVIOUS_TO_NEW, NEW_TO_PREVIOUS)), "leadership has not passed both ways: $failovers")
     }
 
     /** Counts accepted submissions by whether the controller that a user asked last runs the previous build. */
     private fun countAcceptances(world: SimWorld, previousCount: Int) {
-        val entry = HashMap<String, Int>()
-        world.users.chooseController = { job -> world.random.nextInt(CONTROLLER_COUNT).also { entry[job.id] = it } }
+        val lastController = HashMap<String, Int>()
+        world.users.chooseController = { job -> world.random.nextInt(CONTROLLER_COUNT).also { lastController[job.id] = it } }
         world.users.onSubmissionResponse = { id, status ->
-            if (status == 201) accepted.merge(entry.getValue(id) < previousCount, 1, Int::plus)
+            if (status == 201) acceptedCounts.merge(lastController.getValue(id) < previousCount, 1, Int::plus)
         }
     }
 
     private suspend fun submitJobs(world: SimWorld) {
-        repeat(JOBS) { number ->
+        repeat(JOB_COUNT) { number ->
             val id = "req-80%04d".format(number)
             val team = if (number % 2 == 0) "north" else "south"
             val gang = number % 5 == 0
@@ -88,7 +88,7 @@
             cluster.kill(leader)
             assertTrue(cluster.await(30_000) { leaderOf(world) !in setOf(-1, leader) }, "no controller leads after $leader was killed")
             val next = leaderOf(world)
-            failovers.merge("${build(leader, previousCount)} to ${build(next, previousCount)}", 1, Int::plus)
+            failovers.merge("${versionOf(leader, previousCount)} to ${versionOf(next, previousCount)}", 1, Int::plus)
             launch {
                 delay(1_000)
                 cluster.start(leader)
@@ -97,20 +97,20 @@
         }
     }
 
-    private fun build(controller: Int, previousCount: Int) = if (controller < previousCount) "previous" else "new"
+    private fun versionOf(controller: Int, previousCount: Int) = if (controller < previousCount) "previous" else "new"
 
     private fun report(world: SimWorld, previousCount: Int) {
         val ends = world.jobs.values.groupingBy { it.acknowledgedStatus }.eachCount()
         println(
             "$previousCount of $CONTROLLER_COUNT controllers of the previous build: " +
-                "accepted by previous/new ${accepted[true]}/${accepted[false]}, failovers $failovers, jobs by end $ends, " +
+                "accepted by previous/new ${acceptedCounts[true]}/${acceptedCounts[false]}, failovers $failovers, jobs by end $ends, " +
                 "${world.startCount} starts, ${world.cloud.actions.size} cloud actions, violations ${world.violations}",
         )
     }
 
     private companion object {
         const val SEED = 900
-        const val JOBS = 60
+        const val JOB_COUNT = 60
         const val MAX_FAILOVERS = 14
         const val PREVIOUS_TO_NEW = "previous to new"
         const val NEW_TO_PREVIOUS = "new to previous"
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -40,21 +40,21 @@
     private val workers = LinkedHashMap<String, ScenarioWorker>()
     val now: Long get() = events.nowMicros
     val starts = ArrayList<String>()
-    var lost = 0
+    var lostTaskCount = 0
         private set
-    val broken = ArrayList<String>()
-    val spent = sortedMapOf<String, Long>()
-    val longest = sortedMapOf<String, Long>()
-    val doneJobs = HashMap<String, Long>()
+    val violations = ArrayList<String>()
+    val totalNanos = sortedMapOf<String, Long>()
+    val longestNanos = sortedMapOf<String, Long>()
+    val completedJobs = HashMap<String, Long>()
 
     /** Where each task is that has been started and has not ended. */
-    val running = HashMap<TaskId, ScenarioWorker>()
+    val workerByTask = HashMap<TaskId, ScenarioWorker>()
     val jobs = HashMap<String, ScenarioJob>()
     val heartbeatIntervalMicros = settings.workers.heartbeatIntervalMicros
 
     private val effects = object : ClusterEffects {
         override fun persistActivation(job: Job) {
-            at(20_000) {
+            schedule(20_000) {
                 job.activation = Job.Activation.ACTIVE
                 cluster.needsScheduling = true
             }
@@ -62,7 +62,7 @@
 
         override fun persistProgress(job: Job) {
             if (job.isDone) {
-                doneJobs[job.id] = now
+                completedJobs[job.id] = now
                 job.finished = true
                 cluster.jobs.remove(job.id)
             }
@@ -78,11 +78,17 @@
 
     /** All that a leader holds in memory; a take-over begins with another one. */
     private inner class LeaderState(val fencingToken: Long) {
-        private val times = RunTimeEstimates()
-        private val planner = Planner(settings, Policy(), times)
+        private val runTimeEstimates = RunTimeEstimates()
+        private val planner = Planner(settings, Policy(), runTimeEstimates)
         val fleet = Fleet(settings, Policy(), fencingToken)
-        val cluster: Cluster =
-            Cluster(settings, ClusterTerm(fencingToken, GRACE_MICROS), effects, times, planner, LeaderClocks({ now }, { now }))
+        val cluster: Cluster = Cluster(
+            settings,
+            ClusterTerm(fencingToken, DEGRADED_MODE_MICROS),
+            effects,
+            runTimeEstimates,
+            planner,
+            LeaderClocks({ now }, { now }),
+        )
         val autoscaler = Autoscaler(cluster, fleet, planner, Policy())
     }
 
@@ -93,21 +99,21 @@
     private val autoscaler: Autoscaler get() = leader.autoscaler
 
     /** Another controller leads from now on; it knows what the store holds, and nothing else. */
-    fun takeOver() {
-        val before = leader
-        leader = LeaderState(before.fencingToken + 1)
-        cluster.machineTypes = before.cluster.machineTypes
-        val open = before.cluster.jobs.values.filter { !it.finished }
+    fun failOver() {
+        val previous = leader
+        leader = LeaderState(previous.fencingToken + 1)
+        cluster.machineTypes = previous.cluster.machineTypes
+        val unfinished = previous.cluster.jobs.values.filter { !it.finished }
         cluster.load(
-            open.map {
+            unfinished.map {
                 val activated = it.activation == Job.Activation.ACTIVE
                 StoredJobRecord(JobRecord(it.spec, it.acceptedWallMicros, activated = activated, cancelled = false), revision = 1)
             },
-            before.cluster.machines.values.filter { it.isRegistered }.map { Machine(it.name, it.type, it.zone, it.spot) },
+            previous.cluster.machines.values.filter { it.isRegistered }.map { Machine(it.name, it.type, it.zone, it.spot) },
             now,
         )
-        for (job in open) job.completedTasks.stream().forEach { cluster.jobs.getValue(job.id).markCompleted(it) }
-        fleet.baselineMachines = before.fleet.baselineMachines
+        for (job in unfinished) job.completedTasks.stream().forEach { cluster.jobs.getValue(job.id).markCompleted(it) }
+        fleet.baselineMachines = previous.fleet.baselineMachines
         fleet.baselineMachines?.let(cluster::markBaseline)
     }
 
@@ -115,14 +121,14 @@
         cluster.machineTypes = types.associateBy { it.name }
         cluster.load(emptyList(), emptyList(), now)
         baselineMachines.forEach { (type, zone) -> addWorker(type, zone, false) }
-        list()
+        pollMachineList()
         fleet.baselineMachines = workers.keys.toSet()
         fleet.baselineMachines?.let(cluster::markBaseline)
         tick()
     }
 
     /** Runs [action] after [afterMicros] of virtual time. */
-    fun at(afterMicros: Long, action: () -> Unit) = events.schedule(afterMicros, action)
+    fun schedule(afterMicros: Long, action: () -> Unit) = events.schedule(afterMicros, action)
 
     /** Runs all that is due up to [micros]. */
     fun runUntil(micros: Long) = events.runUntil(micros)
@@ -134,26 +140,26 @@
 
     /** A running task has ended without being done. */
     fun countLostTask() {
-        lost++
+        lostTaskCount++
     }
 
     /** The time until the next regular heartbeat: a quarter more or less than the interval. */
     fun heartbeatDelayMicros(): Long = heartbeatIntervalMicros * 3 / 4 + random.nextLong(heartbeatIntervalMicros / 2)
 
-    fun <T> measured(what: String, action: () -> T): T {
-        val start = System.nanoTime()
+    fun <T> measure(operation: String, action: () -> T): T {
+        val startNanos = System.nanoTime()
         return action().also {
-            val took = System.nanoTime() - start
-            spent.merge(what, took, Long::plus)
-            longest.merge(what, took, ::maxOf)
+            val elapsedNanos = System.nanoTime() - startNanos
+            totalNanos.merge(operation, elapsedNanos, Long::plus)
+            longestNanos.merge(operation, elapsedNanos, ::maxOf)
         }
     }
 
     private fun tick() {
-        measured("tick") { cluster.tick(now) }
-        val actions = measured("autoscaler") { autoscaler.step(now, now) }
+        measure("tick") { cluster.tick(now) }
+        val actions = measure("autoscaler") { autoscaler.step(now, now) }
         for (request in actions.scaleOuts) {
-            at(120_000) {
+            schedule(120_000) {
                 val type = types.first { it.name == request.machineType }
                 val names = List(minOf(request.machineCount, maxMachines - workers.size).coerceAtLeast(0)) {
                     addWorker(type, request.zone, request.spot, (type.startupMicros * (0.6 + 0.9 * random.nextDouble())).toLong())
@@ -176,45 +182,45 @@
                 fleet.machines[it]?.isScalingIn = true
                 cluster.machines[it]?.draining = true
             }
-            at(120_000) {
+            schedule(120_000) {
                 names.forEach(::removeWorker)
                 fleet.recordScaleInConfirmed(names)
                 cluster.markTerminated(names)
             }
         }
-        at(250_000, ::tick)
+        schedule(250_000, ::tick)
     }
 
-    private fun list() {
-        val list = workers.values.map { ListedMachine(it.name, "", it.type.name, it.zone, it.spot, "running", now - it.bornMicros) }
-        measured("list") {
-            fleet.updateFromList(list, cluster.machineTypes, now)
+    private fun pollMachineList() {
+        val listed = workers.values.map { ListedMachine(it.name, "", it.type.name, it.zone, it.spot, "running", now - it.createdMicros) }
+        measure("list") {
+            fleet.updateFromList(listed, cluster.machineTypes, now)
             cluster.removeUnlisted(fleet.machines.keys, now)
         }
-        at(3_000_000, ::list)
+        schedule(3_000_000, ::pollMachineList)
     }
 
-    private fun addWorker(type: MachineType, zone: String, spot: Boolean, bootMicros: Long = random.nextLong(1_000_000)): String {
-        val worker = ScenarioWorker(this, "host-%06d".format(workers.size + removed + 1), type, zone, spot)
+    private fun addWorker(type: MachineType, zone: String, spot: Boolean, startupDelayMicros: Long = random.nextLong(1_000_000)): String {
+        val worker = ScenarioWorker(this, "host-%06d".format(workers.size + removedWorkerCount + 1), type, zone, spot)
         workers[worker.name] = worker
-        at(bootMicros, worker::heartbeat)
+        schedule(startupDelayMicros, worker::sendHeartbeat)
         return worker.name
     }
 
-    private var removed = 0
+    private var removedWorkerCount = 0
 
     fun removeWorker(name: String) {
         val worker = workers.remove(name) ?: return
-        removed++
-        worker.gone = true
+        removedWorkerCount++
+        worker.isRemoved = true
         worker.tasks.values.forEach { it.end() }
     }
 
-    fun killRandom(count: Int) = workers.keys.shuffled(random).take(count).forEach(::removeWorker)
+    fun killRandomWorkers(count: Int) = workers.keys.shuffled(random).take(count).forEach(::removeWorker)
 
     companion object {
         private const val FIRST_FENCING_TOKEN = 5L
-        private const val GRACE_MICROS = 10_000_000L
+        private const val DEGRADED_MODE_MICROS = 10_000_000L
 
         fun spec(
             id: String,
--- a/src/test/kotlin/linemast/size/FleetSizeTest.kt
+++ b/src/test/kotlin/linemast/size/FleetSizeTest.kt
@@ -19,46 +19,44 @@
         val teams = listOf("t1", "t2", "t3", "t4", "t5")
         val scenario =
             FleetScenario(fleetScenarioSettings(teams, cpus = 1_500, maxVcpus = 4_000), listOf(small, large), baselineMachines, seed)
-        var id = 0
-        fun gang() = scenario.submit(
+        var submitted = 0
+        fun submitGang() = scenario.submit(
             FleetScenario.spec(
-                "req-%06d".format(
-                    id++,
-                ),
-                "gangs", teams[random.nextInt(5)], true, 1, 30.0, 51.0, "g${random.nextInt(5)}", 80.0, null,
+                "req-%06d".format(submitted++), "gangs", teams[random.nextInt(5)], true, 1, 30.0, 51.0, "g${random.nextInt(5)}", 80.0, null,
             ),
             (80e6 * Math.exp(random.nextDouble(-0.7, 0.9))).toLong(),
         )
-        fun sweep() = scenario.submit(
+        fun submitArray() = scenario.submit(
             FleetScenario.spec(
-                "req-%06d".format(id++), "sweeps", teams[random.nextInt(5)], false, (300 * Math.exp(random.nextDouble(-1.0, 1.2))).toInt(),
+                "req-%06d".format(submitted++), "sweeps", teams[random.nextInt(5)], false,
+                (300 * Math.exp(random.nextDouble(-1.0, 1.2))).toInt(),
                 random.nextDouble(0.7, 1.3), 1.0, "s${random.nextInt(8)}", 40.0, 100.0,
             ),
             (40e6 * Math.exp(random.nextDouble(-0.7, 0.7))).toLong(),
         )
         scenario.runUntil(5_000_000)
-        repeat(40) { gang() }
-        repeat(15) { sweep() }
-        for (second in 5 until SECONDS) {
+        repeat(40) { submitGang() }
+        repeat(15) { submitArray() }
+        for (second in 5 until DURATION_SECONDS) {
             scenario.runUntil(second * 1_000_000L)
-            if (random.nextDouble() < 0.9) gang()
-            if (random.nextDouble() < 0.25) sweep()
-            if (second == 90) scenario.killRandom(60)
+            if (random.nextDouble() < 0.9) submitGang()
+            if (random.nextDouble() < 0.25) submitArray()
+            if (second == 90) scenario.killRandomWorkers(60)
         }
         println(
-            "seed $seed: ${scenario.starts.size} starts, ${scenario.lost} lost, ${scenario.doneJobs.size} of $id jobs done, " +
+            "seed $seed: ${scenario.starts.size} starts, ${scenario.lostTaskCount} lost, " +
+                "${scenario.completedJobs.size} of $submitted jobs done, " +
                 "hash ${scenario.starts.hashCode()}",
         )
         println(
-            "decisions took, in ms: ${scenario.spent.mapValues {
-                it.value / 1_000_000
-            }}, the longest ${scenario.longest.mapValues { it.value / 1_000_000 }}",
+            "decisions took, in ms: ${scenario.totalNanos.mapValues { it.value / 1_000_000 }}, " +
+                "the longest ${scenario.longestNanos.mapValues { it.value / 1_000_000 }}",
         )
-        assertEquals(emptyList<String>(), scenario.broken)
-        assertTrue(scenario.doneJobs.size > id / 2, "no more than ${scenario.doneJobs.size} of $id jobs are done")
+        assertEquals(emptyList<String>(), scenario.violations)
+        assertTrue(scenario.completedJobs.size > submitted / 2, "no more than ${scenario.completedJobs.size} of $submitted jobs are done")
     }
 
     private companion object {
-        const val SECONDS = 180
+        const val DURATION_SECONDS = 180
     }
 }
--- a/src/test/kotlin/linemast/size/LargeFleetTest.kt
+++ b/src/test/kotlin/linemast/size/LargeFleetTest.kt
@@ -18,47 +18,52 @@
         val settings = fleetScenarioSettings(TEAMS, cpus = machines * 2, maxVcpus = machines * 8)
         val scenario = FleetScenario(settings, listOf(SMALL, LARGE), baselineMachines, seed, maxMachines = machines)
         var submitted = 0
-        fun id() = "req-%06d".format(submitted++)
-        val largest = FleetScenario.spec(id(), "sweeps", "t1", false, 100_000, 1.0, 0.5, "s0", 2.0, 100.0)
+        fun nextId() = "req-%06d".format(submitted++)
+        val largestJob = FleetScenario.spec(nextId(), "sweeps", "t1", false, 100_000, 1.0, 0.5, "s0", 2.0, 100.0)
         scenario.runUntil(5_000_000)
-        scenario.submit(largest, 2_000_000)
-        for (second in 5 until SECONDS) {
+        scenario.submit(largestJob, 2_000_000)
+        for (second in 5 until DURATION_SECONDS) {
             scenario.runUntil(second * 1_000_000L)
             if (second % 3 == 0) {
                 val tasks = random.nextInt(1, 12)
                 val team = TEAMS.random(random)
                 scenario.submit(
-                    FleetScenario.spec(id(), "gangs", team, true, tasks, 6.0, 8.0, "g${random.nextInt(5)}", 20.0, null),
+                    FleetScenario.spec(nextId(), "gangs", team, true, tasks, 6.0, 8.0, "g${random.nextInt(5)}", 20.0, null),
                     20_000_000,
                 )
             }
-            if (second < LAST_ARRAYS && second % 2 == 0) {
+            if (second < ARRAY_SUBMISSION_SECONDS && second % 2 == 0) {
                 val tasks = random.nextInt(100, 800)
                 val team = TEAMS.random(random)
                 scenario.submit(
-                    FleetScenario.spec(id(), "sweeps", team, false, tasks, 2.0, 2.0, "s${random.nextInt(8)}", 20.0, 90.0),
+                    FleetScenario.spec(nextId(), "sweeps", team, false, tasks, 2.0, 2.0, "s${random.nextInt(8)}", 20.0, 90.0),
                     20_000_000,
                 )
             }
-            if (second == DEATHS) scenario.killRandom(machines / 10)
-            if (second == TAKE_OVER) scenario.takeOver()
+            if (second == MACHINE_LOSS_SECOND) scenario.killRandomWorkers(machines / 10)
+            if (second == FAILOVER_SECOND) scenario.failOver()
         }
-        println("seed $seed: ${scenario.starts.size} starts, ${scenario.lost} lost, ${scenario.doneJobs.size} of $submitted jobs done")
         println(
-            "decisions took, in ms: ${scenario.spent.mapValues {
-                it.value / 1_000_000
-            }}, ${scenario.longest.mapValues { it.value / 1_000_000 }}",
+            "seed $seed: ${scenario.starts.size} starts, ${scenario.lostTaskCount} lost, " +
+                "${scenario.completedJobs.size} of $submitted jobs done",
+        )
+        println(
+            "decisions took, in ms: ${scenario.totalNanos.mapValues { it.value / 1_000_000 }}, " +
+                "${scenario.longestNanos.mapValues { it.value / 1_000_000 }}",
+        )
+        assertEquals(emptyList<String>(), scenario.violations)
+        assertTrue(largestJob.id in scenario.completedJobs, "the job of 100,000 tasks is not done")
+        assertTrue(
+            scenario.completedJobs.size > submitted * 3 / 4,
+            "no more than ${scenario.completedJobs.size} of $submitted jobs are done",
         )
-        assertEquals(emptyList<String>(), scenario.broken)
-        assertTrue(largest.id in scenario.doneJobs, "the job of 100,000 tasks is not done")
-        assertTrue(scenario.doneJobs.size > submitted * 3 / 4, "no more than ${scenario.doneJobs.size} of $submitted jobs are done")
     }
 
     private companion object {
-        const val SECONDS = 150
-        const val LAST_ARRAYS = 90
-        const val DEATHS = 40
-        const val TAKE_OVER = 60
+        const val DURATION_SECONDS = 150
+        const val ARRAY_SUBMISSION_SECONDS = 90
+        const val MACHINE_LOSS_SECOND = 40
+        const val FAILOVER_SECOND = 60
         val ZONES = listOf("a", "b", "c", "d")
         val TEAMS = listOf("t1", "t2", "t3")
         val SMALL = MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.2, 0.42, 0.1, 25_000_000, ZONES)
--- a/src/test/kotlin/linemast/size/ScenarioWorker.kt
+++ b/src/test/kotlin/linemast/size/ScenarioWorker.kt
@@ -14,33 +14,33 @@
     var status = TaskState.FETCHING
     var cause: EndCause? = null
 
-    fun end(why: EndCause = EndCause.STOPPED) {
+    fun end(endCause: EndCause = EndCause.STOPPED) {
         if (status == TaskState.ENDED) return
-        if (why != EndCause.COMPLETED && status == TaskState.RUNNING) scenario.countLostTask()
+        if (endCause != EndCause.COMPLETED && status == TaskState.RUNNING) scenario.countLostTask()
         status = TaskState.ENDED
-        cause = why
-        scenario.running.remove(task, worker)
-        worker.changed()
+        cause = endCause
+        scenario.workerByTask.remove(task, worker)
+        worker.requestHeartbeat()
     }
 
     /** The image is there: the task runs, or waits for the rest of its gang. */
-    fun fetched() {
+    fun completeFetch() {
         if (status != TaskState.FETCHING) return
-        worker.changed()
+        worker.requestHeartbeat()
         val job = scenario.jobs.getValue(task.job)
         if (!job.spec.isGang || job.spec.taskCount == 1) return run(job)
         status = TaskState.WAITING_FOR_GANG
-        val gang = (0 until job.spec.taskCount).mapNotNull { index ->
-            val mate = TaskId(task.job, index)
-            scenario.running[mate]?.tasks?.get(TaskAttempt(mate, attempt))
+        val members = (0 until job.spec.taskCount).mapNotNull { index ->
+            val member = TaskId(task.job, index)
+            scenario.workerByTask[member]?.tasks?.get(TaskAttempt(member, attempt))
         }
-        if (gang.size == job.spec.taskCount && gang.all { it.status == TaskState.WAITING_FOR_GANG }) gang.forEach { it.run(job) }
+        if (members.size == job.spec.taskCount && members.all { it.status == TaskState.WAITING_FOR_GANG }) members.forEach { it.run(job) }
     }
 
     private fun run(job: ScenarioJob) {
         status = TaskState.RUNNING
-        worker.changed()
-        scenario.at(job.runMicros) { if (status == TaskState.RUNNING) end(EndCause.COMPLETED) }
+        worker.requestHeartbeat()
+        scenario.schedule(job.runMicros) { if (status == TaskState.RUNNING) end(EndCause.COMPLETED) }
     }
 }
 
@@ -52,38 +52,38 @@
     val zone: String,
     val spot: Boolean,
 ) {
-    val bornMicros = scenario.now
-    var gone = false
+    val createdMicros = scenario.now
+    var isRemoved = false
     val tasks = LinkedHashMap<TaskAttempt, ScenarioTask>()
     private var sequenceNumber = 0L
     private var fencingToken = 0L
-    private var sentMicros = 0L
-    private var dueMicros = 0L
-    private val images = HashSet<String>()
+    private var lastHeartbeatMicros = 0L
+    private var nextHeartbeatMicros = 0L
+    private val fetchedImages = HashSet<String>()
 
     /** Something changed: a heartbeat goes out, half a second after the last one at the earliest. */
-    fun changed() = heartbeatAt(maxOf(scenario.now, sentMicros + MIN_INTERVAL_MICROS))
+    fun requestHeartbeat() = scheduleHeartbeat(maxOf(scenario.now, lastHeartbeatMicros + MIN_HEARTBEAT_INTERVAL_MICROS))
 
-    private fun heartbeatAt(micros: Long) {
-        if (dueMicros in (scenario.now + 1)..micros) return
-        dueMicros = micros
-        scenario.at(micros - scenario.now) { if (dueMicros == micros) heartbeat() }
+    private fun scheduleHeartbeat(micros: Long) {
+        if (nextHeartbeatMicros in (scenario.now + 1)..micros) return
+        nextHeartbeatMicros = micros
+        scenario.schedule(micros - scenario.now) { if (nextHeartbeatMicros == micros) sendHeartbeat() }
     }
 
     /** Sends a heartbeat and carries out the commands of the response. */
-    fun heartbeat() {
-        if (gone) return
-        sentMicros = scenario.now
-        dueMicros = 0
+    fun sendHeartbeat() {
+        if (isRemoved) return
+        lastHeartbeatMicros = scenario.now
+        nextHeartbeatMicros = 0
         val heartbeat = Heartbeat(
             name, "", type.name, zone, spot, 1, ++sequenceNumber, fencingToken, null,
             tasks.values.map { TaskStatus(it.task, it.attempt, it.status, it.cause, false) },
         )
-        val commands = scenario.measured("heartbeat") { scenario.cluster.heartbeat(heartbeat, scenario.now) }.orEmpty()
-        if (fencingToken != scenario.fencingToken) changed()
+        val commands = scenario.measure("heartbeat") { scenario.cluster.heartbeat(heartbeat, scenario.now) }.orEmpty()
+        if (fencingToken != scenario.fencingToken) requestHeartbeat()
         fencingToken = scenario.fencingToken
         commands.forEach(::execute)
-        heartbeatAt(scenario.now + scenario.heartbeatDelayMicros())
+        scheduleHeartbeat(scenario.now + scenario.heartbeatDelayMicros())
     }
 
     private fun execute(command: Command) {
@@ -96,19 +96,19 @@
     }
 
     private fun start(key: TaskAttempt) {
-        if (key.task in scenario.running) scenario.broken += "ran_twice: ${key.task}"
+        if (key.task in scenario.workerByTask) scenario.violations += "ran_twice: ${key.task}"
         scenario.starts += "${scenario.now} ${key.task} $name"
         val task = ScenarioTask(scenario, this, key.task, key.attempt)
         tasks[key] = task
-        scenario.running[key.task] = this
+        scenario.workerByTask[key.task] = this
         val image = scenario.jobs.getValue(key.task.job).spec.image
-        scenario.at(if (images.add(image)) FETCH_MICROS else CACHED_MICROS, task::fetched)
-        changed()
+        scenario.schedule(if (fetchedImages.add(image)) FETCH_MICROS else CACHED_FETCH_MICROS, task::completeFetch)
+        requestHeartbeat()
     }
 
     private companion object {
-        const val MIN_INTERVAL_MICROS = 500_000L
+        const val MIN_HEARTBEAT_INTERVAL_MICROS = 500_000L
         const val FETCH_MICROS = 2_000_000L
-        const val CACHED_MICROS = 50_000L
+        const val CACHED_FETCH_MICROS = 50_000L
     }
 }
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
@@ -22,7 +22,8 @@
 
 /** Records that previous versions, named by their commits, stored are read, and written again to the byte. */
 class PreviousVersionRecordsTest {
-    private fun ofKind(version: String, kind: String): List<StoredRecord> = StoredRecord.recordsOf(version).filter { it.kind == kind }
+    private fun recordsOfKind(version: String, kind: String): List<StoredRecord> =
+        StoredRecord.recordsOf(version).filter { it.kind == kind }
 
     @ParameterizedTest
     @MethodSource("versions")
@@ -37,42 +38,42 @@
     @ParameterizedTest
     @MethodSource("versions")
     fun `the records hold every job outcome, job state and duty`(version: String) {
-        val outcomes = ofKind(version, "j/").map { OutcomeRecordCodec.decode(it.fields).outcome }.toSet()
+        val outcomes = recordsOfKind(version, "j/").map { OutcomeRecordCodec.decode(it.fields).outcome }.toSet()
         assertEquals(JobOutcome.entries.toSet(), outcomes)
-        val states = ofKind(version, "o/").map { JobRecordCodec.decode(it.fields) }.map { it.activated to it.cancelled }.toSet()
+        val states = recordsOfKind(version, "o/").map { JobRecordCodec.decode(it.fields) }.map { it.activated to it.cancelled }.toSet()
         assertEquals(setOf(false to false, true to false, false to true, true to true), states)
-        assertEquals(Duty.entries.toSet(), ofKind(version, "duty/").map { IntentCodec.decode(it.fields).action.duty }.toSet())
-        assertTrue(ofKind(version, "w/").all { JobRecordCodec.decode(it.fields).spec.dependencies.isNotEmpty() })
+        assertEquals(Duty.entries.toSet(), recordsOfKind(version, "duty/").map { IntentCodec.decode(it.fields).action.duty }.toSet())
+        assertTrue(recordsOfKind(version, "w/").all { JobRecordCodec.decode(it.fields).spec.dependencies.isNotEmpty() })
     }
 
     @ParameterizedTest
-    @MethodSource("rewrittenRecords")
+    @MethodSource("recordsWithCodec")
     fun `a record that is read and written again has the same bytes`(version: String, record: StoredRecord) {
-        assertEquals(record.bytes, Cbor.encode(rewritten(version, record)).toByteString())
+        assertEquals(record.bytes, Cbor.encode(decodeAndEncode(version, record)).toByteString())
     }
 
-    private fun rewritten(version: String, record: StoredRecord): Map<String, Any?> = when (record.kind) {
+    private fun decodeAndEncode(version: String, record: StoredRecord): Map<String, Any?> = when (record.kind) {
         "types" -> MachineTypeCodec.encode(MachineTypeCodec.decode(record.fields))
         "j/" -> OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(record.fields))
         "o/", "w/" -> JobRecordCodec.encode(JobRecordCodec.decode(record.fields))
-        "d/" -> rewrittenPart(record.fields, record.key.substringAfterLast('/').toInt())
-        "fleet/" -> rewrittenChunk(version, record)
+        "d/" -> decodeAndEncodePart(record.fields, record.key.substringAfterLast('/').toInt())
+        "fleet/" -> decodeAndEncodeChunk(version, record)
         "duty/" -> IntentCodec.encode(IntentCodec.decode(record.fields))
         "admission/plan" -> AdmissionCodec.encode(AdmissionCodec.decodePlan(record.fields))
         "admission/demand/" -> AdmissionCodec.encode(AdmissionCodec.decodeDemand(record.fields))
         else -> error("no codec for ${record.key}")
     }
 
-    private fun rewrittenPart(fields: Fields, part: Int): Map<String, Any?> {
-        val done = BitSet()
-        CompletedTasksCodec.decode(fields, part, done)
-        assertTrue(!done.isEmpty)
-        return CompletedTasksCodec.encode(done, part)
+    private fun decodeAndEncodePart(fields: Fields, part: Int): Map<String, Any?> {
+        val completed = BitSet()
+        CompletedTasksCodec.decode(fields, part, completed)
+        assertTrue(!completed.isEmpty)
+        return CompletedTasksCodec.encode(completed, part)
     }
 
-    private fun rewrittenChunk(version: String, record: StoredRecord): Map<String, Any?> {
-        val types = MachineTypeCodec.decode(ofKind(version, "types").first().fields).associateBy { it.name }
-        val registry = MachineRegistry(VALUE_BYTES)
+    private fun decodeAndEncodeChunk(version: String, record: StoredRecord): Map<String, Any?> {
+        val types = MachineTypeCodec.decode(recordsOfKind(version, "types").first().fields).associateBy { it.name }
+        val registry = MachineRegistry(MAX_VALUE_BYTES)
         val machines = registry.read(listOf(Entry(record.key, record.fields, 7)), types)
         assertEquals(record.fields.children("rigs").map { it.text("rig") }, machines.map { it.name })
         if (machines.isEmpty()) return mapOf("rigs" to emptyList<Fields>())
@@ -80,17 +81,17 @@
     }
 
     companion object {
-        private const val VALUE_BYTES = 8 * 1024
+        private const val MAX_VALUE_BYTES = 8 * 1024
 
-        /** Kinds without a codec of their own, which [PreviousVersionTakeoverTest] covers. */
-        private val writtenByLeader = setOf("leader", "helm", "standing/", "plan", "recovery")
+        /** Kinds without a codec of their own, which [PreviousVersionUpgradeTest] covers. */
+        private val kindsWithoutCodec = setOf("leader", "helm", "standing/", "plan", "recovery")
 
         @JvmStatic
         fun versions(): List<String> = StoredRecord.VERSIONS
 
         @JvmStatic
-        fun rewrittenRecords(): List<Arguments> = StoredRecord.VERSIONS.flatMap { version ->
-            StoredRecord.recordsOf(version).filter { it.kind !in writtenByLeader }.map { Arguments.of(version, it) }
+        fun recordsWithCodec(): List<Arguments> = StoredRecord.VERSIONS.flatMap { version ->
+            StoredRecord.recordsOf(version).filter { it.kind !in kindsWithoutCodec }.map { Arguments.of(version, it) }
         }
     }
 }
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionTakeoverTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionUpgradeTest.kt
@@ -16,55 +16,56 @@
 import org.junit.jupiter.params.provider.MethodSource
 
 /** Controllers of this version take over a store that a previous version, named by its commit, has left in the middle of its work. */
-class PreviousVersionTakeoverTest {
+class PreviousVersionUpgradeTest {
     private val allFeatures = Features(DutySettings(), AdmissionSettings(), RecoverySettings())
-    private val array = SimJob("req-000001", "north", 12, 1.0, false, false, false, true, 5_000_000, staggerMicros = 3_000_000)
-    private val gang = SimJob("req-000002", "south", 2, 4.0, true, true, false, true, 90_000_000)
-    private val dependent =
-        SimJob("req-000003", "north", 4, 1.0, false, false, true, true, 5_000_000, dependencies = listOf(array.id, gang.id))
-    private val cancelled = SimJob("req-000004", "south", 3, 1.0, false, false, false, true, 100_000_000).also { it.cancelRequested = true }
-    private val done = SimJob("req-000005", "south", 3, 1.0, false, false, false, true, 1_000_000)
+    private val arrayJob = SimJob("req-000001", "north", 12, 1.0, false, false, false, true, 5_000_000, staggerMicros = 3_000_000)
+    private val gangJob = SimJob("req-000002", "south", 2, 4.0, true, true, false, true, 90_000_000)
+    private val dependentJob =
+        SimJob("req-000003", "north", 4, 1.0, false, false, true, true, 5_000_000, dependencies = listOf(arrayJob.id, gangJob.id))
+    private val cancelledJob =
+        SimJob("req-000004", "south", 3, 1.0, false, false, false, true, 100_000_000).also { it.cancelRequested = true }
+    private val doneJob = SimJob("req-000005", "south", 3, 1.0, false, false, false, true, 1_000_000)
 
     /** All controllers of the previous version have ended; those of this one start on what it has stored. */
-    private fun takeOver(kept: List<StoredRecord>): SimWorld = simulate(seed = 502, features = allFeatures) { world ->
+    private fun startOnRecords(records: List<StoredRecord>): SimWorld = simulate(seed = 502, features = allFeatures) { world ->
         repeat(3) { world.killController(it) }
         delay(30_000)
-        world.store.replaceContents(kept.associate { it.key to it.bytes.toByteArray() })
+        world.store.replaceContents(records.associate { it.key to it.bytes.toByteArray() })
         runUnknownJob(world)
-        repeat(DONE_OF_ARRAY) { world.completedTasks += "${array.id}/$it" }
-        repeat(done.taskCount) { world.completedTasks += "${done.id}/$it" }
+        repeat(COMPLETED_ARRAY_TASKS) { world.completedTasks += "${arrayJob.id}/$it" }
+        repeat(doneJob.taskCount) { world.completedTasks += "${doneJob.id}/$it" }
         repeat(3) { world.startController(it) }
-        listOf(array, gang, dependent, cancelled, done).forEach { world.users.submit(it, null) }
+        listOf(arrayJob, gangJob, dependentJob, cancelledJob, doneJob).forEach { world.users.submit(it, null) }
         delay(200_000)
     }
 
     /** A job that no record in the store knows, so that the record of the recovery lists one. */
     private fun runUnknownJob(world: SimWorld) {
-        val unknown = SimJob("req-990000", "north", 1, 1.0, false, false, false, true, 300_000_000)
-        world.jobs[unknown.id] = unknown
-        world.workers.values.first().startUnrecordedTask(unknown)
+        val unknownJob = SimJob("req-990000", "north", 1, 1.0, false, false, false, true, 300_000_000)
+        world.jobs[unknownJob.id] = unknownJob
+        world.workers.values.first().startUnrecordedTask(unknownJob)
     }
 
     @ParameterizedTest
     @MethodSource("versions")
     fun `jobs that the previous version has accepted are brought to their end, and completed tasks are not started again`(version: String) {
-        val world = takeOver(StoredRecord.snapshotOf(version))
+        val world = startOnRecords(StoredRecord.snapshotOf(version))
         assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(
             listOf("done", "done", "done", "withdrawn", "done"),
-            listOf(array, gang, dependent, cancelled, done).map { it.acknowledgedStatus },
+            listOf(arrayJob, gangJob, dependentJob, cancelledJob, doneJob).map { it.acknowledgedStatus },
         )
-        assertEquals(array.taskCount - DONE_OF_ARRAY + gang.taskCount + dependent.taskCount, world.startCount)
+        assertEquals(arrayJob.taskCount - COMPLETED_ARRAY_TASKS + gangJob.taskCount + dependentJob.taskCount, world.startCount)
         assertEquals(emptySet<String>(), world.store.keysUnder("o/") + world.store.keysUnder("w/"))
     }
 
     @ParameterizedTest
     @MethodSource("versions")
     fun `the fencing token goes on from the stored one, and the baseline fleet stays the stored one`(version: String) {
-        val world = takeOver(StoredRecord.snapshotOf(version))
-        val before = stored(version, "helm").long("n")
-        assertEquals(before + 1, world.store.valueOf("helm")?.long("n"))
-        assertEquals(before + 1, world.store.valueOf("leader")?.long("helm"))
+        val world = startOnRecords(StoredRecord.snapshotOf(version))
+        val previousToken = stored(version, "helm").long("n")
+        assertEquals(previousToken + 1, world.store.valueOf("helm")?.long("n"))
+        assertEquals(previousToken + 1, world.store.valueOf("leader")?.long("helm"))
         assertEquals(stored(version, "standing/0").map, world.store.valueOf("standing/0")?.map)
         assertEquals(stored(version, "types").map, world.store.valueOf("types")?.map)
     }
@@ -72,7 +73,7 @@
     @ParameterizedTest
     @MethodSource("versions")
     fun `machines are of the baseline fleet if the stored list names them, also without a record of machines`(version: String) {
-        val world = takeOver(StoredRecord.snapshotOf(version).filter { it.kind != "fleet/" })
+        val world = startOnRecords(StoredRecord.snapshotOf(version).filter { it.kind != "fleet/" })
         val baseline = stored(version, "standing/0").textsOrNull("rigs").orEmpty().toSet()
         val machines = world.store.keysUnder("fleet/").flatMap { checkNotNull(world.store.valueOf(it)).children("rigs") }
         assertEquals(baseline, machines.filter { it.flag("owned") }.map { it.text("rig") }.toSet())
@@ -81,13 +82,13 @@
     @ParameterizedTest
     @MethodSource("versions")
     fun `records that the leader writes have the fields that the previous version gave them`(version: String) {
-        val world = takeOver(StoredRecord.snapshotOf(version))
+        val world = startOnRecords(StoredRecord.snapshotOf(version))
         for (key in listOf("leader", "helm", "plan", "recovery")) {
             val written = world.store.history.filter { it.key == key }.mapNotNull { it.value?.map }
             assertTrue(written.isNotEmpty(), "$key is written")
-            val known = StoredRecord.recordsOf(version).filter { it.key == key }.map { it.fields.map }
-            assertEquals(known.flatMap { it.keys }.toSet(), written.flatMap { it.keys }.toSet(), key)
-            assertEquals(emptySet<String>(), written.flatMap(::fieldNames).toSet() - known.flatMap(::fieldNames).toSet(), key)
+            val previous = StoredRecord.recordsOf(version).filter { it.key == key }.map { it.fields.map }
+            assertEquals(previous.flatMap { it.keys }.toSet(), written.flatMap { it.keys }.toSet(), key)
+            assertEquals(emptySet<String>(), written.flatMap(::fieldNames).toSet() - previous.flatMap(::fieldNames).toSet(), key)
         }
     }
 
@@ -95,7 +96,7 @@
 
     companion object {
         /** Tasks of the array that each snapshot holds as completed, counted from the first one. */
-        private const val DONE_OF_ARRAY = 6
+        private const val COMPLETED_ARRAY_TASKS = 6
 
         @JvmStatic
         fun versions(): List<String> = StoredRecord.VERSIONS
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -30,73 +30,73 @@
  * has to pass the readers that it has, which are fixed here. Both versions serve side by side during an upgrade.
  */
 class StoredFormatsTest {
-    private val oldJob = mapOf(
+    private val legacySpec = mapOf(
         "name_id" to "req-000412", "lane" to "train", "crew" to "vision", "shape" to "gang", "urgency" to "high", "pieces" to 16L,
         "vcpus" to 8.0, "gpus" to 1.0, "memory_gb" to 64.0, "bundle" to "img-07", "pull_gb" to 6.2, "builds" to listOf("g8"),
         "same_place" to true, "apart" to false, "loaners" to true, "guess_s" to 240.0, "mark_every_s" to 30.0, "mark_s" to 4.0,
         "due_s" to 900.0,
     )
-    private val oldOpen = mapOf("job" to oldJob, "at_us" to 1_700_000_000_000_000L, "opened" to true, "withdrawn" to false)
+    private val legacyOpenRecord = mapOf("job" to legacySpec, "at_us" to 1_700_000_000_000_000L, "opened" to true, "withdrawn" to false)
     private val types = listOf(MachineType("g8", 96.0, 8.0, 768.0, 200.0, 1.0, 12.0, 4.5, 45_000_000, listOf("a", "b")))
 
-    private fun stored(value: Map<String, Any?>) = Cbor.decodeMap(Cbor.encode(value))
+    private fun encodeAndDecode(value: Map<String, Any?>) = Cbor.decodeMap(Cbor.encode(value))
 
     @Test
     fun `records of jobs are read and rewritten without a loss`() {
-        val record = JobRecordCodec.decode(stored(oldOpen))
-        assertEquals(oldOpen, stored(JobRecordCodec.encode(record)).map)
+        val record = JobRecordCodec.decode(encodeAndDecode(legacyOpenRecord))
+        assertEquals(legacyOpenRecord, encodeAndDecode(JobRecordCodec.encode(record)).map)
         assertEquals(
-            oldOpen + ("withdrawn" to true),
-            stored(JobRecordCodec.encode(record.with(cancelled = true).withKnownMachineTypes(types))).map,
+            legacyOpenRecord + ("withdrawn" to true),
+            encodeAndDecode(JobRecordCodec.encode(record.with(cancelled = true).withKnownMachineTypes(types))).map,
         )
         assertEquals(emptyList<String>(), record.spec.dependencies)
         assertNull(record.releasedWallMicros)
         for (outcome in listOf("open", "done", "withdrawn")) {
-            val old = mapOf("verdict" to outcome, "pieces" to 16L)
-            assertEquals(old, stored(OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(stored(old)))).map)
+            val legacy = mapOf("verdict" to outcome, "pieces" to 16L)
+            assertEquals(legacy, encodeAndDecode(OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(encodeAndDecode(legacy)))).map)
         }
     }
 
     /** It asks for these fields, ignores others, and drops them when it rewrites. */
     @Test
     fun `what is written now passes the readers of the revision before`() {
-        val waiting = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, activated = false, cancelled = false)
-        val released = stored(JobRecordCodec.encode(waiting.released(9)))
-        assertTrue(released.child("job").map.keys.containsAll(oldJob.keys - setOf("builds", "due_s")))
+        val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, activated = false, cancelled = false)
+        val released = encodeAndDecode(JobRecordCodec.encode(blocked.released(9)))
+        assertTrue(released.child("job").map.keys.containsAll(legacySpec.keys - setOf("builds", "due_s")))
         assertFalse(released.child("job").has("awaits"), "a job that may start awaits nothing: nothing is lost when it is rewritten")
         assertEquals(listOf(5L, true, false), listOf(released.long("at_us"), released.flag("opened"), released.flag("withdrawn")))
         JobSpecCodec.decode(released.child("job"))
-        val rewritten = JobRecordCodec.decode(stored(released.map - "from_us"))
+        val rewritten = JobRecordCodec.decode(encodeAndDecode(released.map - "from_us"))
         assertEquals(rewritten.acceptedWallMicros, rewritten.releasedWallMicros ?: 5L)
-        val outcome = stored(OutcomeRecordCodec.encode(OutcomeRecord(JobOutcome.OPEN, 3, listOf("req-1"))))
+        val outcome = encodeAndDecode(OutcomeRecordCodec.encode(OutcomeRecord(JobOutcome.OPEN, 3, listOf("req-1"))))
         assertEquals("open" to 3L, outcome.text("verdict") to outcome.long("pieces"))
     }
 
     /** Written out as the version that first had pipelines wrote them; it and later ones serve side by side. */
     @Test
     fun `records of the first revision with dependencies are read and rewritten without a loss`() {
-        val waiting = mapOf(
-            "job" to oldJob + ("awaits" to listOf("req-000398", "req-000405")),
+        val blocked = mapOf(
+            "job" to legacySpec + ("awaits" to listOf("req-000398", "req-000405")),
             "at_us" to 1_700_000_000_000_000L,
             "opened" to false,
             "withdrawn" to false,
         )
-        val record = JobRecordCodec.decode(stored(waiting))
+        val record = JobRecordCodec.decode(encodeAndDecode(blocked))
         assertEquals(listOf("req-000398", "req-000405"), record.spec.dependencies)
-        assertEquals(waiting, stored(JobRecordCodec.encode(record)).map)
-        val released = oldOpen + ("from_us" to 1_700_000_050_000_000L)
+        assertEquals(blocked, encodeAndDecode(JobRecordCodec.encode(record)).map)
+        val released = legacyOpenRecord + ("from_us" to 1_700_000_050_000_000L)
         assertEquals(
             released,
-            stored(JobRecordCodec.encode(record.released(1_700_000_050_000_000L))).map,
+            encodeAndDecode(JobRecordCodec.encode(record.released(1_700_000_050_000_000L))).map,
             "what a release puts in place of it",
         )
-        assertEquals(released, stored(JobRecordCodec.encode(JobRecordCodec.decode(stored(released)))).map)
+        assertEquals(released, encodeAndDecode(JobRecordCodec.encode(JobRecordCodec.decode(encodeAndDecode(released)))).map)
         assertEquals(
             released + ("withdrawn" to true),
-            stored(JobRecordCodec.encode(JobRecordCodec.decode(stored(released)).with(cancelled = true))).map,
+            encodeAndDecode(JobRecordCodec.encode(JobRecordCodec.decode(encodeAndDecode(released)).with(cancelled = true))).map,
         )
         val outcome = mapOf("verdict" to "open", "pieces" to 16L, "awaits" to listOf("req-000398", "req-000405"))
-        assertEquals(outcome, stored(OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(stored(outcome)))).map)
+        assertEquals(outcome, encodeAndDecode(OutcomeRecordCodec.encode(OutcomeRecordCodec.decode(encodeAndDecode(outcome)))).map)
         assertEquals(
             listOf("j/req-1", "o/req-1", "w/req-1", "d/req-1/0"),
             listOf(JobKeys.outcome("req-1"), JobKeys.open("req-1"), JobKeys.blocked("req-1"), JobKeys.completedTasksPart("req-1", 0)),
@@ -105,16 +105,16 @@
 
     @Test
     fun `the record of machines keeps its keys and fields`() {
-        val old =
+        val legacy =
             mapOf("rigs" to listOf(mapOf("rig" to "host-000001", "build" to "g8", "yard" to "a", "loaners" to false, "owned" to true)))
-        val record = MachineRegistry(2_048)
-        val machine = record.read(listOf(Entry("fleet/0", stored(old), 7)), types.associateBy { it.name }).single()
+        val registry = MachineRegistry(2_048)
+        val machine = registry.read(listOf(Entry("fleet/0", encodeAndDecode(legacy), 7)), types.associateBy { it.name }).single()
         assertEquals(listOf("host-000001", "g8", "a"), listOf(machine.name, machine.type.name, machine.zone))
         assertTrue(machine.isBaseline)
-        assertEquals(7L, record.revisionOf("fleet/0"))
-        val written = record.register(List(80) { Machine("host-%06d".format(it + 2), types.single(), "b", true) })
-        for ((at, key) in written.keys.sorted().withIndex()) {
-            assertEquals("fleet/$at", key, "counted from 0 without a gap")
+        assertEquals(7L, registry.revisionOf("fleet/0"))
+        val written = registry.register(List(80) { Machine("host-%06d".format(it + 2), types.single(), "b", true) })
+        for ((index, key) in written.keys.sorted().withIndex()) {
+            assertEquals("fleet/$index", key, "counted from 0 without a gap")
             for (entry in Fields(written.getValue(key)).children("rigs")) {
                 listOf("rig", "build", "yard").forEach(entry::text)
                 listOf("loaners", "owned").forEach(entry::flag)
