--- a/src/test/kotlin/linemast/architecture/DocumentedNamesTest.kt
+++ b/src/test/kotlin/linemast/architecture/DocumentedNamesTest.kt
@@ -8,7 +8,7 @@
 import kotlin.io.path.name
 import kotlin.io.path.readText
 
-/** Pages that describe the code name types and members that exist: a page with a stale name sends its reader astray. */
+/** Guards against pages that misdirect their readers with names of types and members that no longer exist in the code. */
 class DocumentedNamesTest {
     private class CodeFile(val packageName: String, val text: String) {
         val types = TYPE_DECLARATION.findAll(text).map { it.groupValues[1] }.toSet()
@@ -40,17 +40,17 @@
     private fun kotlinFiles(root: String): List<Path> =
         Files.walk(Path.of(root)).use { paths -> paths.filter { it.extension == "kt" }.toList() }
 
-    /** Measurements and incidents keep the names of their time. */
+    /** Returns the pages to check; measurements and incidents are left out, because they keep the names of their time. */
     private fun pages(): List<Path> = listOf(Path.of("README.md"), Path.of("CONTRIBUTING.md")) +
         Files.list(Path.of("docs")).use { paths -> paths.filter { it.extension == "md" && it.name != "measurements.md" }.toList() }.sorted()
 
     private companion object {
         val TYPE_DECLARATION = Regex("\\b(?:class|interface|object|typealias) ([A-Z]\\w*)")
 
-        /** A type with at least two capitals, a package before it or a member behind it: `scheduling/Cluster`, `Leader.run`. */
+        /** Matches a type with at least two capitals, a package before it or a member after it: `scheduling/Cluster`, `Leader.run`. */
         val NAME = Regex("`((?:[a-z]+/)?)([A-Z][a-z]+(?:[A-Z][a-z]+)+|(?<=/)[A-Z][a-z]+|[A-Z][a-z]+(?=\\.))((?:\\.[a-z]\\w*)?)`")
 
-        /** Names of libraries and of the virtual machine. */
+        /** Names from libraries and the virtual machine, which the code does not declare. */
         val LIBRARY_NAMES = setOf("ExitOnOutOfMemoryError", "SelectorManager")
     }
 }
--- a/src/test/kotlin/linemast/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/linemast/architecture/PackageDependenciesTest.kt
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** The order of the packages from the ground up; docs/ARCHITECTURE.md explains it. */
+/** Guards against dependencies that break the order of the packages, which docs/ARCHITECTURE.md explains. */
 class PackageDependenciesTest {
     private val classes: JavaClasses = ClassFileImporter()
         .withImportOption(ImportOption.DoNotIncludeTests())
         .importPackages("linemast")
 
-    /** Each layer may use all layers before it and none after it. */
+    /** The layers from the lowest to the highest: each may use all layers before it and none after it. */
     private val layers = listOf(
         "time" to listOf("time"),
         "serialization" to listOf("serialization"),
--- a/src/test/kotlin/linemast/architecture/SourceFile.kt
+++ b/src/test/kotlin/linemast/architecture/SourceFile.kt
@@ -5,12 +5,12 @@
 import kotlin.io.path.extension
 import kotlin.io.path.readText
 
-/** A Kotlin file of the program as text, with what stands in its string literals and in its code. */
+/** A Kotlin file of the program, split into its string literals and its other code. */
 internal class SourceFile(val name: String, text: String) {
-    /** The string literals, without their quotation marks; literals that are joined by `+` count as one. */
+    /** The string literals without their quotation marks; literals that are concatenated by `+` count as one. */
     val literals: List<String>
 
-    /** The code without comments and without string literals; the code in templates is left out too. */
+    /** The code without comments and string literals; code in string templates is left out too. */
     val code: String
 
     init {
@@ -27,7 +27,7 @@
         literals = joinConcatenated(found, withoutLiterals)
     }
 
-    /** Joins literals of which nothing but a `+` lies between. */
+    /** Joins literals that have nothing but a `+` between them. */
     private fun joinConcatenated(found: List<String>, marked: String): List<String> {
         val result = ArrayList<String>()
         val between = marked.split(LITERAL_MARK)
@@ -40,13 +40,13 @@
     companion object {
         private const val LITERAL_MARK = "\u0000"
 
-        /** Raw strings, strings, characters, block comments and line comments. */
+        /** Matches raw strings, strings, character literals, block comments and line comments. */
         private val TOKEN = Regex(
             "\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\\n])*\"|'(?:\\\\.|[^'\\\\\\n])'|/\\*.*?\\*/|//[^\\n]*",
             RegexOption.DOT_MATCHES_ALL,
         )
 
-        /** All files of the program, by their path under `src/main/kotlin/linemast`. */
+        /** Returns all files of the program, named by their path under `src/main/kotlin/linemast`. */
         fun ofProgram(): List<SourceFile> {
             val root = Path.of("src/main/kotlin/linemast")
             return Files.walk(root).use { paths ->
--- a/src/test/kotlin/linemast/loopback/AdmissionLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/AdmissionLoopbackTest.kt
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A measurement, not part of CI: three processes on loopback under a flood of tiny jobs of one team, with fair admission and
- * without it. See docs/operations-admission.md for how to run it.
+ * Guards against a flood of tiny jobs of one team that keeps jobs of other teams and classes from being accepted and started. A
+ * measurement with three controller processes on loopback, with fair admission and without it, which is not part of CI; see
+ * docs/operations-admission.md for how to run it.
  */
 @Tag("loopback")
 class AdmissionLoopbackTest {
@@ -52,9 +53,9 @@
                 { id, status -> responses.getOrPut(id) { ArrayList() } += TimedResponse(world.clock.nowMicros(), status) }
             val firstJob = job("south", "match", 1, 100_000)
             world.users.submit(firstJob, null)
-            assertTrue(cluster.await(STARTUP_TIMEOUT_MILLIS) { firstJob.accepted }, "no controller has accepted anything")
+            assertTrue(cluster.await(STARTUP_TIMEOUT_MILLIS) { firstJob.accepted }, "no controller accepted the first job in time")
             val floodStartMicros = world.clock.nowMicros()
-            // One controller sees the surge before the others.
+            // At first all submissions go to controller 0, so that this controller sees the flood before the others.
             world.users.chooseController =
                 { if (world.clock.nowMicros() - floodStartMicros < SINGLE_CONTROLLER_MICROS) 0 else world.random.nextInt(3) }
             repeat(FLOOD_SECONDS) { second ->
@@ -75,6 +76,7 @@
         return ScenarioResult(otherJobs, floodJobs, concurrent.size, contradictory)
     }
 
+    /** Returns those of the [responses] to a job that decide it and arrive shortly after the first response. */
     private fun concurrentDecisions(responses: List<TimedResponse>): List<TimedResponse> {
         val firstMicros = responses.first().micros
         return responses.filter { it.status in DECISION_STATUSES && it.micros - firstMicros < CONCURRENCY_WINDOW_MICROS }
@@ -86,24 +88,24 @@
         val accepted = result.otherJobs.filter { it.accepted }
         val waits = accepted.map { (it.acceptedMicros - it.submittedMicros) / 1_000 }.sorted()
         val startDelays = accepted.filter { it.startedMicros > 0 }.map { (it.startedMicros - it.submittedMicros) / 1_000 }.sorted()
-        println("$name, seed $seed, $floodPerSecond tiny jobs a second for $FLOOD_SECONDS s:")
+        println("$name, seed $seed, $floodPerSecond tiny jobs per second for $FLOOD_SECONDS s:")
         println(
-            "  others: ${accepted.size} of ${result.otherJobs.size} accepted, " +
-                "median ${waits[waits.size / 2]} ms, longest ${waits.last()} ms",
+            "  other jobs: ${accepted.size} of ${result.otherJobs.size} accepted, " +
+                "time to acceptance: median ${waits[waits.size / 2]} ms, longest ${waits.last()} ms",
         )
-        println("  others: ${startDelays.size} started, longest ${startDelays.last()} ms")
-        println("  flood: ${result.floodJobs.count { it.accepted }} of ${result.floodJobs.size} accepted")
+        println("  other jobs: ${startDelays.size} started, longest time to start ${startDelays.last()} ms")
+        println("  flood jobs: ${result.floodJobs.count { it.accepted }} of ${result.floodJobs.size} accepted")
         println(
-            "  ${result.concurrentDecisions} submissions decided by several controllers at once, " +
-                "${result.contradictoryDecisions} differently",
+            "  ${result.concurrentDecisions} jobs decided by several controllers at the same time, " +
+                "${result.contradictoryDecisions} of them both accepted and deferred",
         )
     }
 
     @Test
-    fun `every team and class is accepted and started within a bounded wait, and controllers agree`() {
+    fun `with fair admission all jobs of other teams and classes are accepted and started despite a flood`() {
         val withAdmission = runScenario(isEnabled = true)
         report("with fair admission", withAdmission)
-        report("without", runScenario(isEnabled = false))
+        report("without fair admission", runScenario(isEnabled = false))
         assertTrue(withAdmission.otherJobs.all { it.accepted && it.startedMicros > 0 })
     }
 
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A measurement, not part of CI: real processes on loopback, of which the leader of the duties is stopped and continued
- * (SIGSTOP, SIGCONT) again and again. See docs/operations-duties.md for how to run it.
+ * Guards against cloud actions of a stale leader, which was paused in the middle of an action and resumes when another controller may
+ * lead. A measurement with real processes on loopback, in which the leader is repeatedly paused and resumed (SIGSTOP, SIGCONT). It is
+ * not part of CI; see docs/operations-duties.md for how to run it.
  */
 @Tag("loopback")
 class DutyLoopbackTest {
@@ -34,7 +35,7 @@
     )
 
     @Test
-    fun `no order of a stale holder in hundreds of freezes`() {
+    fun `no cloud action of a stale leader is carried out when leaders are paused repeatedly`() {
         val cluster = LoopbackCluster(options)
         val terms = HashSet<Long>()
         var pauseCount = 0
@@ -42,7 +43,7 @@
         cluster.runScenario {
             val world = cluster.world
             launch { submitContinuously(world) }
-            assertTrue(cluster.await(20_000) { world.startCount > 0 }, "nothing was started")
+            assertTrue(cluster.await(20_000) { world.startCount > 0 }, "no task was started in time")
             world.cloud.lateActionProbability = 0.05
 
             fun pauseFor(index: Int, millis: Long) {
@@ -53,7 +54,8 @@
                     cluster.resume(index)
                 }
             }
-            // Between the commit of an intent and the call: the answer to the commit waits in the socket meanwhile.
+            // Pauses the leader between the commit of an intent and the call to the cloud. The response to the commit waits in the socket
+            // meanwhile.
             world.store.onApplied = { node, writes ->
                 if (writes.any(::writesOpenIntent) && world.random.nextBoolean()) {
                     pausesAfterCommit++
@@ -73,10 +75,10 @@
         val audit = CloudActionHistoryAudit(world)
         val cloudActions = world.cloud.actions
         println(
-            "seed $seed: $pauseCount freezes ($pausesAfterCommit just after the commit of an intent), ${terms.size} terms, " +
-                "${cloudActions.size} orders (${cloudActions.count { it.scaleOutRequest != null }} rentals, " +
-                "${cloudActions.count { it.removedMachines.isNotEmpty() }} returns), " +
-                "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
+            "seed $seed: $pauseCount pauses ($pausesAfterCommit just after the commit of an intent), ${terms.size} terms, " +
+                "${cloudActions.size} cloud actions (${cloudActions.count { it.scaleOutRequest != null }} scale-outs, " +
+                "${cloudActions.count { it.removedMachines.isNotEmpty() }} scale-ins), " +
+                "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} with a fault; " +
                 "${world.startCount} starts, " +
                 "${world.jobs.values.count { it.acknowledgedStatus == "done" }} of ${world.jobs.size} jobs done",
         )
@@ -85,7 +87,7 @@
             audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" },
         )
         assertEquals(emptyList<Violation>(), world.violations)
-        assertTrue(cloudActions.size >= pauseCount / 4, "only ${cloudActions.size} orders")
+        assertTrue(cloudActions.size >= pauseCount / 4, "only ${cloudActions.size} cloud actions in $pauseCount pauses")
     }
 
     private fun writesOpenIntent(write: Write): Boolean =
--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -21,10 +21,10 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** What a scenario on loopback runs with. */
+/** Parameters of a scenario on loopback. */
 internal class LoopbackOptions(
     val seed: Int,
-    /** Options of the program besides its settings. */
+    /** Command line options of all controllers, besides those of the settings and the policy. */
     val arguments: List<String>,
     val policy: String,
     val baselineMachines: Int,
@@ -32,11 +32,14 @@
     val requestsPerSecond: Double = 3_000.0,
     val writesPerSecond: Double = 1_000.0,
     val objectives: String = "",
-    /** The program that each controller runs. */
+    /** The jar that each controller runs, by the index of the controller. */
     val programs: List<Path> = List(CONTROLLER_COUNT) { Path.of("target", "linemast.jar") },
 )
 
-/** Three controllers as processes of their own, with stand-ins of everything else in this one, on loopback and in real time. */
+/**
+ * Runs three controllers as separate processes on loopback and in real time. Everything else is simulated in the process of the test: the
+ * key-value store, the cloud, the workers and the users.
+ */
 internal class LoopbackCluster(private val options: LoopbackOptions) {
     private class Ports(val http: Address, val peers: Address, val store: Address, val cloud: Address)
 
@@ -46,7 +49,7 @@
     lateinit var world: SimWorld
         private set
 
-    /** Runs [scenario] with the cluster up, and ends all processes. */
+    /** Starts the cluster, runs [scenario] and ends all controller processes. */
     fun runScenario(scenario: suspend CoroutineScope.(LoopbackCluster) -> Unit) {
         val loop = EventLoop()
         try {
@@ -91,7 +94,7 @@
         }
     }
 
-    /** Starts the controller [index], if it does not run. */
+    /** Starts the controller [index] unless it is running. */
     fun start(index: Int) {
         if (processes[index]?.isAlive == true) return
         val config = directory.resolve("mast-$index.toml")
@@ -104,15 +107,15 @@
             .redirectOutput(ProcessBuilder.Redirect.appendTo(Path.of("target", "loopback-${options.seed}-$index.log").toFile())).start()
     }
 
-    /** Ends the controller [index] without a signal that it could handle. */
+    /** Kills the controller [index] by a signal that it cannot handle. */
     fun kill(index: Int) {
         processes[index]?.destroyForcibly()?.waitFor()
     }
 
-    /** Has the controller [index] stand still; its clocks run on. */
+    /** Pauses the controller [index] by SIGSTOP; the clocks that it reads continue. */
     fun pause(index: Int) = signal(index, "STOP")
 
-    /** Has the controller [index] go on. */
+    /** Resumes the controller [index] by SIGCONT. */
     fun resume(index: Int) = signal(index, "CONT")
 
     private fun signal(index: Int, name: String) {
@@ -120,7 +123,7 @@
         if (process.isAlive) ProcessBuilder("kill", "-$name", process.pid().toString()).start().waitFor()
     }
 
-    /** Waits until [condition] holds, at most [maxMillis]; whether it does. */
+    /** Waits until [condition] holds, for [maxMillis] at most, and returns whether it holds. */
     suspend fun await(maxMillis: Long, condition: () -> Boolean): Boolean {
         repeat((maxMillis / POLL_INTERVAL_MILLIS).toInt()) {
             if (condition()) return true
--- a/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A measurement, not part of CI: all three processes are killed at once while hundreds of stand-in workers run tasks, and
- * started again. See docs/operations-recovery.md for how to run it.
+ * Guards against needless or missing commands to workers after a total outage: all three controller processes are killed at once while
+ * hundreds of simulated workers run tasks, and are then restarted. A measurement that is not part of CI; see
+ * docs/operations-recovery.md for how to run it.
  */
 @Tag("loopback")
 class RecoveryLoopbackTest {
@@ -27,7 +28,7 @@
     )
 
     @Test
-    fun `the orders after a total outage are the differences`() {
+    fun `after a total outage exactly the lost tasks are started and exactly the tasks of jobs without a record are stopped`() {
         val cluster = LoopbackCluster(options)
         val commands = ArrayList<Pair<String, String>>()
         var lostTasks = emptySet<String>()
@@ -47,7 +48,7 @@
             fun unfinishedTasks() = world.workers.values.flatMap { it.tasks.values }.filter { it.status != "ended" }
             assertTrue(
                 cluster.await(STARTUP_TIMEOUT_MILLIS) { unfinishedTasks().size + world.completedTasks.size == tasks + tasks / 4 },
-                "not all is under way",
+                "not all tasks are running or completed in time",
             )
             repeat(CONTROLLER_COUNT) { cluster.kill(it) }
             val partitioned = world.workers.values.filter { it.tasks.isNotEmpty() }.take(machines / 25)
@@ -75,16 +76,16 @@
             "  differences: ${(lostTasks - unrecordedTasks).size} tasks lost, " +
                 "${(unrecordedTasks - lostTasks).size} tasks of jobs without a record",
         )
-        println("  orders: ${started.size} starts, ${stopped.size} stops, ${byVerb["clear"].orEmpty().size} acknowledgements")
+        println("  commands: ${started.size} starts, ${stopped.size} stops, ${byVerb["clear"].orEmpty().size} acknowledgements")
         println(
             "  jobs done: ${cluster.world.jobs.values.count {
                 it.acknowledgedStatus == "done"
-            }} of 2; broken rules: ${cluster.world.violations}",
+            }} of 2; violations: ${cluster.world.violations}",
         )
         assertEquals(emptyList<Violation>(), cluster.world.violations)
         assertEquals(2, cluster.world.jobs.values.count { it.acknowledgedStatus == "done" })
-        assertEquals(lostTasks - unrecordedTasks, started.toSet(), "started anew")
-        assertEquals(unrecordedTasks - lostTasks, stopped.toSet(), "stopped")
+        assertEquals(lostTasks - unrecordedTasks, started.toSet(), "tasks started after the outage must be the lost ones")
+        assertEquals(unrecordedTasks - lostTasks, stopped.toSet(), "tasks stopped after the outage must be those of jobs without a record")
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/loopback/StandInServers.kt
+++ b/src/test/kotlin/linemast/loopback/StandInServers.kt
@@ -18,11 +18,12 @@
 import linemast.transport.HttpRequest
 import linemast.transport.HttpResponse
 
-/** The stand-in of the state service behind its protocol, as one controller reaches it. */
+/** Serves one controller's client of the simulated key-value store over the real protocol. */
 internal class StoreServer(private val store: KeyValueStore) {
     suspend fun handle(request: HttpRequest): HttpResponse = try {
         route(request)
     } catch (e: StoreException) {
+        // A call that may have been executed gets no response, so that the client cannot know whether it was.
         if (e.mayHaveExecuted) awaitCancellation()
         HttpResponse(503)
     }
@@ -82,7 +83,7 @@
     }
 }
 
-/** The stand-in of the cloud behind its protocol, as one controller reaches it. */
+/** Serves one controller's client of the simulated cloud over the real protocol. */
 internal class CloudServer(private val cloud: Cloud) {
     suspend fun handle(request: HttpRequest): HttpResponse = when {
         request.path == "/machine_types" -> HttpResponse(200, Cbor.encode(MachineTypeCodec.encode(cloud.listMachineTypes())))
--- a/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
@@ -19,19 +19,21 @@
 import java.nio.file.Path
 
 /**
- * Controllers of a previous build and of this one serve together as real processes on loopback, and the leader is killed until
- * leadership has passed from each build to the other. Not part of CI: the previous build is a jar that `-Dlinemast.previous.jar` names.
+ * Guards against incompatible builds in an upgrade: controllers of a previous build and of this build run together as real processes on
+ * loopback, and the leader is killed repeatedly until leadership has passed from each build to the other. Not part of CI: the previous
+ * build is a jar that `-Dlinemast.previous.jar` names.
  */
 @Tag("loopback")
 class UpgradeLoopbackTest {
     private val previousJar = Path.of(System.getProperty("linemast.previous.jar", "previous.jar"))
+    /** Number of accepted submissions, by whether the controller runs the previous build. */
     private val acceptedCounts = HashMap<Boolean, Int>()
     private val failovers = HashMap<String, Int>()
 
     @ParameterizedTest
     @ValueSource(ints = [1, 2])
     fun `no job is lost and no rule is violated while both builds lead in turn`(previousCount: Int) {
-        assumeTrue(Files.exists(previousJar), "linemast.previous.jar names no file")
+        assumeTrue(Files.exists(previousJar), "linemast.previous.jar does not name an existing file")
         val programs = List(CONTROLLER_COUNT) { if (it < previousCount) previousJar else Path.of("target", "linemast.jar") }
         val options = LoopbackOptions(
             seed = SEED + previousCount,
@@ -46,20 +48,20 @@
             val world = cluster.world
             countAcceptances(world, previousCount)
             val submissions = launch { submitJobs(world) }
-            assertTrue(cluster.await(20_000) { world.startCount > 0 }, "no task was started")
+            assertTrue(cluster.await(20_000) { world.startCount > 0 }, "no task was started in time")
             killLeaders(cluster, previousCount)
             submissions.join()
-            assertTrue(cluster.await(120_000) { world.jobs.values.all { it.acknowledgedStatus != null } }, "jobs that have not ended")
+            assertTrue(cluster.await(120_000) { world.jobs.values.all { it.acknowledgedStatus != null } }, "some jobs did not end in time")
         }
         report(cluster.world, previousCount)
         assertEquals(emptyList<Violation>(), cluster.world.violations)
         val faults = CloudActionHistoryAudit(cluster.world).faults()
         assertEquals(emptyList<Any>(), faults.map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" })
-        assertEquals(setOf(true, false), acceptedCounts.keys, "controllers of both builds have accepted jobs")
-        assertTrue(failovers.keys.containsAll(setOf(PREVIOUS_TO_NEW, NEW_TO_PREVIOUS)), "leadership has not passed both ways: $failovers")
+        assertEquals(setOf(true, false), acceptedCounts.keys, "controllers of both builds must accept jobs; true is the previous build")
+        assertTrue(failovers.keys.containsAll(setOf(PREVIOUS_TO_NEW, NEW_TO_PREVIOUS)), "leadership did not pass both ways: $failovers")
     }
 
-    /** Counts accepted submissions by whether the controller that a user asked last runs the previous build. */
+    /** Counts accepted submissions by whether the controller that a job was last submitted to runs the previous build. */
     private fun countAcceptances(world: SimWorld, previousCount: Int) {
         val lastController = HashMap<String, Int>()
         world.users.chooseController = { job -> world.random.nextInt(CONTROLLER_COUNT).also { lastController[job.id] = it } }
@@ -79,7 +81,7 @@
         }
     }
 
-    /** Kills the leader and starts it again, until each build has followed the other twice. */
+    /** Kills and restarts the leader until leadership has passed from each build to the other twice, [MAX_FAILOVERS] times at most. */
     private suspend fun CoroutineScope.killLeaders(cluster: LoopbackCluster, previousCount: Int) {
         val world = cluster.world
         repeat(MAX_FAILOVERS) {
@@ -103,8 +105,9 @@
         val ends = world.jobs.values.groupingBy { it.acknowledgedStatus }.eachCount()
         println(
             "$previousCount of $CONTROLLER_COUNT controllers of the previous build: " +
-                "accepted by previous/new ${acceptedCounts[true]}/${acceptedCounts[false]}, failovers $failovers, jobs by end $ends, " +
-                "${world.startCount} starts, ${world.cloud.actions.size} cloud actions, violations ${world.violations}",
+                "accepted by previous/new ${acceptedCounts[true]}/${acceptedCounts[false]}, failovers $failovers, " +
+                "jobs by final status $ends, ${world.startCount} task starts, " +
+                "${world.cloud.actions.size} cloud actions, violations ${world.violations}",
         )
     }
 
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -21,12 +21,13 @@
 import linemast.testSpec
 import kotlin.random.Random
 
-/** A job's part in a [FleetScenario]. */
+/** A job that is submitted to a [FleetScenario], with the run time of each of its tasks. */
 internal class ScenarioJob(val spec: JobSpec, val runMicros: Long)
 
 /**
- * A leader's decisions at the size of a whole fleet: workers and users in virtual time around a [Cluster] and a
- * [Autoscaler], without network, store or controllers. All starts are noted, so that two runs can be compared.
+ * Runs the scheduling and autoscaling decisions of a leader at the size of a whole fleet. Simulates workers and users in virtual time
+ * around a [Cluster] and an [Autoscaler], without network, store or controllers. Records all starts of tasks, so that two runs can be
+ * compared.
  */
 internal class FleetScenario(
     private val settings: Settings,
@@ -39,15 +40,26 @@
     private val events = VirtualTimeEvents(startMicros = 1_000_000L)
     private val workers = LinkedHashMap<String, ScenarioWorker>()
     val now: Long get() = events.nowMicros
+    /** Each start of a task in order: its virtual time, the task and its machine. */
     val starts = ArrayList<String>()
+
+    /** Number of running tasks that ended without completing. */
     var lostTaskCount = 0
         private set
+
+    /** Violations of the rule that a task runs on one machine at a time. */
     val violations = ArrayList<String>()
+
+    /** Total elapsed time by operation. */
     val totalNanos = sortedMapOf<String, Long>()
+
+    /** Longest elapsed time of one call by operation. */
     val longestNanos = sortedMapOf<String, Long>()
+
+    /** Virtual times at which the progress record of a completed job is persisted, by job id. */
     val completedJobs = HashMap<String, Long>()
 
-    /** Where each task is that has been started and has not ended. */
+    /** The worker of each task that has been started and has not ended. */
     val workerByTask = HashMap<TaskId, ScenarioWorker>()
     val jobs = HashMap<String, ScenarioJob>()
     val heartbeatIntervalMicros = settings.workers.heartbeatIntervalMicros
@@ -76,7 +88,7 @@
         override fun deleteCancelledJob(job: Job) = Unit
     }
 
-    /** All that a leader holds in memory; a take-over begins with another one. */
+    /** The state that a leader holds in memory; a failover begins with a new one. */
     private inner class LeaderState(val fencingToken: Long) {
         private val runTimeEstimates = RunTimeEstimates()
         private val planner = Planner(settings, Policy(), runTimeEstimates)
@@ -98,7 +110,7 @@
     private val fleet: Fleet get() = leader.fleet
     private val autoscaler: Autoscaler get() = leader.autoscaler
 
-    /** Another controller leads from now on; it knows what the store holds, and nothing else. */
+    /** Replaces the leader by another controller, which begins with the contents of the store and nothing else. */
     fun failOver() {
         val previous = leader
         leader = LeaderState(previous.fencingToken + 1)
@@ -130,7 +142,7 @@
     /** Runs [action] after [afterMicros] of virtual time. */
     fun schedule(afterMicros: Long, action: () -> Unit) = events.schedule(afterMicros, action)
 
-    /** Runs all that is due up to [micros]. */
+    /** Runs all events that are due up to [micros]. */
     fun runUntil(micros: Long) = events.runUntil(micros)
 
     fun submit(spec: JobSpec, runMicros: Long) {
@@ -138,14 +150,15 @@
         cluster.applyJobRecord(JobRecord(spec, now, activated = false, cancelled = false), 1)
     }
 
-    /** A running task has ended without being done. */
+    /** Counts a running task that has ended without completing. */
     fun countLostTask() {
         lostTaskCount++
     }
 
-    /** The time until the next regular heartbeat: a quarter more or less than the interval. */
+    /** Returns the time until the next regular heartbeat: the interval, varied by up to a quarter in both directions. */
     fun heartbeatDelayMicros(): Long = heartbeatIntervalMicros * 3 / 4 + random.nextLong(heartbeatIntervalMicros / 2)
 
+    /** Runs [action] and adds its elapsed time to the measurements of [operation]. */
     fun <T> measure(operation: String, action: () -> T): T {
         val startNanos = System.nanoTime()
         return action().also {
@@ -156,7 +169,7 @@
     }
 
     private fun tick() {
-        measure("tick") { cluster.tick(now) }
+        measure("scheduling") { cluster.tick(now) }
         val actions = measure("autoscaler") { autoscaler.step(now, now) }
         for (request in actions.scaleOuts) {
             schedule(120_000) {
@@ -193,7 +206,7 @@
 
     private fun pollMachineList() {
         val listed = workers.values.map { ListedMachine(it.name, "", it.type.name, it.zone, it.spot, "running", now - it.createdMicros) }
-        measure("list") {
+        measure("machine list") {
             fleet.updateFromList(listed, cluster.machineTypes, now)
             cluster.removeUnlisted(fleet.machines.keys, now)
         }
--- a/src/test/kotlin/linemast/size/FleetScenarioSettings.kt
+++ b/src/test/kotlin/linemast/size/FleetScenarioSettings.kt
@@ -3,7 +3,7 @@
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
 
-/** The settings of a [FleetScenario]: [teams] with [cpus] guaranteed to each, and [maxVcpus] at most. */
+/** Returns the settings of a [FleetScenario]: each of the [teams] has [cpus] vCPUs guaranteed and uses at most [maxVcpus]. */
 internal fun fleetScenarioSettings(teams: List<String>, cpus: Int, maxVcpus: Int): Settings = SettingsReader.parse(
     """
     node_name = "mast-0"
--- a/src/test/kotlin/linemast/size/FleetSizeTest.kt
+++ b/src/test/kotlin/linemast/size/FleetSizeTest.kt
@@ -6,10 +6,13 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The leader's decisions at the size of a whole fleet; the figures printed are what changes to them are compared by. */
+/**
+ * Guards against a leader that, at the size of a whole fleet, starts a task twice or lets jobs wait when machines are lost. The printed
+ * figures serve to compare the leader's decisions before and after a change.
+ */
 class FleetSizeTest {
     @Test
-    fun `arrays and gangs on a fleet of hundreds of machines, some of which die`() {
+    fun `on hundreds of machines, some of which are lost, no task runs twice and more than half of the arrays and gangs are done`() {
         val seed = 7
         val random = Random(seed)
         val zones = listOf("a", "b", "c", "d")
@@ -44,16 +47,16 @@
             if (second == 90) scenario.killRandomWorkers(60)
         }
         println(
-            "seed $seed: ${scenario.starts.size} starts, ${scenario.lostTaskCount} lost, " +
+            "seed $seed: ${scenario.starts.size} task starts, ${scenario.lostTaskCount} running tasks lost, " +
                 "${scenario.completedJobs.size} of $submitted jobs done, " +
-                "hash ${scenario.starts.hashCode()}",
+                "hash of the starts ${scenario.starts.hashCode()}",
         )
         println(
-            "decisions took, in ms: ${scenario.totalNanos.mapValues { it.value / 1_000_000 }}, " +
-                "the longest ${scenario.longestNanos.mapValues { it.value / 1_000_000 }}",
+            "time of the decisions in ms: total ${scenario.totalNanos.mapValues { it.value / 1_000_000 }}, " +
+                "longest ${scenario.longestNanos.mapValues { it.value / 1_000_000 }}",
         )
         assertEquals(emptyList<String>(), scenario.violations)
-        assertTrue(scenario.completedJobs.size > submitted / 2, "no more than ${scenario.completedJobs.size} of $submitted jobs are done")
+        assertTrue(scenario.completedJobs.size > submitted / 2, "only ${scenario.completedJobs.size} of $submitted jobs are done")
     }
 
     private companion object {
--- a/src/test/kotlin/linemast/size/LargeFleetTest.kt
+++ b/src/test/kotlin/linemast/size/LargeFleetTest.kt
@@ -6,10 +6,14 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** The leader's decisions for thousands of machines; printed figures are for comparison, counts are asserted. */
+/**
+ * Guards against a leader that, with thousands of machines, starts a task twice or does not complete a very large job when machines are
+ * lost and the leader changes. The printed figures serve for comparison; the counts of jobs are asserted.
+ */
 class LargeFleetTest {
     @Test
-    fun `4,000 machines, a tenth of which die, a failover, and a job of 100,000 tasks to its end`() = runScenario(machines = 4_000)
+    fun `on 4,000 machines, a tenth of which is lost, no task runs twice and a job of 100,000 tasks is done after a failover`() =
+        runScenario(machines = 4_000)
 
     private fun runScenario(machines: Int) {
         val seed = 31
@@ -44,18 +48,18 @@
             if (second == FAILOVER_SECOND) scenario.failOver()
         }
         println(
-            "seed $seed: ${scenario.starts.size} starts, ${scenario.lostTaskCount} lost, " +
+            "seed $seed: ${scenario.starts.size} task starts, ${scenario.lostTaskCount} running tasks lost, " +
                 "${scenario.completedJobs.size} of $submitted jobs done",
         )
         println(
-            "decisions took, in ms: ${scenario.totalNanos.mapValues { it.value / 1_000_000 }}, " +
-                "${scenario.longestNanos.mapValues { it.value / 1_000_000 }}",
+            "time of the decisions in ms: total ${scenario.totalNanos.mapValues { it.value / 1_000_000 }}, " +
+                "longest ${scenario.longestNanos.mapValues { it.value / 1_000_000 }}",
         )
         assertEquals(emptyList<String>(), scenario.violations)
         assertTrue(largestJob.id in scenario.completedJobs, "the job of 100,000 tasks is not done")
         assertTrue(
             scenario.completedJobs.size > submitted * 3 / 4,
-            "no more than ${scenario.completedJobs.size} of $submitted jobs are done",
+            "only ${scenario.completedJobs.size} of $submitted jobs are done",
         )
     }
 
--- a/src/test/kotlin/linemast/size/ScenarioWorker.kt
+++ b/src/test/kotlin/linemast/size/ScenarioWorker.kt
@@ -9,11 +9,12 @@
 import linemast.domain.TaskState
 import linemast.domain.TaskStatus
 
-/** A task on a machine of a [FleetScenario]. */
+/** An attempt of a task on a machine of a [FleetScenario]. */
 internal class ScenarioTask(private val scenario: FleetScenario, val worker: ScenarioWorker, val task: TaskId, val attempt: Long) {
     var status = TaskState.FETCHING
     var cause: EndCause? = null
 
+    /** Ends the task unless it has ended already. */
     fun end(endCause: EndCause = EndCause.STOPPED) {
         if (status == TaskState.ENDED) return
         if (endCause != EndCause.COMPLETED && status == TaskState.RUNNING) scenario.countLostTask()
@@ -23,7 +24,7 @@
         worker.requestHeartbeat()
     }
 
-    /** The image is there: the task runs, or waits for the rest of its gang. */
+    /** Runs the task after its image has been fetched, or lets the task wait until all tasks of its gang have their image. */
     fun completeFetch() {
         if (status != TaskState.FETCHING) return
         worker.requestHeartbeat()
@@ -44,7 +45,7 @@
     }
 }
 
-/** A machine of a [FleetScenario] with its agent, which sends heartbeats and carries out commands. */
+/** A machine of a [FleetScenario] with its worker process, which sends heartbeats and executes commands. */
 internal class ScenarioWorker(
     private val scenario: FleetScenario,
     val name: String,
@@ -61,7 +62,7 @@
     private var nextHeartbeatMicros = 0L
     private val fetchedImages = HashSet<String>()
 
-    /** Something changed: a heartbeat goes out, half a second after the last one at the earliest. */
+    /** Schedules a heartbeat that reports a change, half a second after the last heartbeat at the earliest. */
     fun requestHeartbeat() = scheduleHeartbeat(maxOf(scenario.now, lastHeartbeatMicros + MIN_HEARTBEAT_INTERVAL_MICROS))
 
     private fun scheduleHeartbeat(micros: Long) {
@@ -70,7 +71,7 @@
         scenario.schedule(micros - scenario.now) { if (nextHeartbeatMicros == micros) sendHeartbeat() }
     }
 
-    /** Sends a heartbeat and carries out the commands of the response. */
+    /** Sends a heartbeat and executes the commands of the response. */
     fun sendHeartbeat() {
         if (isRemoved) return
         lastHeartbeatMicros = scenario.now
@@ -96,7 +97,7 @@
     }
 
     private fun start(key: TaskAttempt) {
-        if (key.task in scenario.workerByTask) scenario.violations += "ran_twice: ${key.task}"
+        if (key.task in scenario.workerByTask) scenario.violations += "started while another attempt has not ended: ${key.task}"
         scenario.starts += "${scenario.now} ${key.task} $name"
         val task = ScenarioTask(scenario, this, key.task, key.attempt)
         tasks[key] = task
--- a/src/test/kotlin/linemast/size/VirtualTimeEvents.kt
+++ b/src/test/kotlin/linemast/size/VirtualTimeEvents.kt
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue
 
-/** Events in virtual time, in the order in which they are due; those that are due together in the order of their scheduling. */
+/**
+ * Runs events in virtual time, in the order in which they are due. Events that are due at the same time run in the order in which they
+ * were scheduled.
+ */
 internal class VirtualTimeEvents(startMicros: Long) {
     private class Event(val atMicros: Long, val sequenceNumber: Long, val action: () -> Unit) : Comparable<Event> {
         override fun compareTo(other: Event) = compareValuesBy(this, other, { it.atMicros }, { it.sequenceNumber })
@@ -11,16 +14,16 @@
     private val queue = PriorityQueue<Event>()
     private var nextSequenceNumber = 0L
 
-    /** The time of the event that runs, or that ran last. */
+    /** The virtual time: that of the event that runs, or the end of the last [runUntil]. */
     var nowMicros = startMicros
         private set
 
-    /** Runs [action] after [afterMicros]. */
+    /** Schedules [action] to run after [afterMicros]. */
     fun schedule(afterMicros: Long, action: () -> Unit) {
         queue.add(Event(nowMicros + afterMicros, nextSequenceNumber++, action))
     }
 
-    /** Runs all events up to [micros]; that is the time afterwards. */
+    /** Runs all events that are due up to [micros] and sets the virtual time to [micros]. */
     fun runUntil(micros: Long) {
         while (queue.isNotEmpty() && queue.peek().atMicros <= micros) {
             val event = queue.poll()
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionRecordsTest.kt
@@ -20,14 +20,17 @@
 import org.junit.jupiter.params.provider.MethodSource
 import java.util.BitSet
 
-/** Records that previous versions, named by their commits, stored are read, and written again to the byte. */
+/**
+ * Guards against a change of a codec after which records of previous versions are unreadable or are rewritten with other bytes. A
+ * previous version is named by its commit.
+ */
 class PreviousVersionRecordsTest {
     private fun recordsOfKind(version: String, kind: String): List<StoredRecord> =
         StoredRecord.recordsOf(version).filter { it.kind == kind }
 
     @ParameterizedTest
     @MethodSource("versions")
-    fun `the records hold every kind that is stored`(version: String) {
+    fun `the test data contain every kind of record that is stored`(version: String) {
         val kinds = setOf(
             "leader", "helm", "types", "j/", "o/", "w/", "d/", "fleet/", "standing/", "plan", "duty/", "admission/plan",
             "admission/demand/", "recovery",
@@ -37,7 +40,7 @@
 
     @ParameterizedTest
     @MethodSource("versions")
-    fun `the records hold every job outcome, job state and duty`(version: String) {
+    fun `the test data contain every job outcome, job state and duty`(version: String) {
         val outcomes = recordsOfKind(version, "j/").map { OutcomeRecordCodec.decode(it.fields).outcome }.toSet()
         assertEquals(JobOutcome.entries.toSet(), outcomes)
         val states = recordsOfKind(version, "o/").map { JobRecordCodec.decode(it.fields) }.map { it.activated to it.cancelled }.toSet()
@@ -48,7 +51,7 @@
 
     @ParameterizedTest
     @MethodSource("recordsWithCodec")
-    fun `a record that is read and written again has the same bytes`(version: String, record: StoredRecord) {
+    fun `a record that is decoded and encoded again has the same bytes`(version: String, record: StoredRecord) {
         assertEquals(record.bytes, Cbor.encode(decodeAndEncode(version, record)).toByteString())
     }
 
@@ -61,7 +64,7 @@
         "duty/" -> IntentCodec.encode(IntentCodec.decode(record.fields))
         "admission/plan" -> AdmissionCodec.encode(AdmissionCodec.decodePlan(record.fields))
         "admission/demand/" -> AdmissionCodec.encode(AdmissionCodec.decodeDemand(record.fields))
-        else -> error("no codec for ${record.key}")
+        else -> error("no codec is known for the record ${record.key}")
     }
 
     private fun decodeAndEncodePart(fields: Fields, part: Int): Map<String, Any?> {
@@ -83,7 +86,7 @@
     companion object {
         private const val MAX_VALUE_BYTES = 8 * 1024
 
-        /** Kinds without a codec of their own, which [PreviousVersionUpgradeTest] covers. */
+        /** Kinds that the leader writes and that have no codec of their own; [PreviousVersionUpgradeTest] covers them. */
         private val kindsWithoutCodec = setOf("leader", "helm", "standing/", "plan", "recovery")
 
         @JvmStatic
--- a/src/test/kotlin/linemast/upgrade/PreviousVersionUpgradeTest.kt
+++ b/src/test/kotlin/linemast/upgrade/PreviousVersionUpgradeTest.kt
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Controllers of this version take over a store that a previous version, named by its commit, has left in the middle of its work. */
+/**
+ * Guards against an upgrade that loses jobs or repeats tasks: controllers of this version start with the store of a previous version, all
+ * of whose controllers stopped while jobs were unfinished. A previous version is named by its commit.
+ */
 class PreviousVersionUpgradeTest {
     private val allFeatures = Features(DutySettings(), AdmissionSettings(), RecoverySettings())
     private val arrayJob = SimJob("req-000001", "north", 12, 1.0, false, false, false, true, 5_000_000, staggerMicros = 3_000_000)
@@ -26,7 +29,7 @@
         SimJob("req-000004", "south", 3, 1.0, false, false, false, true, 100_000_000).also { it.cancelRequested = true }
     private val doneJob = SimJob("req-000005", "south", 3, 1.0, false, false, false, true, 1_000_000)
 
-    /** All controllers of the previous version have ended; those of this one start on what it has stored. */
+    /** Simulates an upgrade: stops all controllers, fills the store with the [records] of a previous version and starts controllers. */
     private fun startOnRecords(records: List<StoredRecord>): SimWorld = simulate(seed = 502, features = allFeatures) { world ->
         repeat(3) { world.killController(it) }
         delay(30_000)
@@ -39,7 +42,7 @@
         delay(200_000)
     }
 
-    /** A job that no record in the store knows, so that the record of the recovery lists one. */
+    /** Runs a job that has no record in the store, so that the record of the reconciliation lists such a job. */
     private fun runUnknownJob(world: SimWorld) {
         val unknownJob = SimJob("req-990000", "north", 1, 1.0, false, false, false, true, 300_000_000)
         world.jobs[unknownJob.id] = unknownJob
@@ -48,7 +51,7 @@
 
     @ParameterizedTest
     @MethodSource("versions")
-    fun `jobs that the previous version has accepted are brought to their end, and completed tasks are not started again`(version: String) {
+    fun `jobs that the previous version accepted reach their final status, and completed tasks are not started again`(version: String) {
         val world = startOnRecords(StoredRecord.snapshotOf(version))
         assertEquals(emptyList<Violation>(), world.violations)
         assertEquals(
@@ -61,7 +64,7 @@
 
     @ParameterizedTest
     @MethodSource("versions")
-    fun `the fencing token goes on from the stored one, and the baseline fleet stays the stored one`(version: String) {
+    fun `the fencing token is the stored one plus one, and the baseline fleet and the machine types stay as stored`(version: String) {
         val world = startOnRecords(StoredRecord.snapshotOf(version))
         val previousToken = stored(version, "helm").long("n")
         assertEquals(previousToken + 1, world.store.valueOf("helm")?.long("n"))
@@ -72,7 +75,7 @@
 
     @ParameterizedTest
     @MethodSource("versions")
-    fun `machines are of the baseline fleet if the stored list names them, also without a record of machines`(version: String) {
+    fun `machines in the stored baseline list belong to the baseline fleet, also without a stored machine registry`(version: String) {
         val world = startOnRecords(StoredRecord.snapshotOf(version).filter { it.kind != "fleet/" })
         val baseline = stored(version, "standing/0").textsOrNull("rigs").orEmpty().toSet()
         val machines = world.store.keysUnder("fleet/").flatMap { checkNotNull(world.store.valueOf(it)).children("rigs") }
@@ -81,11 +84,11 @@
 
     @ParameterizedTest
     @MethodSource("versions")
-    fun `records that the leader writes have the fields that the previous version gave them`(version: String) {
+    fun `records that the leader writes have the same fields as those of the previous version`(version: String) {
         val world = startOnRecords(StoredRecord.snapshotOf(version))
         for (key in listOf("leader", "helm", "plan", "recovery")) {
             val written = world.store.history.filter { it.key == key }.mapNotNull { it.value?.map }
-            assertTrue(written.isNotEmpty(), "$key is written")
+            assertTrue(written.isNotEmpty(), "the leader must write $key")
             val previous = StoredRecord.recordsOf(version).filter { it.key == key }.map { it.fields.map }
             assertEquals(previous.flatMap { it.keys }.toSet(), written.flatMap { it.keys }.toSet(), key)
             assertEquals(emptySet<String>(), written.flatMap(::fieldNames).toSet() - previous.flatMap(::fieldNames).toSet(), key)
@@ -95,7 +98,7 @@
     private fun stored(version: String, key: String): Fields = StoredRecord.snapshotOf(version).single { it.key == key }.fields
 
     companion object {
-        /** Tasks of the array that each snapshot holds as completed, counted from the first one. */
+        /** Number of tasks of the array that each snapshot holds as completed; they are the first ones. */
         private const val COMPLETED_ARRAY_TASKS = 6
 
         @JvmStatic
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -26,8 +26,9 @@
 import org.junit.jupiter.api.Test
 
 /**
- * The records and frames of the version before pipelines, written out: what it wrote has to be read, and what is written now
- * has to pass the readers that it has, which are fixed here. Both versions serve side by side during an upgrade.
+ * Guards against formats that are incompatible with the version before job dependencies, because both versions run side by side during an
+ * upgrade. This version must read the records and frames of that version, which are written out here. That version must read what this
+ * version writes; the fields that its readers require are fixed here.
  */
 class StoredFormatsTest {
     private val legacySpec = mapOf(
@@ -42,7 +43,7 @@
     private fun encodeAndDecode(value: Map<String, Any?>) = Cbor.decodeMap(Cbor.encode(value))
 
     @Test
-    fun `records of jobs are read and rewritten without a loss`() {
+    fun `job records of the version before dependencies are read and rewritten without a loss`() {
         val record = JobRecordCodec.decode(encodeAndDecode(legacyOpenRecord))
         assertEquals(legacyOpenRecord, encodeAndDecode(JobRecordCodec.encode(record)).map)
         assertEquals(
@@ -57,13 +58,13 @@
         }
     }
 
-    /** It asks for these fields, ignores others, and drops them when it rewrites. */
+    /** The version before dependencies requires these fields, ignores all others and loses those when it rewrites a record. */
     @Test
-    fun `what is written now passes the readers of the revision before`() {
+    fun `records written now have what the readers of the version before dependencies require`() {
         val blocked = JobRecord(testSpec("req-2", "awaits" to listOf("req-1")), 5, activated = false, cancelled = false)
         val released = encodeAndDecode(JobRecordCodec.encode(blocked.released(9)))
         assertTrue(released.child("job").map.keys.containsAll(legacySpec.keys - setOf("builds", "due_s")))
-        assertFalse(released.child("job").has("awaits"), "a job that may start awaits nothing: nothing is lost when it is rewritten")
+        assertFalse(released.child("job").has("awaits"), "a released job has no dependencies, so a rewrite of its record loses none")
         assertEquals(listOf(5L, true, false), listOf(released.long("at_us"), released.flag("opened"), released.flag("withdrawn")))
         JobSpecCodec.decode(released.child("job"))
         val rewritten = JobRecordCodec.decode(encodeAndDecode(released.map - "from_us"))
@@ -72,9 +73,9 @@
         assertEquals("open" to 3L, outcome.text("verdict") to outcome.long("pieces"))
     }
 
-    /** Written out as the version that first had pipelines wrote them; it and later ones serve side by side. */
+    /** The records are written out as the first version with dependencies wrote them; that version runs side by side with later ones. */
     @Test
-    fun `records of the first revision with dependencies are read and rewritten without a loss`() {
+    fun `records of the first version with dependencies are read and rewritten without a loss`() {
         val blocked = mapOf(
             "job" to legacySpec + ("awaits" to listOf("req-000398", "req-000405")),
             "at_us" to 1_700_000_000_000_000L,
@@ -88,7 +89,7 @@
         assertEquals(
             released,
             encodeAndDecode(JobRecordCodec.encode(record.released(1_700_000_050_000_000L))).map,
-            "what a release puts in place of it",
+            "the record of the released job replaces that of the blocked one",
         )
         assertEquals(released, encodeAndDecode(JobRecordCodec.encode(JobRecordCodec.decode(encodeAndDecode(released)))).map)
         assertEquals(
@@ -104,7 +105,7 @@
     }
 
     @Test
-    fun `the record of machines keeps its keys and fields`() {
+    fun `the machine registry keeps its keys and fields`() {
         val legacy =
             mapOf("rigs" to listOf(mapOf("rig" to "host-000001", "build" to "g8", "yard" to "a", "loaners" to false, "owned" to true)))
         val registry = MachineRegistry(2_048)
@@ -114,7 +115,7 @@
         assertEquals(7L, registry.revisionOf("fleet/0"))
         val written = registry.register(List(80) { Machine("host-%06d".format(it + 2), types.single(), "b", true) })
         for ((index, key) in written.keys.sorted().withIndex()) {
-            assertEquals("fleet/$index", key, "counted from 0 without a gap")
+            assertEquals("fleet/$index", key, "keys must be numbered from 0 without a gap")
             for (entry in Fields(written.getValue(key)).children("rigs")) {
                 listOf("rig", "build", "yard").forEach(entry::text)
                 listOf("loaners", "owned").forEach(entry::flag)
@@ -122,9 +123,9 @@
         }
     }
 
-    /** It refuses frames of another version, and bytes behind the last job. */
+    /** The version before dependencies refuses frames of another format version and frames with bytes after the last job. */
     @Test
-    fun `frames between controllers are the same to the byte`() {
+    fun `peer status frames keep the same bytes`() {
         val status = PeerStatus(
             "mast-1",
             7,
--- a/src/test/kotlin/linemast/upgrade/StoredRecord.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredRecord.kt
@@ -5,11 +5,11 @@
 import okio.ByteString
 import okio.ByteString.Companion.decodeHex
 
-/** A key and its value as an earlier version wrote them, from a file under `src/test/resources/stored`. */
+/** A key and its value as a previous version wrote them, from a file under `src/test/resources/stored`. */
 class StoredRecord(val key: String, val bytes: ByteString) {
     val fields: Fields get() = Cbor.decodeMap(bytes.toByteArray())
 
-    /** What the records of one kind have in common: their key, without ids, numbers and names of nodes. */
+    /** The key without ids, numbers and node names; all records of one kind share it. */
     val kind: String
         get() = when {
             key.startsWith("admission/demand/") -> "admission/demand/"
@@ -24,15 +24,15 @@
         /** Commits of the versions whose records are kept as test data. */
         val VERSIONS = listOf("21f1c36", "828d18a")
 
-        /** One record or more of each kind, as [version] stored them. */
+        /** Returns at least one record of each kind, as [version] stored them. */
         fun recordsOf(version: String): List<StoredRecord> = load("records-$version.txt")
 
-        /** All records of a store that controllers of [version] have left in the middle of their work. */
+        /** Returns all records of a store whose controllers, of [version], stopped while jobs were unfinished. */
         fun snapshotOf(version: String): List<StoredRecord> = load("snapshot-$version.txt")
 
-        /** Reads the file [name]: a record a line, comments after `#`. */
+        /** Reads the file [name]: one record per line; lines that begin with `#` are comments. */
         private fun load(name: String): List<StoredRecord> {
-            val stream = checkNotNull(StoredRecord::class.java.getResourceAsStream("/stored/$name")) { "no test data $name" }
+            val stream = checkNotNull(StoredRecord::class.java.getResourceAsStream("/stored/$name")) { "test data file $name is missing" }
             return stream.bufferedReader().useLines { lines ->
                 lines.filter { !it.startsWith('#') }.map { line ->
                     val (key, hex) = line.split(' ')
@@ -43,7 +43,7 @@
     }
 }
 
-/** The names of all fields of a value, those of nested maps and of the maps in lists included. */
+/** Returns the names of all fields of a value, including those of nested maps and of maps in lists. */
 internal fun fieldNames(value: Any?): Set<String> = when (value) {
     is Map<*, *> -> value.flatMapTo(sortedSetOf()) { (name, part) -> fieldNames(part).map { "$name.$it" } + name.toString() }
     is List<*> -> value.flatMapTo(sortedSetOf()) { fieldNames(it) }
