--- a/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/RecoveryLoopbackTest.kt
@@ -78,9 +78,8 @@
         )
         println("  commands: ${started.size} starts, ${stopped.size} stops, ${byVerb["clear"].orEmpty().size} acknowledgements")
         println(
-            "  jobs done: ${cluster.world.jobs.values.count {
-                it.acknowledgedStatus == "done"
-            }} of 2; violations: ${cluster.world.violations}",
+            "  jobs done: ${cluster.world.jobs.values.count { it.acknowledgedStatus == "done" }} of 2; " +
+                "violations: ${cluster.world.violations}",
         )
         assertEquals(emptyList<Violation>(), cluster.world.violations)
         assertEquals(2, cluster.world.jobs.values.count { it.acknowledgedStatus == "done" })
--- a/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
@@ -26,6 +26,7 @@
 @Tag("loopback")
 class UpgradeLoopbackTest {
     private val previousJar = Path.of(System.getProperty("linemast.previous.jar", "previous.jar"))
+
     /** Number of accepted submissions, by whether the controller runs the previous build. */
     private val acceptedCounts = HashMap<Boolean, Int>()
     private val failovers = HashMap<String, Int>()
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -40,6 +40,7 @@
     private val events = VirtualTimeEvents(startMicros = 1_000_000L)
     private val workers = LinkedHashMap<String, ScenarioWorker>()
     val now: Long get() = events.nowMicros
+
     /** Each start of a task in order: its virtual time, the task and its machine. */
     val starts = ArrayList<String>()
 
