--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -87,7 +87,7 @@
             audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" },
         )
         assertEquals(emptyList<Violation>(), world.violations)
-        assertTrue(cloudActions.size >= pauseCount / 4, "only ${cloudActions.size} cloud actions in $pauseCount pauses")
+        assertTrue(cloudActions.size >= pauseCount / 4, "only ${cloudActions.size} cloud actions")
     }
 
     private fun writesOpenIntent(write: Write): Boolean =
