--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -4,7 +4,7 @@
 import linemast.planning.Planner
 import linemast.planning.PlanningRequest
 import linemast.planning.ScaleOutEstimates
-import linemast.planning.WaitingStage
+import linemast.planning.BlockedStage
 import linemast.scheduling.Cluster
 import org.slf4j.LoggerFactory
 
@@ -13,18 +13,18 @@
     private val log = LoggerFactory.getLogger(JobPlanning::class.java)
     private val estimates = MachineTypeEstimates(cluster)
     private val plannedIds = HashSet<String>()
-    private var waitingStages: List<WaitingStage> = emptyList()
-    private var waitingIds: Set<String> = emptySet()
+    private var blockedStages: List<BlockedStage> = emptyList()
+    private var blockedIds: Set<String> = emptySet()
 
     /** Returns the number of jobs that have arrived since the latest plan. */
     fun newJobCount(): Int = cluster.jobs.values.count { it.id !in plannedIds && !it.cancelled && !it.finished }
 
     /** Whether a waiting stage has no plan yet, or the plan of a job is outdated. */
     fun hasNewOrChangedStages(): Boolean =
-        cluster.waitingStages.any { it.job.id !in waitingIds } || cluster.jobs.values.any(planner::isOutdated)
+        cluster.blockedStages.any { it.job.id !in blockedIds } || cluster.jobs.values.any(planner::isOutdated)
 
     /** Returns the waiting jobs that start so soon that machines have to be requested for them now. */
-    fun jobsStartingSoon(): List<Job> = waitingStages.filter { it.startsInMicros <= estimates.scaleOutLeadMicros(it.job) }.map { it.job }
+    fun jobsStartingSoon(): List<Job> = blockedStages.filter { it.startsInMicros <= estimates.scaleOutLeadMicros(it.job) }.map { it.job }
 
     /**
      * Plans [jobs], which are in the order in which they get capacity: all of them if [isFull], otherwise only those without a plan
@@ -33,13 +33,13 @@
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
         val baseline = cluster.machines.values.filter { it.isBaseline && !it.draining && nowMicros < it.leaseEndMicros }
         // Waiting stages get the capacity that the other jobs leave, and are planned again when they are released.
-        planner.removePlans(waitingIds)
-        waitingStages = cluster.waitingStages.filter { it.job.id !in cluster.jobs }
-        waitingIds = waitingStages.mapTo(HashSet()) { it.job.id }
+        planner.removePlans(blockedIds)
+        blockedStages = cluster.blockedStages.filter { it.job.id !in cluster.jobs }
+        blockedIds = blockedStages.mapTo(HashSet()) { it.job.id }
         planner.plan(
             PlanningRequest(
                 jobs,
-                stages = waitingStages,
+                stages = blockedStages,
                 baselineMachines = baseline,
                 isExcluded = cluster::isExcluded,
                 ScaleOutEstimates(estimates::startupMicros, estimates::pricePerVcpu),
@@ -50,7 +50,7 @@
         )
         plannedIds.clear()
         jobs.forEach { plannedIds += it.id }
-        planner.retainPlans(plannedIds + waitingIds)
+        planner.retainPlans(plannedIds + blockedIds)
         cluster.plannedBaselineTasks = { job -> baselineSlots(job, nowMicros) }
         cluster.needsScheduling = true
         if (isFull) logPlans(jobs)
--- a/src/main/kotlin/linemast/control/DependencyForecast.kt
+++ b/src/main/kotlin/linemast/control/DependencyForecast.kt
@@ -5,7 +5,7 @@
 import linemast.control.dependencies.PredictedStart
 import linemast.domain.Job
 import linemast.domain.JobRecord
-import linemast.planning.WaitingStage
+import linemast.planning.BlockedStage
 import linemast.scheduling.Cluster
 
 /** Applies priorities and deadlines of blocked jobs to the jobs they depend on, and predicts their starts for the planner. */
@@ -25,14 +25,14 @@
         hasInheritedRequirements = !graph.isEmpty
         val requirements = graph.inheritedRequirements(::durationMicros)
         cluster.jobs.values.forEach { it.applyRequirement(requirements[it.id]) }
-        cluster.waitingStages = graph.predictedStarts(::remainingMicros, ::durationMicros).map { toWaitingStage(it, requirements) }
+        cluster.blockedStages = graph.predictedStarts(::remainingMicros, ::durationMicros).map { toBlockedStage(it, requirements) }
     }
 
-    private fun toWaitingStage(start: PredictedStart, requirements: Map<String, InheritedRequirement>): WaitingStage {
+    private fun toBlockedStage(start: PredictedStart, requirements: Map<String, InheritedRequirement>): BlockedStage {
         val record = start.job.record
         val job = Job(record.released(term.wallMicros() + start.startsInMicros), start.job.revision, inherited = false)
         job.applyRequirement(requirements[job.id])
-        return WaitingStage(job, record.spec.dependencies.toSet(), start.startsInMicros)
+        return BlockedStage(job, record.spec.dependencies.toSet(), start.startsInMicros)
     }
 
     private fun Job.applyRequirement(requirement: InheritedRequirement?) {
--- a/src/main/kotlin/linemast/planning/WaitingStage.kt
+++ b/src/main/kotlin/linemast/planning/BlockedStage.kt
@@ -9,10 +9,10 @@
  * @property dependencies ids of the jobs that [job] waits for, both running and waiting ones.
  * @property startsInMicros estimated time until the last of the [dependencies] ends.
  */
-class WaitingStage(val job: Job, val dependencies: Set<String>, val startsInMicros: Long)
+class BlockedStage(val job: Job, val dependencies: Set<String>, val startsInMicros: Long)
 
 /** A stage in the order of planning; [neighbour] is the adjacent stage planned before it, null for the first of its pipeline. */
-internal class OrderedStage(val stage: WaitingStage, val neighbour: WaitingStage?)
+internal class OrderedStage(val stage: BlockedStage, val neighbour: BlockedStage?)
 
 /**
  * Returns [stages] in the paper's order of planning: from the stage with the highest scale-out cost outward to its parents and
@@ -20,10 +20,10 @@
  *
  * Stages that are connected by dependencies form one pipeline; each pipeline begins with its costliest stage.
  */
-internal fun costliestFirst(stages: List<WaitingStage>, scaleOutCost: (WaitingStage) -> Double): List<OrderedStage> {
+internal fun costliestFirst(stages: List<BlockedStage>, scaleOutCost: (BlockedStage) -> Double): List<OrderedStage> {
     val costs = stages.associateWith(scaleOutCost)
     val neighbours = neighbours(stages)
-    val ordered = LinkedHashMap<WaitingStage, OrderedStage>()
+    val ordered = LinkedHashMap<BlockedStage, OrderedStage>()
     for (first in stages.sortedByDescending { costs.getValue(it) }) {
         if (first in ordered) continue
         ordered[first] = OrderedStage(first, neighbour = null)
@@ -40,9 +40,9 @@
     return ordered.values.toList()
 }
 
-private fun neighbours(stages: List<WaitingStage>): Map<WaitingStage, Set<WaitingStage>> {
+private fun neighbours(stages: List<BlockedStage>): Map<BlockedStage, Set<BlockedStage>> {
     val byId = stages.associateBy { it.job.id }
-    val neighbours = stages.associateWith { LinkedHashSet<WaitingStage>() }
+    val neighbours = stages.associateWith { LinkedHashSet<BlockedStage>() }
     for (stage in stages) {
         for (parent in stage.dependencies.mapNotNull(byId::get)) {
             neighbours.getValue(stage) += parent
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -67,10 +67,10 @@
 
     /** Plans the waiting stages of pipelines in the paper's order; each stage gets about the same throughput as its neighbour. */
     private fun planStages(request: PlanningRequest, stagePlanner: StagePlanner) {
-        fun plan(stage: WaitingStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
+        fun plan(stage: BlockedStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
             stagePlanner.plan(stage, neighbour, request.scaleOutEstimates.startupMicros(stage.job), deadline(stage.job, request), reserve)
 
-        fun scaleOutCost(stage: WaitingStage): Double {
+        fun scaleOutCost(stage: BlockedStage): Double {
             val alone = plan(stage, neighbour = null, reserve = false)
             return alone.scaleOut.sum() * alone.taskMicros * stage.job.spec.vcpus * request.scaleOutEstimates.vcpuPrice(stage.job)
         }
--- a/src/main/kotlin/linemast/planning/PlanningRequest.kt
+++ b/src/main/kotlin/linemast/planning/PlanningRequest.kt
@@ -26,7 +26,7 @@
  */
 class PlanningRequest(
     val jobs: List<Job>,
-    val stages: List<WaitingStage>,
+    val stages: List<BlockedStage>,
     val baselineMachines: Collection<Machine>,
     val isExcluded: (type: MachineType, spot: Boolean, job: Job) -> Boolean,
     val scaleOutEstimates: ScaleOutEstimates,
--- a/src/main/kotlin/linemast/planning/StagePlanner.kt
+++ b/src/main/kotlin/linemast/planning/StagePlanner.kt
@@ -21,7 +21,7 @@
      * [neighbour] is the plan of an adjacent stage of the pipeline. [stage] gets about the same throughput, measured as the share
      * of a stage's tasks completed per unit of time, but never less than its own window requires.
      */
-    fun plan(stage: WaitingStage, neighbour: JobPlan?, startupMicros: Long, deadline: Deadline, reserve: Boolean): JobPlan {
+    fun plan(stage: BlockedStage, neighbour: JobPlan?, startupMicros: Long, deadline: Deadline, reserve: Boolean): JobPlan {
         val taskMicros = runTimes.estimateMicros(stage.job)
         val window = Window(stage.startsInMicros, maxOf(deadline.remainingMicros, stage.startsInMicros + taskMicros), taskMicros)
         val tasks = stage.job.spec.taskCount.toDouble()
@@ -45,20 +45,20 @@
      * Returns the baseline targets of [stage] by interval. A gang is planned as a whole: on baseline machines if they have capacity
      * for all its tasks, otherwise scaled out.
      */
-    private fun baselineTargets(stage: WaitingStage, tasks: Double, window: Window): DoubleArray {
+    private fun baselineTargets(stage: BlockedStage, tasks: Double, window: Window): DoubleArray {
         val throughput = DoubleArray(horizon.intervals) { i -> throughput(stage, window, i) }
         val totalThroughput = throughput.sum()
         if (stage.job.spec.isGang && totalThroughput < tasks) return DoubleArray(horizon.intervals)
         return DoubleArray(horizon.intervals) { i -> baselineTarget(tasks, throughput[i], totalThroughput) }
     }
 
-    private fun throughput(stage: WaitingStage, window: Window, interval: Int): Double {
+    private fun throughput(stage: BlockedStage, window: Window, interval: Int): Double {
         val overlapMicros = overlapMicros(window, interval)
         if (overlapMicros <= 0) return 0.0
         return forecast.freeSlots(stage.job, interval) * JobPlan.tasksPerSlot(overlapMicros, window.taskMicros)
     }
 
-    private fun reserveBaseline(stage: WaitingStage, baseline: DoubleArray, window: Window) {
+    private fun reserveBaseline(stage: BlockedStage, baseline: DoubleArray, window: Window) {
         for (i in baseline.indices) {
             if (baseline[i] <= 0) continue
             forecast.reserve(stage.job, i, baseline[i] / JobPlan.tasksPerSlot(overlapMicros(window, i), window.taskMicros))
@@ -66,7 +66,7 @@
     }
 
     /** Returns scale-out targets that have all [tasks] in the interval in which [stage] starts. */
-    private fun scaleOutTargets(stage: WaitingStage, tasks: Double): DoubleArray {
+    private fun scaleOutTargets(stage: BlockedStage, tasks: Double): DoubleArray {
         val scaleOut = DoubleArray(horizon.intervals)
         scaleOut[(stage.startsInMicros / horizon.intervalMicros).toInt().coerceIn(0, horizon.intervals - 1)] = tasks
         return scaleOut
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -13,7 +13,7 @@
 import linemast.leadership.CancellationFreshness
 import linemast.planning.Planner
 import linemast.planning.RunTimeEstimates
-import linemast.planning.WaitingStage
+import linemast.planning.BlockedStage
 import linemast.recovery.StateReconciliation
 import linemast.settings.Settings
 import org.slf4j.LoggerFactory
@@ -74,7 +74,7 @@
     var plannedBaselineTasks: (Job) -> Int = { 0 }
 
     /** Jobs that are blocked by dependencies whose ends can be predicted. Capacity is planned for them, but they are not scheduled. */
-    var waitingStages: List<WaitingStage> = emptyList()
+    var blockedStages: List<BlockedStage> = emptyList()
 
     /** Whether the state has changed since the last scheduling cycle in a way that may let the scheduler place more tasks. */
     var needsScheduling = true
--- a/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
+++ b/src/test/kotlin/linemast/control/DependencyCoordinatorTest.kt
@@ -53,7 +53,7 @@
         val coordinator = coordinator(client, fixture)
         coordinator.load(client.list(JobKeys.BLOCKED_PREFIX, null).entries)
         coordinator.startDueActions()
-        assertEquals(listOf("req-2"), fixture.cluster.waitingStages.map { it.job.id })
+        assertEquals(listOf("req-2"), fixture.cluster.blockedStages.map { it.job.id })
         assertEquals(JobPriority.HIGH, dependency.priority)
         fixture.cluster.finish(dependency)
         val unrelated = fixture.submit("req-3", 1)
@@ -64,7 +64,7 @@
         coordinator.apply(KeyChange(JobKeys.blocked("req-2"), null, 9))
         fixture.advance(2_000_000)
         coordinator.startDueActions()
-        assertEquals(emptyList<String>(), fixture.cluster.waitingStages.map { it.job.id })
+        assertEquals(emptyList<String>(), fixture.cluster.blockedStages.map { it.job.id })
         assertNull(unrelated.requiredEndWallMicros)
         assertEquals(
             listOf(true, true),
--- a/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -16,7 +16,7 @@
 }
 
 /** An action that the cloud carried out and that has a [fault]. */
-data class FaultyCloudAction(val order: SimCloudAction, val fault: CloudActionFault)
+data class FaultyCloudAction(val action: SimCloudAction, val fault: CloudActionFault)
 
 /** Checks each action that the simulated cloud has carried out against the history of the simulated store. */
 class CloudActionHistoryAudit(private val world: SimWorld) {
@@ -25,12 +25,12 @@
     private val decisions = decisions()
 
     /** Returns the actions that have a fault. */
-    fun faults(): List<FaultyCloudAction> = world.cloud.actions.mapNotNull { order -> faultOf(order)?.let { FaultyCloudAction(order, it) } }
+    fun faults(): List<FaultyCloudAction> = world.cloud.actions.mapNotNull { action -> faultOf(action)?.let { FaultyCloudAction(action, it) } }
 
     /** Returns the number of actions that were carried out after the term that decided them had ended, which is permitted. */
-    fun lateActions(): Int = world.cloud.actions.count { order ->
-        val decided = decisionsOf(order).firstOrNull { it.revision <= order.revision } ?: return@count false
-        leaderAt(order.revision) != decided.intent.id.fencingToken
+    fun lateActions(): Int = world.cloud.actions.count { action ->
+        val decided = decisionsOf(action).firstOrNull { it.revision <= action.revision } ?: return@count false
+        leaderAt(action.revision) != decided.intent.id.fencingToken
     }
 
     private fun decisions(): List<Decision> = world.store.history.mapNotNull { change ->
@@ -43,20 +43,20 @@
     private fun leaderAt(revision: Long): Long? =
         world.store.history.lastOrNull { it.key == "leader" && it.revision <= revision }?.value?.long("helm")
 
-    private fun decisionsOf(order: SimCloudAction): List<Decision> = decisions.filter { decision ->
-        when (val action = decision.intent.action) {
-            is CloudAction.ScaleOut -> action.request == order.scaleOutRequest
-            is CloudAction.ScaleIn -> order.removedMachines.any(action.names::contains)
+    private fun decisionsOf(action: SimCloudAction): List<Decision> = decisions.filter { decision ->
+        when (val decided = decision.intent.action) {
+            is CloudAction.ScaleOut -> decided.request == action.scaleOutRequest
+            is CloudAction.ScaleIn -> action.removedMachines.any(decided.names::contains)
         }
     }
 
-    private fun faultOf(order: SimCloudAction): CloudActionFault? {
-        val earlier = decisionsOf(order).filter { it.revision <= order.revision }
+    private fun faultOf(action: SimCloudAction): CloudActionFault? {
+        val earlier = decisionsOf(action).filter { it.revision <= action.revision }
         val machinesInDecidedScaleIns = earlier.flatMap { (it.intent.action as? CloudAction.ScaleIn)?.names ?: emptyList() }
         return when {
-            earlier.isEmpty() || !machinesInDecidedScaleIns.containsAll(order.removedMachines) -> CloudActionFault.NO_INTENT
+            earlier.isEmpty() || !machinesInDecidedScaleIns.containsAll(action.removedMachines) -> CloudActionFault.NO_INTENT
             earlier.any { it.intent.id.fencingToken != it.leaderToken } -> CloudActionFault.STALE_INTENT
-            order.interruptedTasks.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_TASKS
+            action.interruptedTasks.any { task -> task.startRevision > earlier.maxOf { it.revision } } -> CloudActionFault.INTERRUPTED_TASKS
             else -> null
         }
     }
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -58,11 +58,11 @@
 
     private fun assertOnlyLeadersActed(world: SimWorld, minActions: Int) {
         val audit = CloudActionHistoryAudit(world)
-        val orders = world.cloud.actions
-        println("${orders.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.startCount} starts")
-        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
-        assertTrue(orders.size >= minActions, "only ${orders.size} cloud actions")
-        assertTrue(orders.any { it.scaleOutRequest != null } && orders.any { it.removedMachines.isNotEmpty() })
+        val actions = world.cloud.actions
+        println("${actions.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.startCount} starts")
+        assertEquals(emptyList<Any>(), audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" })
+        assertTrue(actions.size >= minActions, "only ${actions.size} cloud actions")
+        assertTrue(actions.any { it.scaleOutRequest != null } && actions.any { it.removedMachines.isNotEmpty() })
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/linemast/planning/PlanningFixture.kt
+++ b/src/test/kotlin/linemast/planning/PlanningFixture.kt
@@ -16,7 +16,7 @@
 internal fun planningRequest(
     jobs: List<Job> = emptyList(),
     machines: List<Machine> = emptyList(),
-    stages: List<WaitingStage> = emptyList(),
+    stages: List<BlockedStage> = emptyList(),
     replanAll: Boolean = true,
     startupMicros: Long = 0L,
     nowMicros: Long = 0L,
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -104,5 +104,5 @@
     }
 
     private fun stage(id: Int, tasks: Int, dependencies: Set<Int>, startsInS: Int = 10, estimateS: Int = 20, deadlineS: Int = 300) =
-        WaitingStage(job("req-$id", tasks, estimateS, deadlineS), dependencies.mapTo(LinkedHashSet()) { "req-$it" }, startsInS * 1_000_000L)
+        BlockedStage(job("req-$id", tasks, estimateS, deadlineS), dependencies.mapTo(LinkedHashSet()) { "req-$it" }, startsInS * 1_000_000L)
 }
--- a/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
+++ b/src/test/kotlin/linemast/simulation/FaultSimulationTest.kt
@@ -32,8 +32,8 @@
         assertAllWell(world, seed)
         assertEquals(
             emptyList<Any>(),
-            CloudActionHistoryAudit(world).faults().map { (order, fault) ->
-                "$fault: ${order.scaleOutRequest ?: order.removedMachines}"
+            CloudActionHistoryAudit(world).faults().map { (action, fault) ->
+                "$fault: ${action.scaleOutRequest ?: action.removedMachines}"
             },
         )
     }
