--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -1,10 +1,10 @@
 package linemast.autoscaling
 
 import linemast.domain.Job
+import linemast.planning.BlockedStage
 import linemast.planning.Planner
 import linemast.planning.PlanningRequest
 import linemast.planning.ScaleOutEstimates
-import linemast.planning.BlockedStage
 import linemast.scheduling.Cluster
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -24,8 +24,8 @@
     data class ScaleIn(val names: List<String>, override val duty: Duty) : CloudAction
 }
 
-/** State of an intent; all states but [OPEN] are final. [stored] is the text in the store. */
-enum class IntentState(val stored: String) {
+/** State of an intent; all states but [OPEN] are final. [storedName] is the text in the store. */
+enum class IntentState(val storedName: String) {
     /** Committed; the cloud may or may not have carried out the action. */
     OPEN("open"),
 
@@ -44,10 +44,10 @@
 
     /** Looks up states by their stored text. */
     companion object {
-        private val byStored = entries.associateBy { it.stored }
+        private val byStored = entries.associateBy { it.storedName }
 
-        /** Returns the state stored as [stored]; null if there is none. */
-        fun of(stored: String): IntentState? = byStored[stored]
+        /** Returns the state stored as [storedName]; null if there is none. */
+        fun of(storedName: String): IntentState? = byStored[storedName]
     }
 }
 
--- a/src/main/kotlin/linemast/duties/IntentAudit.kt
+++ b/src/main/kotlin/linemast/duties/IntentAudit.kt
@@ -1,7 +1,7 @@
 package linemast.duties
 
-/** Checks stored intents against each [AuditRule]. [scaleOutRetryMicros] is how long a scale-out request is repeated. */
-class IntentAudit(private val scaleOutRetryMicros: Long) {
+/** Checks stored intents against each [AuditRule]. [scaleOutRetryTimeoutMicros] is how long a scale-out request is repeated. */
+class IntentAudit(private val scaleOutRetryTimeoutMicros: Long) {
     /** Returns the findings on [intents] at the wall-clock time [wallMicros], violations first. */
     fun check(intents: List<Intent>, leadership: LeadershipSnapshot, wallMicros: Long): List<AuditFinding> {
         val findings = intents.flatMap { checkTokens(it, leadership) + checkRequestId(it) + checkAge(it, leadership, wallMicros) } +
@@ -42,7 +42,7 @@
 
     private fun checkAge(intent: Intent, leadership: LeadershipSnapshot, wallMicros: Long): List<AuditFinding> {
         val isLeftOpen = !intent.state.isTerminal && intent.id.fencingToken < (leadership.leaderToken ?: 0L)
-        val isOverdue = wallMicros - intent.decidedWallMicros > scaleOutRetryMicros * OVERDUE_FACTOR
+        val isOverdue = wallMicros - intent.decidedWallMicros > scaleOutRetryTimeoutMicros * OVERDUE_FACTOR
         if (!isLeftOpen || !isOverdue) return emptyList()
         val message = "was left open by a previous leader, and the current leader has not closed it in time"
         return listOf(AuditFinding(AuditRule.CLOSED_IN_TIME, intent.id, message))
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -20,7 +20,7 @@
         put("helm", intent.id.fencingToken)
         put("n", intent.id.number)
         put("duty", intent.action.duty.storedName)
-        put("state", intent.state.stored)
+        put("state", intent.state.storedName)
         put("at_us", intent.decidedWallMicros)
         put("count", intent.machineCount)
         intent.closedByToken?.let { put("closed_by", it) }
--- a/src/main/kotlin/linemast/duties/IntentReport.kt
+++ b/src/main/kotlin/linemast/duties/IntentReport.kt
@@ -30,7 +30,7 @@
     private fun cells(intent: Intent): List<String> = listOf(
         intent.id.toString(),
         intent.action.duty.storedName,
-        intent.state.stored,
+        intent.state.storedName,
         timestamp(intent.decidedWallMicros),
         intent.closedByToken?.toString() ?: "",
         intent.machineCount.toString(),
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -21,7 +21,7 @@
     private val wallMicros: () -> Long,
     private val leaderLease: LeaderLease,
     private val writer: IntentWriter,
-    private val scaleOutRetryMicros: Long,
+    private val scaleOutRetryTimeoutMicros: Long,
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
@@ -48,7 +48,7 @@
         return ScaleOutResult.Unknown
     }
 
-    private fun mayRetry(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryMicros
+    private fun mayRetry(intent: Intent): Boolean = wallMicros() - intent.decidedWallMicros < scaleOutRetryTimeoutMicros
 
     /** Treats a request that the cloud rejects as malformed like one without capacity, since no retry can succeed. */
     private suspend fun tryScaleOut(action: CloudAction.ScaleOut): ScaleOutResult = try {
@@ -60,7 +60,7 @@
 
     /** Repeats the scale-in of [names], with exponential back-off, until the cloud confirms it. */
     suspend fun scaleIn(names: List<String>) {
-        var backoffMillis = RETRY_INTERVAL_MILLIS
+        var backOffMillis = RETRY_INTERVAL_MILLIS
         while (true) {
             awaitValidLease()
             try {
@@ -68,8 +68,8 @@
             } catch (e: CloudException) {
                 logger.info("scale-in of {}: {}", names, e.message)
             }
-            delay(backoffMillis)
-            backoffMillis = minOf(backoffMillis * 2, MAX_BACKOFF_MILLIS)
+            delay(backOffMillis)
+            backOffMillis = minOf(backOffMillis * 2, MAX_BACK_OFF_MILLIS)
         }
     }
 
@@ -87,7 +87,7 @@
         const val RETRY_INTERVAL_MILLIS = SECOND_MICROS / 1_000
 
         /** Back-off keeps scale-ins that accumulate in an outage of the cloud from exhausting its rate limit afterwards. */
-        const val MAX_BACKOFF_MILLIS = 16 * RETRY_INTERVAL_MILLIS
+        const val MAX_BACK_OFF_MILLIS = 16 * RETRY_INTERVAL_MILLIS
         const val LEASE_POLL_INTERVAL_MILLIS = 100L
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -60,10 +60,10 @@
     /** Writes queued intents until the term ends or the coroutine is cancelled. */
     suspend fun run() {
         for (first in queue) {
-            val waiting = arrayListOf(first)
-            while (true) waiting += queue.tryReceive().getOrNull() ?: break
-            for (batch in batcher.pack(waiting, IntentWrite::toStoreWrite)) {
-                if (!write(batch)) return failPendingWrites(waiting)
+            val pendingWrites = arrayListOf(first)
+            while (true) pendingWrites += queue.tryReceive().getOrNull() ?: break
+            for (batch in batcher.pack(pendingWrites, IntentWrite::toStoreWrite)) {
+                if (!write(batch)) return failPendingWrites(pendingWrites)
             }
         }
     }
@@ -97,11 +97,11 @@
         return storeResultOrNull(logger) { store.commit(preconditions, writes.map(IntentWrite::toStoreWrite), RequestPriority.HIGH) }
     }
 
-    /** Fails [waiting], all queued writes and all later ones, because the term has ended. */
-    private fun failPendingWrites(waiting: List<IntentWrite>) {
+    /** Fails [pendingWrites], all queued writes and all later ones, because the term has ended. */
+    private fun failPendingWrites(pendingWrites: List<IntentWrite>) {
         val lost = LeadershipLostException(leaderLease.fencingToken)
         queue.close(lost)
-        val unwritten = waiting + generateSequence { queue.tryReceive().getOrNull() }
+        val unwritten = pendingWrites + generateSequence { queue.tryReceive().getOrNull() }
         unwritten.filterIsInstance<IntentWrite.Open>().forEach { it.committed.completeExceptionally(lost) }
     }
 
--- a/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
+++ b/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
@@ -56,12 +56,12 @@
          * allowance. The margin covers clock errors and the time that a worker takes to end its tasks.
          *
          * @param leaseMicros lease of a worker's tasks.
-         * @param cancelMicros time within which the tasks of a cancelled job have to end.
+         * @param cancellationDeadlineMicros time within which the tasks of a cancelled job have to end.
          */
-        fun maxRenewalStalenessMicros(leaseMicros: Long, cancelMicros: Long): Long {
-            val remainingMicros = cancelMicros - leaseMicros
+        fun maxRenewalStalenessMicros(leaseMicros: Long, cancellationDeadlineMicros: Long): Long {
+            val remainingMicros = cancellationDeadlineMicros - leaseMicros
             val marginMicros = minOf(MARGIN_MICROS, remainingMicros / MARGIN_DIVISOR)
-            return remainingMicros - marginMicros - LeaderLease.driftMicros(cancelMicros)
+            return remainingMicros - marginMicros - LeaderLease.driftMicros(cancellationDeadlineMicros)
         }
     }
 }
--- a/src/main/kotlin/linemast/leadership/LeaderLease.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderLease.kt
@@ -79,11 +79,11 @@
          * within the time that a cancellation may take.
          *
          * @param leaseMicros lease of a worker's tasks.
-         * @param cancelMicros time within which the tasks of a cancelled job have to end.
+         * @param cancellationDeadlineMicros time within which the tasks of a cancelled job have to end.
          */
-        fun degradedModeMicros(leaseMicros: Long, cancelMicros: Long): Long {
-            val marginMicros = DEGRADED_MODE_MARGIN_MICROS + driftMicros(cancelMicros)
-            return (cancelMicros - leaseMicros - marginMicros).coerceAtLeast(0)
+        fun degradedModeMicros(leaseMicros: Long, cancellationDeadlineMicros: Long): Long {
+            val marginMicros = DEGRADED_MODE_MARGIN_MICROS + driftMicros(cancellationDeadlineMicros)
+            return (cancellationDeadlineMicros - leaseMicros - marginMicros).coerceAtLeast(0)
         }
     }
 }
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -37,9 +37,9 @@
  *
  * While a job is undecided, its tasks keep running and its results are kept. The job may have been cancelled, and the tasks
  * of a cancelled job have to end in time, so a job stays undecided for at most [timeoutMicros] after the first report of it.
- * That the store has no record of a job is confirmed by another read after [confirmationMicros].
+ * That the store has no record of a job is confirmed by another read after [confirmationDelayMicros].
  */
-class UnknownJobs(private val confirmationMicros: Long, private val timeoutMicros: Long) {
+class UnknownJobs(private val confirmationDelayMicros: Long, private val timeoutMicros: Long) {
     private class Entry(val firstReportedMicros: Long) {
         var state = UnknownJobState.UNDECIDED
         var isLookupPending = false
@@ -97,13 +97,13 @@
 
     private fun recordAbsence(entry: Entry, nowMicros: Long) {
         val firstAbsentMicros = entry.firstAbsentMicros
-        if (firstAbsentMicros != null && nowMicros - firstAbsentMicros >= confirmationMicros) {
+        if (firstAbsentMicros != null && nowMicros - firstAbsentMicros >= confirmationDelayMicros) {
             entry.state = UnknownJobState.UNRECORDED
             return
         }
         val absentSinceMicros = firstAbsentMicros ?: nowMicros
         entry.firstAbsentMicros = absentSinceMicros
-        entry.nextLookupMicros = absentSinceMicros + confirmationMicros
+        entry.nextLookupMicros = absentSinceMicros + confirmationDelayMicros
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/Cluster.kt
+++ b/src/main/kotlin/linemast/scheduling/Cluster.kt
@@ -11,9 +11,9 @@
 import linemast.domain.StoredJobRecord
 import linemast.domain.TaskId
 import linemast.leadership.CancellationFreshness
+import linemast.planning.BlockedStage
 import linemast.planning.Planner
 import linemast.planning.RunTimeEstimates
-import linemast.planning.BlockedStage
 import linemast.recovery.StateReconciliation
 import linemast.settings.Settings
 import org.slf4j.LoggerFactory
@@ -45,7 +45,7 @@
     val fencingToken = term.fencingToken
 
     /** Reconciles the state after an outage; null if the feature is not enabled. */
-    internal val recovery: StateReconciliation? = policies.recovery
+    internal val stateReconciliation: StateReconciliation? = policies.stateReconciliation
 
     /** Open jobs by id, in the order in which they became known. */
     val jobs = LinkedHashMap<String, Job>()
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -124,9 +124,9 @@
     fun unconfirmedAmount(team: String, amount: (Job) -> Double): Double {
         if (isReconciled) return 0.0
         val ofOpenJobs = cluster.jobs.values.filter { it.spec.team == team && !isReconciledFor(it) }.sumOf { it.pendingCount * amount(it) }
-        val ofDoneGangs = finishedUnconfirmedGangs.filter { it.spec.team == team }
+        val ofFinishedGangs = finishedUnconfirmedGangs.filter { it.spec.team == team }
             .sumOf { (it.spec.taskCount - it.placements.size) * amount(it) }
-        return ofOpenJobs + ofDoneGangs
+        return ofOpenJobs + ofFinishedGangs
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
+++ b/src/main/kotlin/linemast/scheduling/HeartbeatHandler.kt
@@ -35,7 +35,7 @@
         if (machine.placements.values.any { outlivesCancellation(it, nowMicros) }) return null
         if (permission == CommandPermission.CANCELLATIONS_ONLY) return taskCommands.stopsOfCancelled(machine)
         cluster.failover.confirmIfTokenShown(machine, nowMicros)
-        cluster.recovery?.recordHeartbeat(machine.name)
+        cluster.stateReconciliation?.recordHeartbeat(machine.name)
         cluster.runCycleIfDue(nowMicros)
         // A worker that does not show this fencing token has received no response of this leader yet, and may never receive one.
         val startsAllowed = permission == CommandPermission.ALL &&
--- a/src/main/kotlin/linemast/scheduling/OptionalPolicies.kt
+++ b/src/main/kotlin/linemast/scheduling/OptionalPolicies.kt
@@ -8,5 +8,5 @@
     /** Round robin that selects the starving arrays to place first; null places all of them first. */
     val roundRobin: FlowRoundRobin? = null,
     /** Reconciles the state after an outage; null if the feature is not enabled. */
-    val recovery: StateReconciliation? = null,
+    val stateReconciliation: StateReconciliation? = null,
 )
--- a/src/main/kotlin/linemast/scheduling/TaskCommands.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskCommands.kt
@@ -26,7 +26,7 @@
         for (task in machine.endedTasks.values) {
             if (mayAcknowledge(machine, task, nowMicros)) commands += Command.Acknowledge(task.task, task.attempt)
         }
-        cluster.recovery?.count(ReconciliationStatistics.Command.ACKNOWLEDGE, commands.size)
+        cluster.stateReconciliation?.count(ReconciliationStatistics.Command.ACKNOWLEDGE, commands.size)
         for (placement in machine.placements.values.toList()) {
             if (commands.size >= MAX_COMMANDS) break
             val command = if (placement.isAssigned) start(placement, startsAllowed, nowMicros) else stop(placement, nowMicros)
@@ -45,14 +45,14 @@
         placement.sentMicros = nowMicros
         cluster.recordStartSent(placement)
         placement.job?.gangAttempt?.isStartSent = true
-        cluster.recovery?.count(ReconciliationStatistics.Command.START)
+        cluster.stateReconciliation?.count(ReconciliationStatistics.Command.START)
         return Command.Start(placement.task, placement.attempt)
     }
 
     /** Returns the stop of a task that may be on the machine; null if the task is to go on. */
     private fun stop(placement: Placement, nowMicros: Long): Command? {
         if (!shouldStop(placement, nowMicros)) return null
-        if (!placement.isStopSent) cluster.recovery?.count(ReconciliationStatistics.Command.STOP)
+        if (!placement.isStopSent) cluster.stateReconciliation?.count(ReconciliationStatistics.Command.STOP)
         placement.isStopSent = true
         return Command.Stop(placement.task, placement.attempt, placement.stopGracePeriodMicros)
     }
@@ -77,7 +77,7 @@
      * Whether a task of the unknown [job] may be stopped and its result discarded. If the reconciliation after an
      * outage is enabled, this is false until the record of the job was looked up in the store.
      */
-    private fun mayDiscard(job: String, nowMicros: Long): Boolean = cluster.recovery?.mayDiscard(job, nowMicros) ?: true
+    private fun mayDiscard(job: String, nowMicros: Long): Boolean = cluster.stateReconciliation?.mayDiscard(job, nowMicros) ?: true
 
     /**
      * Whether the rate limit of commands allows the start of [placement]. Starts of gangs are exempt, so that all of a gang are sent
@@ -86,7 +86,7 @@
     private fun isWithinStartRate(placement: Placement, nowMicros: Long): Boolean =
         placement.job?.spec?.isGang == true || isWithinCommandRate(nowMicros)
 
-    private fun isWithinCommandRate(nowMicros: Long): Boolean = cluster.recovery?.maySendCommand(nowMicros) ?: true
+    private fun isWithinCommandRate(nowMicros: Long): Boolean = cluster.stateReconciliation?.maySendCommand(nowMicros) ?: true
 
     private fun shouldStop(placement: Placement, nowMicros: Long): Boolean {
         val job = placement.job
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -20,7 +20,7 @@
     fun recordEnd(machine: Machine, task: TaskStatus, placement: Placement?, nowMicros: Long) {
         if (placement != null) cluster.remove(placement)
         val job = cluster.jobs[task.task.job]
-        if (job == null) cluster.recovery?.countUnknown(task.key)
+        if (job == null) cluster.stateReconciliation?.countUnknown(task.key)
         if (job == null || task.task.index >= job.spec.taskCount) return
         when (task.cause) {
             EndCause.COMPLETED -> recordCompletion(machine, job, task, placement, nowMicros)
@@ -39,7 +39,7 @@
         for (index in indices) {
             if (!job.markCompleted(index)) continue
             job.storedProgress.dirtyParts.set(CompletedTaskParts.partOf(index))
-            cluster.recovery?.count(ReconciliationStatistics.Difference.UNSTORED_RESULT)
+            cluster.stateReconciliation?.count(ReconciliationStatistics.Difference.UNSTORED_RESULT)
         }
         cluster.needsScheduling = true
     }
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -45,8 +45,14 @@
     }
 
     private fun countFound(job: Job?, attempt: TaskAttempt) {
-        val recovery = cluster.recovery ?: return
-        if (job == null) recovery.countUnknown(attempt) else recovery.count(ReconciliationStatistics.Difference.ADOPTED)
+        val stateReconciliation = cluster.stateReconciliation ?: return
+        if (job ==
+            null
+        ) {
+            stateReconciliation.countUnknown(attempt)
+        } else {
+            stateReconciliation.count(ReconciliationStatistics.Difference.ADOPTED)
+        }
     }
 
     private fun updatePhase(placement: Placement, task: TaskStatus, nowMicros: Long) {
@@ -73,7 +79,7 @@
     }
 
     private fun removeLost(placement: Placement) {
-        cluster.recovery?.count(ReconciliationStatistics.Difference.LOST)
+        cluster.stateReconciliation?.count(ReconciliationStatistics.Difference.LOST)
         if (placement.phase != Placement.Phase.SENT) {
             log.info("{} on {}: not reported any more", placement.task, placement.machine.name)
         }
--- a/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -25,7 +25,9 @@
     private val decisions = decisions()
 
     /** Returns the actions that have a fault. */
-    fun faults(): List<FaultyCloudAction> = world.cloud.actions.mapNotNull { action -> faultOf(action)?.let { FaultyCloudAction(action, it) } }
+    fun faults(): List<FaultyCloudAction> = world.cloud.actions.mapNotNull { action ->
+        faultOf(action)?.let { FaultyCloudAction(action, it) }
+    }
 
     /** Returns the number of actions that were carried out after the term that decided them had ended, which is permitted. */
     fun lateActions(): Int = world.cloud.actions.count { action ->
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -59,8 +59,15 @@
     private fun assertOnlyLeadersActed(world: SimWorld, minActions: Int) {
         val audit = CloudActionHistoryAudit(world)
         val actions = world.cloud.actions
-        println("${actions.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.startCount} starts")
-        assertEquals(emptyList<Any>(), audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" })
+        println(
+            "${actions.size} cloud actions, ${audit.lateActions()} of them after the term that decided them, ${world.startCount} starts",
+        )
+        assertEquals(
+            emptyList<Any>(),
+            audit.faults().map { (action, fault) ->
+                "$fault: ${action.scaleOutRequest ?: action.removedMachines}"
+            },
+        )
         assertTrue(actions.size >= minActions, "only ${actions.size} cloud actions")
         assertTrue(actions.any { it.scaleOutRequest != null } && actions.any { it.removedMachines.isNotEmpty() })
     }
--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -74,12 +74,19 @@
         val actions = world.cloud.actions
         println(
             "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${actions.size} orders " +
-                "(${actions.count { it.scaleOutRequest != null }} rentals, ${actions.count { it.removedMachines.isNotEmpty() }} returns), " +
+                "(${actions.count {
+                    it.scaleOutRequest != null
+                }} rentals, ${actions.count { it.removedMachines.isNotEmpty() }} returns), " +
                 "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
                 "${world.startCount} starts, " +
                 "${world.jobs.values.count { it.acknowledgedStatus == "done" }} of ${world.jobs.size} jobs done",
         )
-        assertEquals(emptyList<Any>(), audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" })
+        assertEquals(
+            emptyList<Any>(),
+            audit.faults().map { (action, fault) ->
+                "$fault: ${action.scaleOutRequest ?: action.removedMachines}"
+            },
+        )
         assertEquals(emptyList<Violation>(), world.violations)
         assertTrue(actions.size >= frozen / 4, "only ${actions.size} orders")
     }
--- a/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
+++ b/src/test/kotlin/linemast/recovery/RecoverySimulationTest.kt
@@ -43,13 +43,19 @@
     private fun liveTasks(machines: Collection<SimWorker>) =
         machines.flatMap { it.tasks.values }.filter { it.status != "ended" }.map { "${it.job}/${it.index}" }.toSet()
 
-    private fun runOutage(seed: Int, enabled: Boolean, outageMillis: Long, losesRecord: Boolean, ordersPerSecond: Double = 200.0): Outcome {
+    private fun runOutage(
+        seed: Int,
+        enabled: Boolean,
+        outageMillis: Long,
+        losesRecord: Boolean,
+        commandsPerSecond: Double = 200.0,
+    ): Outcome {
         val commands = ArrayList<Command>()
         var lost = emptySet<String>()
         var unrecordedTasks = emptySet<String>()
         var jobWithoutOpenRecord: SimJob? = null
         var completedBeforeOutage = 0
-        val features = Features(recovery = RecoverySettings(ordersPerSecond).takeIf { enabled })
+        val features = Features(recovery = RecoverySettings(commandsPerSecond).takeIf { enabled })
         val world = simulate(seed, scale = 50, baselineMachines = 300, features = features) { world ->
             repeat(4) { world.users.submit(arrayJob(it + 1, runMicros = 35_000_000), null) }
             repeat(10) { world.users.submit(gangJob(it + 100), null) }
@@ -114,7 +120,7 @@
 
     @Test
     fun `after an outage longer than a lease all tasks are started again within the rate limit`() {
-        val outcome = runOutage(seed = 72, enabled = true, outageMillis = 12_000, losesRecord = false, ordersPerSecond = 25.0)
+        val outcome = runOutage(seed = 72, enabled = true, outageMillis = 12_000, losesRecord = false, commandsPerSecond = 25.0)
         printOutcome(outcome)
         checkAllEnded(outcome)
         val unfinished = 4 * TASKS + 10 * 2 - outcome.completedBeforeOutage
--- a/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
+++ b/src/test/kotlin/linemast/recovery/UnknownJobsTest.kt
@@ -24,7 +24,7 @@
     fun `the tasks of an unknown job are discarded only if it has ended, was absent in two lookups, or was undecided for too long`() {
         val random = Random(61)
         repeat(500) { round ->
-            val jobs = UnknownJobs(confirmationMicros = 1_000_000, timeoutMicros = 3_000_000)
+            val jobs = UnknownJobs(confirmationDelayMicros = 1_000_000, timeoutMicros = 3_000_000)
             val truth = listOf(
                 OutcomeLookup.Absent,
                 OutcomeLookup.Found(JobOutcome.OPEN),
--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -32,8 +32,8 @@
             sent += worker.nextHeartbeat().also { worker.sequenceNumber-- }
             val before = state(fixture)
             repeat(random.nextInt(3)) {
-                val copy = sent[random.nextInt(sent.size)]
-                if (copy.sequenceNumber < worker.sequenceNumber) assertEquals(emptyList<Command>(), fixture.heartbeat(copy))
+                val delayed = sent[random.nextInt(sent.size)]
+                if (delayed.sequenceNumber < worker.sequenceNumber) assertEquals(emptyList<Command>(), fixture.heartbeat(delayed))
             }
             assertEquals(before, state(fixture))
         }
@@ -56,9 +56,9 @@
         val fixture = ClusterFixture()
         val worker = FakeWorker(fixture, "host-000001")
         worker.heartbeatFor(3)
-        val copy = worker.nextHeartbeat()
+        val delayed = worker.nextHeartbeat()
         fixture.cluster.markTerminated(listOf(worker.name))
-        assertEquals(emptyList<Command>(), fixture.heartbeat(copy))
+        assertEquals(emptyList<Command>(), fixture.heartbeat(delayed))
         assertFalse(worker.name in fixture.cluster.machines)
     }
 
@@ -92,7 +92,7 @@
             val fixture = ClusterFixture()
             val worker = FakeWorker(fixture, "host-000001").apply { incarnation = previousIncarnation }
             worker.heartbeatFor(60)
-            val copy = worker.nextHeartbeat()
+            val delayed = worker.nextHeartbeat()
             worker.incarnation = 1
             worker.sequenceNumber = 0
             worker.fencingToken = 0
@@ -101,7 +101,7 @@
             worker.heartbeatFor(5)
             assertEquals(8, worker.tasks.size)
             val machine = fixture.cluster.machines.getValue(worker.name)
-            assertNull(fixture.cluster.heartbeat(copy, fixture.nowMicros))
+            assertNull(fixture.cluster.heartbeat(delayed, fixture.nowMicros))
             assertEquals(8, machine.placements.size)
             worker.heartbeatFor(2)
             assertEquals(8, machine.placements.size)
@@ -134,7 +134,7 @@
             assertEquals(8, worker.tasks.size)
             fixture.advance(1_000_000)
             val before = job.placements.map { it.key }.toSet()
-            val copy =
+            val delayed =
                 Heartbeat(
                     worker.name,
                     "",
@@ -147,7 +147,7 @@
                     null,
                     emptyList(),
                 )
-            fixture.cluster.heartbeat(copy, fixture.nowMicros)
+            fixture.cluster.heartbeat(delayed, fixture.nowMicros)
             assertEquals(before, job.placements.map { it.key }.toSet())
             worker.sequenceNumber++
             worker.heartbeatFor(3)
