--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -16,8 +16,8 @@
 /**
  * Decides when to plan, and which machines to scale out and in.
  *
- * All jobs are replanned at each long interval, new and changed ones within a second. Machines are scaled out and in after each
- * plan and at each short interval.
+ * All jobs are replanned after each long interval ([Policy.fullPlanIntervalMicros]), new and changed ones within a second. Machines
+ * are scaled out and in after each plan and after each short interval ([Policy.scalingIntervalMicros]).
  */
 class Autoscaler(private val cluster: Cluster, private val fleet: Fleet, private val planner: Planner, policy: Policy) {
     private val log = LoggerFactory.getLogger(Autoscaler::class.java)
--- a/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
+++ b/src/main/kotlin/linemast/autoscaling/JobPlanning.kt
@@ -19,11 +19,11 @@
     /** Returns the number of jobs that have arrived since the latest plan. */
     fun newJobCount(): Int = cluster.jobs.values.count { it.id !in plannedIds && !it.cancelled && !it.finished }
 
-    /** Whether a waiting stage has no plan yet, or the plan of a job is outdated. */
+    /** Whether a blocked stage has no plan yet, or the plan of a job is outdated. */
     fun hasNewOrChangedStages(): Boolean =
         cluster.blockedStages.any { it.job.id !in blockedIds } || cluster.jobs.values.any(planner::isOutdated)
 
-    /** Returns the waiting jobs that start so soon that machines have to be requested for them now. */
+    /** Returns the blocked jobs that start so soon that machines have to be requested for them now. */
     fun jobsStartingSoon(): List<Job> = blockedStages.filter { it.startsInMicros <= estimates.scaleOutLeadMicros(it.job) }.map { it.job }
 
     /**
@@ -32,7 +32,7 @@
      */
     fun plan(jobs: List<Job>, isFull: Boolean, wallMicros: Long, nowMicros: Long) {
         val baseline = cluster.machines.values.filter { it.isBaseline && !it.draining && nowMicros < it.leaseEndMicros }
-        // Waiting stages get the capacity that the other jobs leave, and are planned again when they are released.
+        // Blocked stages get the capacity that the other jobs leave, and are planned again when they are released.
         planner.removePlans(blockedIds)
         blockedStages = cluster.blockedStages.filter { it.job.id !in cluster.jobs }
         blockedIds = blockedStages.mapTo(HashSet()) { it.job.id }
--- a/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
+++ b/src/main/kotlin/linemast/autoscaling/MachineTypeEstimates.kt
@@ -10,7 +10,7 @@
     fun startupMicros(job: Job): Long = typesFor(job).minOfOrNull(MachineType::startupMicros) ?: 0L
 
     /**
-     * Returns how long before [job], a waiting stage, starts its machines are requested: [SCALE_OUT_LEAD_PERCENT] percent of the
+     * Returns how long before [job], a blocked stage, starts its machines are requested: [SCALE_OUT_LEAD_PERCENT] percent of the
      * longest usual startup time, because some machines start up more slowly than usual.
      */
     fun scaleOutLeadMicros(job: Job): Long =
--- a/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
+++ b/src/main/kotlin/linemast/autoscaling/MissingMachines.kt
@@ -11,7 +11,7 @@
  * Scales in registered machines that do not report to a new leader while others do.
  *
  * Most of these machines no longer exist, such as spot machines that were preempted without notice. A confirmed scale-in proves
- * that a machine does not exist, which ends the wait for its unseen tasks before its lease expires. Baseline machines are too
+ * that a machine does not exist, which ends the wait for its unreported tasks before its lease expires. Baseline machines are too
  * hard to replace, and a whole zone may be partitioned from the network: baseline machines and machines in zones that mostly do
  * not report are scaled in only if the cloud does not list them, or lists them as failed.
  */
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -90,7 +90,7 @@
         false
     }
 
-    /** Removes the machines [names] from the leader's state and the registry: the cloud has confirmed that they are gone. */
+    /** Removes the machines [names] from the leader's state and the registry: the cloud has confirmed their scale-in. */
     fun recordScaleInConfirmed(names: List<String>) {
         fleet.recordScaleInConfirmed(names)
         cluster.markTerminated(names)
--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -10,7 +10,7 @@
     override fun toString() = "$fencingToken-$number"
 }
 
-/** An action that the cloud is asked to carry out. Both kinds are idempotent. */
+/** An action that is requested from the cloud. Both kinds are idempotent. */
 sealed interface CloudAction {
     /** The duty that the action belongs to; operators can suspend the actions of a duty. */
     val duty: Duty
@@ -60,7 +60,7 @@
 data class Intent(
     /** Identifies the intent among all intents; see [IntentId]. */
     val id: IntentId,
-    /** What the cloud is asked to do. */
+    /** The action to be requested from the cloud. */
     val action: CloudAction,
     /** Wall-clock time of the decision; precise enough only to estimate the age of the intent. */
     val decidedWallMicros: Long,
--- a/src/main/kotlin/linemast/duties/IntentAudit.kt
+++ b/src/main/kotlin/linemast/duties/IntentAudit.kt
@@ -70,8 +70,11 @@
             .map { (name, scaleIns) -> duplicateScaleIn(name, scaleIns) }
     }
 
-    private fun duplicateScaleIn(name: String, scaleIns: List<Intent>) =
-        AuditFinding(AuditRule.SINGLE_SCALE_IN, scaleIns.last().id, "removes $name like another open scale-in: ${scaleIns.map { it.id }}")
+    private fun duplicateScaleIn(name: String, scaleIns: List<Intent>) = AuditFinding(
+        AuditRule.SINGLE_SCALE_IN,
+        scaleIns.last().id,
+        "removes $name, which is in several open scale-ins; all scale-ins of it: ${scaleIns.map { it.id }}",
+    )
 
     private val Intent.requestId: String? get() = (action as? CloudAction.ScaleOut)?.request?.requestId
 
--- a/src/main/kotlin/linemast/leadership/LeaderLease.kt
+++ b/src/main/kotlin/linemast/leadership/LeaderLease.kt
@@ -32,7 +32,7 @@
     var hasEnded = false
         private set
 
-    /** Whether the leader stepped down while it could have kept the leadership. */
+    /** Whether the leader stepped down although it could still renew its lease. */
     var hasSteppedDown = false
         private set
 
--- a/src/main/kotlin/linemast/planning/BlockedStage.kt
+++ b/src/main/kotlin/linemast/planning/BlockedStage.kt
@@ -3,10 +3,10 @@
 import linemast.domain.Job
 
 /**
- * A job that waits for its dependencies, with the data for planning it before it may start.
+ * A job that is blocked by its dependencies, with the data for planning it before it may start.
  *
- * @property job the job that waits.
- * @property dependencies ids of the jobs that [job] waits for, both running and waiting ones.
+ * @property job the blocked job.
+ * @property dependencies ids of the jobs that [job] depends on, both running and blocked ones.
  * @property startsInMicros estimated time until the last of the [dependencies] ends.
  */
 class BlockedStage(val job: Job, val dependencies: Set<String>, val startsInMicros: Long)
--- a/src/main/kotlin/linemast/planning/PlanningRequest.kt
+++ b/src/main/kotlin/linemast/planning/PlanningRequest.kt
@@ -16,7 +16,7 @@
  * The input of one planning cycle.
  *
  * @property jobs jobs that may start, in the order in which they get capacity.
- * @property stages jobs that wait for their dependencies; they are planned last, on the capacity that [jobs] leave.
+ * @property stages jobs that are blocked by their dependencies; they are planned last, on the capacity that [jobs] leave.
  * @property baselineMachines machines whose free capacity is forecast.
  * @property isExcluded whether a job must not use machines of a type, spot or on-demand, although its tasks fit on them.
  * @property scaleOutEstimates startup times and prices of the machines that could be scaled out.
--- a/src/main/kotlin/linemast/scheduling/JobRanking.kt
+++ b/src/main/kotlin/linemast/scheduling/JobRanking.kt
@@ -9,9 +9,9 @@
     val job: Job,
     /** Whether the job fits within its team's quota, together with the team's earlier jobs. */
     val withinQuota: Boolean,
-    /** How many service-level objectives it can no longer meet. */
+    /** How many service-level objectives the job can no longer meet. */
     val missedObjectives: Int,
-    /** Wall time by which it should complete. */
+    /** Wall time by which the job should complete. */
     val deadlineMicros: Long,
 ) {
     /** Whether the job is a gang of which some tasks are placed and wait for the others. */
--- a/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/QuotaPreemption.kt
@@ -23,7 +23,7 @@
     /** Tasks that are expected to complete soon enough for a job; each is claimed by one job only. */
     private val endingSoon = HashSet<Placement>()
 
-    /** Arrays with placements that are beyond their team's quota. */
+    /** Arrays beyond their team's quota that have placements. */
     private val borrowingJobs: List<Job> by lazy {
         cycle.jobs.filter { !it.withinQuota && !it.job.spec.isGang && it.job.placements.isNotEmpty() }.map { it.job }
     }
--- a/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
+++ b/src/main/kotlin/linemast/scheduling/SchedulingCycle.kt
@@ -31,6 +31,6 @@
         machines.recordUnassigned(placement)
     }
 
-    /** Whether [machine] is currently reserved from [job] for another job whose image the machine has. */
+    /** Whether [job] leaves [machine], for now, to another job whose image the machine has. */
     fun isLeftToAnother(job: Job, machine: Machine): Boolean = respectsImageAffinity && imageAffinity.prefersAnother(job, machine)
 }
--- a/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/linemast/control/dependencies/DependencyGraphTest.kt
@@ -20,7 +20,7 @@
 )
 
 /**
- * Guards against jobs that are released too early, cancelled without reason, or blocked for ever.
+ * Guards against jobs that are released too early, cancelled without reason, or blocked forever.
  *
  * Such faults come about when records and outcomes arrive in any order, commits fail, or reads get no response.
  */
@@ -148,7 +148,7 @@
     }
 
     fun checkAllEnded(description: String) {
-        assertEquals(emptySet<Int>(), blocked, "$description: no job stays blocked for ever")
+        assertEquals(emptySet<Int>(), blocked, "$description: no job stays blocked forever")
         assertTrue(graph.isEmpty)
         for (id in 0 until count) {
             val isCancelledWithDependency = outcomes[id] == JobOutcome.CANCELLED && dependencies.getValue(id).any(::isCancelled)
--- a/src/test/kotlin/linemast/planning/StagePlannerTest.kt
+++ b/src/test/kotlin/linemast/planning/StagePlannerTest.kt
@@ -42,10 +42,10 @@
         assertEquals(40.0 / 3, childPlan.scaleOutSlots, 1e-6, "three tasks per slot as for the neighbour, not the sixteen of the window")
     }
 
-    /** Guards against a waiting stage taking capacity from jobs that may start: their plans are the same with and without stages. */
+    /** Guards against a blocked stage that takes capacity from jobs that may start: their plans are the same with and without stages. */
     @ParameterizedTest
     @ValueSource(ints = [12])
-    fun `waiting stages do not change the plans of jobs that may start`(seed: Int) {
+    fun `blocked stages do not change the plans of jobs that may start`(seed: Int) {
         val random = Random(seed)
         repeat(100) {
             val jobs =
