--- a/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/linemast/autoscaling/Autoscaler.kt
@@ -17,7 +17,7 @@
  * Decides when to plan, and which machines to scale out and in.
  *
  * All jobs are replanned after each long interval ([Policy.fullPlanIntervalMicros]), new and changed ones within a second. Machines
- * are scaled out and in after each plan and after each short interval ([Policy.scalingIntervalMicros]).
+ * are scaled out and in after each plan and after each scaling interval ([Policy.scalingIntervalMicros]).
  */
 class Autoscaler(private val cluster: Cluster, private val fleet: Fleet, private val planner: Planner, policy: Policy) {
     private val log = LoggerFactory.getLogger(Autoscaler::class.java)
@@ -62,7 +62,7 @@
 
     /**
      * Makes scaling due at once, so that after a refused or partly granted request the next machine shape is requested before the
-     * short interval ends.
+     * scaling interval ends.
      */
     fun scaleSoon() = scalingTimer.expire()
 
--- a/src/main/kotlin/linemast/control/CloudOperations.kt
+++ b/src/main/kotlin/linemast/control/CloudOperations.kt
@@ -34,7 +34,7 @@
         if (!actions.scaleIns.isEmpty) executor.split(actions.scaleIns).forEach(::scaleIn)
     }
 
-    /** Retries a request that got no response under the same id, which the cloud carries out at most once. */
+    /** Sends [request], and repeats it under the same id if it gets no response; the cloud carries out each id at most once. */
     private suspend fun scaleOut(request: ScaleOutRequest) {
         repeat(MAX_SCALE_OUT_ATTEMPTS) {
             if (!term.lease.mayIssueCommands(term.clock.nowMicros())) return@repeat
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -25,9 +25,7 @@
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
-    /**
-     * Repeats the request until the cloud responds or the intent is too old; returns [ScaleOutResult.Unknown] if it is too old.
-     */
+    /** Repeats the request until the cloud responds or the intent is too old; returns [ScaleOutResult.Unknown] if it is too old. */
     suspend fun scaleOut(open: StoredIntent, action: CloudAction.ScaleOut): ScaleOutResult {
         while (mayRetry(open.intent)) {
             awaitValidLease()
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -31,7 +31,7 @@
     fun deadlineWallMicros(job: Job): Long = deadlines.wallMicros(job)
 
     /**
-     * Whether [job] has to end more than a short interval before the deadline in its plan, because a job that depends on it
+     * Whether [job] has to end more than one scaling interval before the deadline in its plan, because a job that depends on it
      * was accepted after it was planned.
      */
     fun isOutdated(job: Job): Boolean {
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -41,7 +41,7 @@
 
     /**
      * Preempts tasks in [zone], or in any zone if it is null, so that the [missing] tasks of [gang] fit soon, and reserves the
-     * machines for the gang. Returns whether the gang will get enough capacity; if not, no task is preempted.
+     * machines for the gang. Returns whether the gang can expect enough capacity; if not, no task is preempted.
      */
     fun preemptForCapacity(gang: Job, zone: String?, missing: Int, cycle: SchedulingCycle): Boolean {
         // The reserved machines become free without preemption; preempting tasks would only withhold capacity from other jobs.
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -45,14 +45,8 @@
     }
 
     private fun countFound(job: Job?, attempt: TaskAttempt) {
-        val stateReconciliation = cluster.stateReconciliation ?: return
-        if (job ==
-            null
-        ) {
-            stateReconciliation.countUnknown(attempt)
-        } else {
-            stateReconciliation.count(ReconciliationStatistics.Difference.ADOPTED)
-        }
+        val reconciliation = cluster.stateReconciliation ?: return
+        if (job == null) reconciliation.countUnknown(attempt) else reconciliation.count(ReconciliationStatistics.Difference.ADOPTED)
     }
 
     private fun updatePhase(placement: Placement, task: TaskStatus, nowMicros: Long) {
