--- a/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/DutyLoopbackTest.kt
@@ -71,24 +71,17 @@
         }
         val world = cluster.world
         val audit = CloudActionHistoryAudit(world)
-        val actions = world.cloud.actions
+        val orders = world.cloud.actions
         println(
-            "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${actions.size} orders " +
-                "(${actions.count {
-                    it.scaleOutRequest != null
-                }} rentals, ${actions.count { it.removedMachines.isNotEmpty() }} returns), " +
+            "seed $seed: $frozen freezes ($afterCommit just after the commit of an intent), ${terms.size} terms, ${orders.size} orders " +
+                "(${orders.count { it.scaleOutRequest != null }} rentals, ${orders.count { it.removedMachines.isNotEmpty() }} returns), " +
                 "${audit.lateActions()} carried out after the term that decided them, ${audit.faults().size} of a stale holder; " +
                 "${world.startCount} starts, " +
                 "${world.jobs.values.count { it.acknowledgedStatus == "done" }} of ${world.jobs.size} jobs done",
         )
-        assertEquals(
-            emptyList<Any>(),
-            audit.faults().map { (action, fault) ->
-                "$fault: ${action.scaleOutRequest ?: action.removedMachines}"
-            },
-        )
+        assertEquals(emptyList<Any>(), audit.faults().map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
         assertEquals(emptyList<Violation>(), world.violations)
-        assertTrue(actions.size >= frozen / 4, "only ${actions.size} orders")
+        assertTrue(orders.size >= frozen / 4, "only ${orders.size} orders")
     }
 
     private fun beginsAction(write: Write): Boolean =
--- a/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
@@ -54,7 +54,7 @@
         report(cluster.world, previousCount)
         assertEquals(emptyList<Violation>(), cluster.world.violations)
         val faults = CloudActionHistoryAudit(cluster.world).faults()
-        assertEquals(emptyList<Any>(), faults.map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" })
+        assertEquals(emptyList<Any>(), faults.map { (order, fault) -> "$fault: ${order.scaleOutRequest ?: order.removedMachines}" })
         assertEquals(setOf(true, false), accepted.keys, "controllers of both builds have accepted jobs")
         assertTrue(failovers.keys.containsAll(setOf(PREVIOUS_TO_NEW, NEW_TO_PREVIOUS)), "leadership has not passed both ways: $failovers")
     }
