--- a/src/main/kotlin/linemast/duties/Intent.kt
+++ b/src/main/kotlin/linemast/duties/Intent.kt
@@ -44,10 +44,10 @@
 
     /** Looks up states by their stored text. */
     companion object {
-        private val byStored = entries.associateBy { it.storedName }
+        private val byStoredName = entries.associateBy { it.storedName }
 
         /** Returns the state stored as [storedName]; null if there is none. */
-        fun of(storedName: String): IntentState? = byStored[storedName]
+        fun of(storedName: String): IntentState? = byStoredName[storedName]
     }
 }
 
--- a/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
+++ b/src/test/kotlin/linemast/duties/CloudActionHistoryAudit.kt
@@ -25,9 +25,8 @@
     private val decisions = decisions()
 
     /** Returns the actions that have a fault. */
-    fun faults(): List<FaultyCloudAction> = world.cloud.actions.mapNotNull { action ->
-        faultOf(action)?.let { FaultyCloudAction(action, it) }
-    }
+    fun faults(): List<FaultyCloudAction> =
+        world.cloud.actions.mapNotNull { action -> faultOf(action)?.let { FaultyCloudAction(action, it) } }
 
     /** Returns the number of actions that were carried out after the term that decided them had ended, which is permitted. */
     fun lateActions(): Int = world.cloud.actions.count { action ->
@@ -46,9 +45,9 @@
         world.store.history.lastOrNull { it.key == "leader" && it.revision <= revision }?.value?.long("helm")
 
     private fun decisionsOf(action: SimCloudAction): List<Decision> = decisions.filter { decision ->
-        when (val decided = decision.intent.action) {
-            is CloudAction.ScaleOut -> decided.request == action.scaleOutRequest
-            is CloudAction.ScaleIn -> action.removedMachines.any(decided.names::contains)
+        when (val intended = decision.intent.action) {
+            is CloudAction.ScaleOut -> intended.request == action.scaleOutRequest
+            is CloudAction.ScaleIn -> action.removedMachines.any(intended.names::contains)
         }
     }
 
--- a/src/test/kotlin/linemast/duties/DutySimulationTest.kt
+++ b/src/test/kotlin/linemast/duties/DutySimulationTest.kt
@@ -35,15 +35,15 @@
     private fun runSimulation(
         seed: Int,
         enabled: Boolean = true,
-        before: (SimWorld) -> Unit = {},
-        script: suspend TestScope.(SimWorld) -> Unit,
+        configure: (SimWorld) -> Unit = {},
+        scenario: suspend TestScope.(SimWorld) -> Unit,
     ): SimWorld = simulate(
         seed,
         baselineMachines = 1,
         features = Features(DutySettings().takeIf { enabled }),
         policy = fastScalingPolicy,
-        configure = before,
-        scenario = script,
+        configure = configure,
+        scenario = scenario,
     )
 
     private suspend fun submitContinuously(world: SimWorld) {
@@ -64,9 +64,7 @@
         )
         assertEquals(
             emptyList<Any>(),
-            audit.faults().map { (action, fault) ->
-                "$fault: ${action.scaleOutRequest ?: action.removedMachines}"
-            },
+            audit.faults().map { (action, fault) -> "$fault: ${action.scaleOutRequest ?: action.removedMachines}" },
         )
         assertTrue(actions.size >= minActions, "only ${actions.size} cloud actions")
         assertTrue(actions.any { it.scaleOutRequest != null } && actions.any { it.removedMachines.isNotEmpty() })
@@ -109,7 +107,7 @@
         val speeds = listOf(0.5, 1.0, 2.0)
         val world = runSimulation(
             seed = 3,
-            before = { world -> world.clockOf = { at -> Clock { (world.clock.nowMicros() * speeds[at]).toLong() } } },
+            configure = { world -> world.clockOf = { at -> Clock { (world.clock.nowMicros() * speeds[at]).toLong() } } },
         ) { world ->
             launchLoad(world)
             pauseLeaderBeforeCalls(world)
@@ -128,7 +126,7 @@
         val jumps = LongArray(3)
         val world = runSimulation(
             seed = 6,
-            before = { world -> world.clockOf = { at -> Clock { world.clock.nowMicros() + jumps[at] } } },
+            configure = { world -> world.clockOf = { at -> Clock { world.clock.nowMicros() + jumps[at] } } },
         ) { world ->
             launchLoad(world)
             world.cloud.lateActionProbability = 0.1
