--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -25,9 +25,7 @@
 ) {
     private val logger = LoggerFactory.getLogger(IntentRunner::class.java)
 
-    /**
-     * Repeats the request until the cloud responds or the intent is too old; returns [ScaleOutResult.Unknown] if it is too old.
-     */
+    /** Repeats the request until the cloud responds or the intent is too old; returns [ScaleOutResult.Unknown] if it is too old. */
     suspend fun scaleOut(open: StoredIntent, action: CloudAction.ScaleOut): ScaleOutResult {
         while (mayRetry(open.intent)) {
             awaitValidLease()
@@ -60,7 +58,7 @@
 
     /** Repeats the scale-in of [names], with exponential back-off, until the cloud confirms it. */
     suspend fun scaleIn(names: List<String>) {
-        var backoffMillis = RETRY_INTERVAL_MILLIS
+        var backOffMillis = RETRY_INTERVAL_MILLIS
         while (true) {
             awaitValidLease()
             try {
@@ -68,8 +66,8 @@
             } catch (e: CloudException) {
                 logger.info("scale-in of {}: {}", names, e.message)
             }
-            delay(backoffMillis)
-            backoffMillis = minOf(backoffMillis * 2, MAX_BACKOFF_MILLIS)
+            delay(backOffMillis)
+            backOffMillis = minOf(backOffMillis * 2, MAX_BACK_OFF_MILLIS)
         }
     }
 
@@ -87,7 +85,7 @@
         const val RETRY_INTERVAL_MILLIS = SECOND_MICROS / 1_000
 
         /** Back-off keeps scale-ins that accumulate in an outage of the cloud from exhausting its rate limit afterwards. */
-        const val MAX_BACKOFF_MILLIS = 16 * RETRY_INTERVAL_MILLIS
+        const val MAX_BACK_OFF_MILLIS = 16 * RETRY_INTERVAL_MILLIS
         const val LEASE_POLL_INTERVAL_MILLIS = 100L
     }
 }
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -31,7 +31,7 @@
     fun deadlineWallMicros(job: Job): Long = deadlines.wallMicros(job)
 
     /**
-     * Whether [job] has to end more than a short interval before the deadline in its plan, because a job that depends on it
+     * Whether [job] has to end more than one scaling interval before the deadline in its plan, because a job that depends on it
      * was accepted after it was planned.
      */
     fun isOutdated(job: Job): Boolean {
@@ -65,12 +65,12 @@
         return Deadline(deadlineWallMicros, deadlineWallMicros - request.wallMicros)
     }
 
-    /** Plans the waiting stages of pipelines in the paper's order; each stage gets about the same throughput as its neighbour. */
+    /** Plans the blocked stages of pipelines in the paper's order; each stage gets about the same throughput as its neighbour. */
     private fun planStages(request: PlanningRequest, stagePlanner: StagePlanner) {
-        fun plan(stage: WaitingStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
+        fun plan(stage: BlockedStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
             stagePlanner.plan(stage, neighbour, request.scaleOutEstimates.startupMicros(stage.job), deadline(stage.job, request), reserve)
 
-        fun scaleOutCost(stage: WaitingStage): Double {
+        fun scaleOutCost(stage: BlockedStage): Double {
             val alone = plan(stage, neighbour = null, reserve = false)
             return alone.scaleOut.sum() * alone.taskMicros * stage.job.spec.vcpus * request.scaleOutEstimates.vcpuPrice(stage.job)
         }
