--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -14,7 +14,7 @@
 import linemast.transport.HttpServer
 import org.slf4j.LoggerFactory
 
-/** One controller: a [Node] and its sockets, all of which run on [loop]. */
+/** One controller: a [ControllerNode] and its sockets, all of which run on [loop]. */
 class Controller(private val configuration: ControllerConfiguration, private val loop: EventLoop) {
     private val settings = configuration.settings
     private val log = LoggerFactory.getLogger(Controller::class.java)
@@ -23,7 +23,7 @@
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
         val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllerCount, clock)
-        val node = Node(
+        val node = ControllerNode(
             configuration = configuration,
             store = store,
             cloud = CloudClient(loop, settings.cloudAddress, settings.cloudLimits, clock),
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/ControllerNode.kt
@@ -28,7 +28,7 @@
  *
  * All its code runs on one thread, in [scope].
  */
-class Node(
+class ControllerNode(
     private val configuration: ControllerConfiguration,
     private val store: KeyValueStore,
     cloud: Cloud,
@@ -92,7 +92,7 @@
         settings = JobServiceSettings(
             teams = settings.teams.associateBy { it.name },
             maxValueBytes = settings.storeLimits.maxValueBytes,
-            cancellationMicros = settings.workers.cancellationDeadlineMicros,
+            cancellationDeadlineMicros = settings.workers.cancellationDeadlineMicros,
         ),
         store = store,
         scope = scope,
--- a/src/main/kotlin/linemast/jobs/JobService.kt
+++ b/src/main/kotlin/linemast/jobs/JobService.kt
@@ -18,7 +18,7 @@
     /** Size limit of a stored value in bytes: the lowest of all limits that may take effect. */
     val maxValueBytes: Int,
     /** Time within which a cancellation has to reach the jobs that depend on the cancelled one. */
-    val cancellationMicros: Long,
+    val cancellationDeadlineMicros: Long,
 )
 
 /**
@@ -41,8 +41,8 @@
     admission: AdmissionController? = null,
 ) {
     private val log = LoggerFactory.getLogger(JobService::class.java)
-    private val outcomes = OutcomeReader(store, scope, clock, settings.cancellationMicros / OUTCOME_AGE_DIVISOR)
-    private val dependencyCheck = DependencyCheck(outcomes, scope, settings.cancellationMicros / DEPENDENCY_CHECK_DIVISOR)
+    private val outcomes = OutcomeReader(store, scope, clock, settings.cancellationDeadlineMicros / OUTCOME_AGE_DIVISOR)
+    private val dependencyCheck = DependencyCheck(outcomes, scope, settings.cancellationDeadlineMicros / DEPENDENCY_CHECK_DIVISOR)
     private val statusReporter = JobStatusReporter(progress)
     private val cancellation = CancellationHandler(store, outcomes, statusReporter, machineTypes)
     private val statusQuery = StatusQueryHandler(outcomes, dependencyCheck, cancellation, statusReporter)
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -18,7 +18,7 @@
  * Calls fail with a [StoreException]. Lease calls and watches have connections of their own, so that neither of them waits
  * for other calls.
  */
-class KeyValueStoreClient(loop: EventLoop, address: Address, limits: StoreLimits, controllers: Int, clock: Clock) : KeyValueStore {
+class KeyValueStoreClient(loop: EventLoop, address: Address, limits: StoreLimits, controllerCount: Int, clock: Clock) : KeyValueStore {
     private val calls = HttpClient(loop, address, MAX_CALL_CONNECTIONS, MAX_RESPONSE_BYTES)
     private val leaseCalls = HttpClient(loop, address, 1)
     private val watches = HttpClient(loop, address, MAX_WATCH_CONNECTIONS, MAX_RESPONSE_BYTES)
--- a/src/main/kotlin/linemast/store/StoreHealthProbe.kt
+++ b/src/main/kotlin/linemast/store/StoreHealthProbe.kt
@@ -22,12 +22,12 @@
     /** Reads [key] once a second until the coroutine is cancelled. */
     suspend fun run(key: String) {
         while (true) {
-            failingSinceMicros = if (responds(key)) null else failingSinceMicros ?: clock.nowMicros()
+            failingSinceMicros = if (readSucceeds(key)) null else failingSinceMicros ?: clock.nowMicros()
             delay(PROBE_PERIOD_MILLIS)
         }
     }
 
-    private suspend fun responds(key: String): Boolean = try {
+    private suspend fun readSucceeds(key: String): Boolean = try {
         store.get(key)
         true
     } catch (e: StoreException) {
--- a/src/main/kotlin/linemast/store/StoreRateLimiter.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimiter.kt
@@ -11,9 +11,9 @@
  *
  * A call that would have to wait longer than the queue timeout of its priority fails with [StoreException.RateLimited].
  */
-internal class StoreRateLimiter(limits: StoreLimits, controllers: Int, private val clock: Clock) {
+internal class StoreRateLimiter(limits: StoreLimits, controllerCount: Int, private val clock: Clock) {
     private val log = LoggerFactory.getLogger(StoreRateLimiter::class.java)
-    private val rates = StoreRateLimits(limits, controllers)
+    private val rates = StoreRateLimits(limits, controllerCount)
     private val requests = TokenBucket(rates.requestsPerSecond)
     private val writes = TokenBucket(rates.writesPerSecond)
 
--- a/src/main/kotlin/linemast/store/StoreRateLimits.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimits.kt
@@ -9,18 +9,18 @@
  * within their shares shows that the next limits are in effect. From then on they are applied, the limit of writes
  * and the limit of requests separately.
  */
-class StoreRateLimits(private val limits: StoreLimits, private val controllers: Int) {
+class StoreRateLimits(private val limits: StoreLimits, private val controllerCount: Int) {
     /** Whether this controller is the leader, whose share of the writes is larger. */
     var isLeader = false
     private var clusterRequestsPerSecond = limits.rps
     private var clusterWritesPerSecond = limits.writeRps
 
     /** Number of requests of any kind that this controller may send per second. */
-    val requestsPerSecond: Double get() = clusterRequestsPerSecond * USED_SHARE / controllers
+    val requestsPerSecond: Double get() = clusterRequestsPerSecond * USED_SHARE / controllerCount
 
     /** Number of keys that this controller may change per second. */
     val writesPerSecond: Double
-        get() = clusterWritesPerSecond * USED_SHARE * (if (isLeader) LEADER_WEIGHT else 1.0) / (controllers - 1 + LEADER_WEIGHT)
+        get() = clusterWritesPerSecond * USED_SHARE * (if (isLeader) LEADER_WEIGHT else 1.0) / (controllerCount - 1 + LEADER_WEIGHT)
 
     /** Applies the next limit of writes or of requests after a call was refused for its rate; returns whether that changes a rate. */
     fun tightenAfterRefusal(isCommit: Boolean): Boolean {
--- a/src/test/kotlin/linemast/jobs/JobServiceFixture.kt
+++ b/src/test/kotlin/linemast/jobs/JobServiceFixture.kt
@@ -38,7 +38,7 @@
     settings = JobServiceSettings(
         teams = listOf("team", "other").associateWith { Team(it, 8.0, 16.0, 0.0, 0.0) },
         maxValueBytes = maxValueBytes,
-        cancellationMicros = TEST_CANCELLATION_MICROS,
+        cancellationDeadlineMicros = TEST_CANCELLATION_MICROS,
     ),
     store = store,
     scope = backgroundScope,
--- a/src/test/kotlin/linemast/simulation/SimWorld.kt
+++ b/src/test/kotlin/linemast/simulation/SimWorld.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import linemast.admission.AdmissionPlan
-import linemast.app.Node
+import linemast.app.ControllerNode
 import linemast.control.ControllerConfiguration
 import linemast.domain.MachineType
 import linemast.serialization.MalformedException
@@ -58,7 +58,7 @@
 
     /** What each controller's clock reads; they may run at different speeds. */
     var clockOf: (Int) -> Clock = { clock }
-    private val nodes = arrayOfNulls<Node>(CONTROLLER_COUNT)
+    private val nodes = arrayOfNulls<ControllerNode>(CONTROLLER_COUNT)
     private val nodeScopes = arrayOfNulls<CoroutineScope>(CONTROLLER_COUNT)
     private var machineCount = 0
 
@@ -98,7 +98,7 @@
         val nodeScope = CoroutineScope(scope.coroutineContext + SupervisorJob(scope.coroutineContext[Job]))
         val name = "mast-$controller"
         val client = store.clientOf(name).let { if (controller in previousVersionControllers) PreviousVersionStore(it) else it }
-        val node = Node(
+        val node = ControllerNode(
             ControllerConfiguration(settings(name), policy, features),
             client,
             cloud.clientOf(controller),
