--- a/src/main/kotlin/linemast/admission/AdmissionController.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionController.kt
@@ -26,7 +26,7 @@
         val flow = flows.flowOf(spec)
         val now = clock.nowMicros()
         meter.recordOffered(flow, spec.id, now)
-        // Without a leader the ranges do not advance. All jobs are then admitted, because the others would be deferred forever.
+        // Without a leader the ranges do not advance. All jobs are then admitted: jobs outside the ranges would otherwise never be.
         if (now - appliedMicros > PLAN_VALID_MICROS) return AdmissionDecision.Admitted
         return plan.decide(flow, spec.id)
     }
--- a/src/main/kotlin/linemast/admission/FlowRoundRobin.kt
+++ b/src/main/kotlin/linemast/admission/FlowRoundRobin.kt
@@ -25,9 +25,12 @@
         lastTurns[flows.flowOf(job.spec)] = ++turns
     }
 
-    /** Holds the number of jobs of a flow in one selection. */
+    /** Constants of the selection. */
     companion object {
-        /** More than one, so that a job that fits on no machine does not block the other jobs of its flow. */
+        /**
+         * Maximum number of jobs of a flow in one selection. It is more than one, so that a job that fits on no machine does not
+         * block the other jobs of its flow.
+         */
         const val JOBS_PER_FLOW = 4
 
         private const val NEVER = 0L
--- a/src/main/kotlin/linemast/app/ControllerNode.kt
+++ b/src/main/kotlin/linemast/app/ControllerNode.kt
@@ -59,7 +59,7 @@
     /** The plan by which this controller admits submissions; null if fair admission is not enabled. */
     val admissionPlan: AdmissionPlan? get() = admissionController?.plan
 
-    /** Starts the long-running coroutines in the node's scope. */
+    /** Starts the long-running coroutines of the controller in [scope]. */
     fun start() {
         scope.launch { machineTypes.load() }
         scope.launch { healthProbe.run(LeaderKeys.FENCING_TOKEN) }
--- a/src/main/kotlin/linemast/domain/GangAttempt.kt
+++ b/src/main/kotlin/linemast/domain/GangAttempt.kt
@@ -20,7 +20,7 @@
     /** Whether the next start needs a new attempt number. */
     val isUsed: Boolean get() = number == NONE || isStartSent
 
-    /** Begins attempt [number], for which no start was sent yet. */
+    /** Begins attempt [number], for which no start has been sent yet. */
     fun begin(number: Long) {
         this.number = number
         isStartSent = false
--- a/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
+++ b/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
@@ -119,7 +119,7 @@
         return true
     }
 
-    /** Records [heartbeat], which is not stale, as the newest one; [minLeaseMicros] is the least duration of a renewed lease. */
+    /** Records [heartbeat], which is not stale, as the newest one; [minLeaseMicros] is the minimum duration of a renewed lease. */
     fun record(heartbeat: Heartbeat, nowMicros: Long, acknowledgedIntervalMicros: Long, minLeaseMicros: Long) {
         recordAcknowledgement(heartbeat, nowMicros, acknowledgedIntervalMicros, minLeaseMicros)
         incarnation = heartbeat.incarnation
@@ -151,7 +151,7 @@
         /** Shortest interval between two heartbeats of a worker. */
         private const val MIN_HEARTBEAT_INTERVAL_MICROS = 500_000L
 
-        /** Most heartbeats that a network partition may delay and then deliver together. */
+        /** Maximum number of heartbeats that a network partition may delay and then deliver together. */
         private const val MAX_DELAYED_HEARTBEATS = 4L
     }
 }
--- a/src/main/kotlin/linemast/jobs/JobResponse.kt
+++ b/src/main/kotlin/linemast/jobs/JobResponse.kt
@@ -34,6 +34,9 @@
     /** No job with this id was ever accepted. */
     data object NotFound : JobResponse
 
-    /** The store is unavailable, or the machine types that a submission is checked against have not been read yet. */
+    /**
+     * The request cannot be completed now, for example because the store is unavailable or because the machine types that a
+     * submission is checked against have not been read yet.
+     */
     data object Unavailable : JobResponse
 }
--- a/src/main/kotlin/linemast/jobs/JobWriter.kt
+++ b/src/main/kotlin/linemast/jobs/JobWriter.kt
@@ -21,7 +21,7 @@
     /** The store already has a job with this id. */
     EXISTS,
 
-    /** The store did not apply the transaction. */
+    /** The store did not apply the transaction for another reason. */
     FAILED,
 }
 
--- a/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionHandler.kt
@@ -45,7 +45,7 @@
             is AdmissionOutcome.Deferred -> JobResponse.Deferred(admission.retryAfterSeconds)
         }
 
-    /** Accepts a job if all its dependencies were accepted. If it depends on a cancelled job, its outcome is cancelled at once. */
+    /** Accepts a job if all its dependencies were accepted. A job that depends on a cancelled one is stored as cancelled. */
     private suspend fun submitDependent(spec: JobSpec): JobResponse {
         val dependencies = BulkOutcomeReader(outcomes).read(spec.dependencies)
         spec.dependencies.firstOrNull { it !in dependencies }?.let { missing ->
--- a/src/main/kotlin/linemast/peers/PeerStatus.kt
+++ b/src/main/kotlin/linemast/peers/PeerStatus.kt
@@ -11,7 +11,7 @@
  * @property node name of the sender.
  * @property fencingToken highest fencing token that the sender has observed.
  * @property isLeader whether the sender is the leader with [fencingToken].
- * @property reachesStore whether the sender gets responses of the key-value store.
+ * @property reachesStore whether the sender's latest read of the key-value store succeeded.
  * @property receivesHeartbeats whether the sender has received a heartbeat of a worker recently.
  * @property progress task counts by job id; only the leader sends them, and the codec encodes the first thousand.
  */
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -12,8 +12,8 @@
     private var latestOfLeader: ReceivedStatus? = null
 
     /**
-     * Whether another controller gets responses of the key-value store, according to its latest status. An earlier status is not used:
-     * one from before an outage of the store would make all controllers report themselves unhealthy when the outage begins.
+     * Whether another controller reads the key-value store with success, according to its latest status. An earlier status is not
+     * used: one from before an outage of the store would make all controllers report themselves unhealthy when the outage begins.
      */
     val anyPeerReachesStore: Boolean get() = freshStatuses().any { it.reachesStore }
 
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -22,7 +22,7 @@
     private val calls = HttpClient(loop, address, MAX_CALL_CONNECTIONS, MAX_RESPONSE_BYTES)
     private val leaseCalls = HttpClient(loop, address, 1)
     private val watches = HttpClient(loop, address, MAX_WATCH_CONNECTIONS, MAX_RESPONSE_BYTES)
-    private val rateLimiter = StoreRateLimiter(limits, controllers, clock)
+    private val rateLimiter = StoreRateLimiter(limits, controllerCount, clock)
 
     /** Sets whether this controller is the leader, whose share of the writes is larger. */
     fun setLeader(isLeader: Boolean) = rateLimiter.setLeader(isLeader)
--- a/src/main/kotlin/linemast/store/StoreHealthProbe.kt
+++ b/src/main/kotlin/linemast/store/StoreHealthProbe.kt
@@ -6,17 +6,17 @@
 import linemast.time.SECOND_MICROS
 
 /**
- * Checks once a second, by a read, whether the key-value store responds to this controller.
+ * Checks once a second whether a read of the key-value store succeeds on this controller.
  *
- * Open watches do not show this: when the store refuses the calls of this controller alone, its watches just go on waiting.
+ * Open watches do not show a failure: if the store refuses only the calls of this controller, its watches merely go on waiting.
  */
 class StoreHealthProbe(private val store: KeyValueStore, private val clock: Clock) {
     private var failingSinceMicros: Long? = null
 
-    /** Whether the latest read got a response; true before the first read. */
+    /** Whether the latest read succeeded; true before the first read. */
     val isHealthy: Boolean get() = failingSinceMicros == null
 
-    /** Returns for how long the store has not responded; 0 if it responds. */
+    /** Returns for how long all reads have failed; 0 if the latest read succeeded. */
     fun failingForMicros(nowMicros: Long): Long = failingSinceMicros?.let { nowMicros - it } ?: 0L
 
     /** Reads [key] once a second until the coroutine is cancelled. */
--- a/src/main/kotlin/linemast/transport/HttpClient.kt
+++ b/src/main/kotlin/linemast/transport/HttpClient.kt
@@ -67,7 +67,7 @@
         } catch (e: NoResponseException) {
             throw e
         } catch (e: Exception) {
-            // Whatever failed, the request may have been executed; the failure must not end the process.
+            // The request may have been executed, whatever the failure was.
             throw NoResponseException("$address: $e")
         } finally {
             if (reusable) idle.addLast(IdleConnection(connection, SteadyClock.nowMicros())) else connection.close()
--- a/src/main/kotlin/linemast/transport/ServerConnections.kt
+++ b/src/main/kotlin/linemast/transport/ServerConnections.kt
@@ -37,8 +37,8 @@
     /**
      * Closes the connection that has been idle for longest; returns false if none is idle.
      *
-     * Its client reconnects with the next request. A connection from which part of a request has been read is left open. Bytes
-     * that still wait in the socket are not checked for: reading them would take them from the coroutine that waits for them.
+     * Its client reconnects with the next request. A connection from which part of a request has been read is left open. The
+     * socket is not checked for unread bytes: reading them would take them from the coroutine that waits for them.
      */
     fun closeLongestIdle(): Boolean {
         val longestIdle = idle.firstOrNull { it.available == 0 } ?: return false
--- a/src/main/kotlin/linemast/workers/ChunkPacker.kt
+++ b/src/main/kotlin/linemast/workers/ChunkPacker.kt
@@ -56,7 +56,7 @@
     }
 
     private companion object {
-        /** Keeps chunks small, so that a change does not rewrite the entries of the whole fleet even if values may be large. */
+        /** Maximum number of entries in a chunk. It keeps a change from rewriting the entries of the whole fleet if values may be large. */
         const val MAX_ENTRIES = 60
     }
 }
--- a/src/main/kotlin/linemast/workers/MachineRegistry.kt
+++ b/src/main/kotlin/linemast/workers/MachineRegistry.kt
@@ -7,9 +7,9 @@
 /**
  * The stored registry of machines that may run tasks.
  *
- * A machine is registered before the first start is sent to it. A new leader therefore knows from the store alone, without the
- * cloud's lagging list of machines, for which workers' heartbeats it has to wait. The registry is stored in chunks, each of which fits
- * a value of `maxValueBytes`. A chunk that was stored with a larger size is split when it is written again.
+ * A machine is registered before the first start is sent to it. A new leader therefore reads from the store alone which workers'
+ * heartbeats it has to wait for, and does not depend on the cloud's lagging list of machines. The registry is stored in chunks, each
+ * of which fits a value of `maxValueBytes`. A chunk that was stored with a larger size is split when it is written again.
  */
 class MachineRegistry(maxValueBytes: Int) {
     private val chunks = ChunkPacker(maxValueBytes)
--- a/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlannerTest.kt
@@ -94,7 +94,7 @@
             assertEquals(listOf(0, 0), listOf(intake.waitSeconds.max(), pulls.waitSeconds.max()))
             val steady = acceptedBySecond.subList(40, 140).average()
             assertTrue(steady in 6.0..14.0, "$steady jobs per second are accepted at a capacity of 10")
-            assertTrue(flood.waitSeconds.max() <= 62, "no accepted job waited longer than its user retries")
+            assertTrue(flood.waitSeconds.max() <= 62, "no job is accepted after its user has stopped retrying")
             assertTrue(flood.nextAttempt.size < 20, "${flood.nextAttempt.size} jobs are not accepted 100 s after the flood")
             println("accepted $steady/s, flood: ${flood.waitSeconds.size} accepted, ${flood.gaveUpCount} gave up")
         }
--- a/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
+++ b/src/test/kotlin/linemast/store/StoreRateLimitsTest.kt
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Guards against controllers that together exceed the rate limits of the key-value store, before and after the limits drop. */
+/** Guards against controllers that together exceed the rate limits of the key-value store, before and after the limits are lowered. */
 class StoreRateLimitsTest {
     private val next = StoreLimits(rps = 60.0, writeRps = 20.0, valueBytes = 2_048, txnOps = 5)
     private val limits = StoreLimits(rps = 90.0, writeRps = 40.0, valueBytes = 16_384, txnOps = 16, next = next)
@@ -38,7 +38,7 @@
      * times at most before it stays within its new share, and lease renewals, which write nothing, never wait for the burst.
      */
     @Test
-    fun `each controller is refused only a few times when the limit drops during a burst`() {
+    fun `each controller is refused only a few times when the limit is lowered during a burst`() {
         val rates = List(3) { StoreRateLimits(limits, 3).also { rate -> rate.isLeader = it == 0 } }
         val requests = rates.map { TokenBucket(it.requestsPerSecond) }
         val writes = rates.map { TokenBucket(it.writesPerSecond) }
