--- a/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
+++ b/src/test/kotlin/linemast/jobs/DependencyCheckTest.kt
@@ -61,7 +61,7 @@
         val clock = Clock { testScheduler.currentTime * 1_000 + 1 }
         val store = SimStore(backgroundScope, clock, Random(5))
         write(store, graph)
-        val services = List(3) { node -> service(RateLimitedStore(store.clientOf("mast-$node"), clock), clock) }
+        val services = List(3) { controller -> service(RateLimitedStore(store.clientOf("mast-$controller"), clock), clock) }
         val ids = graph.dependencies.indices.map(::id)
         val polledIds = ids.shuffled(Random(6)).take(30) + ids.last()
         val statesBefore = poll(services, polledIds, rounds = 4)
