--- a/src/main/kotlin/linemast/admission/AdmissionCodec.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionCodec.kt
@@ -10,8 +10,8 @@
     /** Prefix of the keys of the controllers' demand reports. */
     const val DEMAND_PREFIX = "admission/demand/"
 
-    /** Returns the key of the demand report of the controller [node]. */
-    fun demandKey(node: String): String = DEMAND_PREFIX + node
+    /** Returns the key of the demand report of the controller [nodeName]. */
+    fun demandKey(nodeName: String): String = DEMAND_PREFIX + nodeName
 
     /** Returns the stored form of [plan]. */
     fun encode(plan: AdmissionPlan): Map<String, Any?> = mapOf(
@@ -39,7 +39,7 @@
 
     /** Returns the stored form of [report]. */
     fun encode(report: DemandReport): Map<String, Any?> = mapOf(
-        "node" to report.node,
+        "node" to report.nodeName,
         "flows" to report.demands.entries.sortedBy { it.key }.map { (flow, demand) ->
             flowFields(flow) + mapOf("offered" to demand.offeredRate, "accepted" to demand.acceptedRate, "waiting" to demand.deferredJobs)
         },
@@ -47,7 +47,7 @@
 
     /** Decodes a demand report; throws a `MalformedException` if a field is missing or has the wrong type. */
     fun decodeDemand(fields: Fields) = DemandReport(
-        node = fields.text("node"),
+        nodeName = fields.text("node"),
         demands = fields.children("flows").associate {
             flow(it) to FlowDemand(it.number("offered"), it.number("accepted"), it.long("waiting").toInt())
         },
--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -19,7 +19,7 @@
     private val settings = configuration.settings
     private val log = LoggerFactory.getLogger(Controller::class.java)
 
-    /** Serves until it is cancelled; the HTTP server, the peer links and the node run as its child coroutines. */
+    /** Serves until it is cancelled; the HTTP server, the peer links and the [ControllerNode] run as its child coroutines. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
         val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllerCount, clock)
--- a/src/main/kotlin/linemast/app/PeerStatusExchange.kt
+++ b/src/main/kotlin/linemast/app/PeerStatusExchange.kt
@@ -40,9 +40,9 @@
     fun receive(status: PeerStatus) {
         leaderView.observeFencingToken(status.fencingToken)
         val isFromLeader = status.isLeader && status.fencingToken >= leaderView.highestFencingToken
-        if (isFromLeader && leaderView.ownLease == null) leaderView.leaderName = status.node
+        if (isFromLeader && leaderView.ownLease == null) leaderView.leaderName = status.nodeName
         peerView.recordStatus(status)
-        leaderLifecycle.leader?.recordPeerToken(status.node, status.fencingToken)
+        leaderLifecycle.leader?.recordPeerToken(status.nodeName, status.fencingToken)
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/peers/PeerStatus.kt
+++ b/src/main/kotlin/linemast/peers/PeerStatus.kt
@@ -8,7 +8,7 @@
  * No decision depends on a status alone: a fencing token only ends a leader term that a newer term has already ended, and the
  * progress of jobs is only displayed.
  *
- * @property node name of the sender.
+ * @property nodeName name of the sender.
  * @property fencingToken highest fencing token that the sender has observed.
  * @property isLeader whether the sender is the leader with [fencingToken].
  * @property reachesStore whether the sender's latest read of the key-value store succeeded.
@@ -16,7 +16,7 @@
  * @property progress task counts by job id; only the leader sends them, and the codec encodes the first thousand.
  */
 class PeerStatus(
-    val node: String,
+    val nodeName: String,
     val fencingToken: Long,
     val isLeader: Boolean,
     val reachesStore: Boolean,
--- a/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
+++ b/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
@@ -6,7 +6,7 @@
 import java.io.EOFException
 
 /**
- * Encodes and decodes a [PeerStatus]: version, node, fencing token, flags, then the progress of each job.
+ * Encodes and decodes a [PeerStatus]: version, node name, fencing token, flags, then the progress of each job.
  *
  * Numbers are big-endian. A text is encoded as its length in two bytes, followed by its UTF-8 bytes.
  */
@@ -24,7 +24,7 @@
     fun encode(status: PeerStatus): Buffer {
         val out = Buffer()
         out.writeByte(VERSION)
-        writeText(out, status.node)
+        writeText(out, status.nodeName)
         out.writeLong(status.fencingToken)
         out.writeByte(flagsOf(status))
         val progress = status.progress.entries.take(MAX_JOBS)
@@ -48,13 +48,13 @@
     /** Decodes a status; throws a [MalformedException] if [from] does not hold exactly one status. */
     fun decode(from: Buffer): PeerStatus = try {
         if (from.readByte().toInt() != VERSION) malformed("unknown version")
-        val node = readText(from)
+        val nodeName = readText(from)
         val fencingToken = from.readLong()
         val flags = from.readByte().toInt()
         val progress = readProgress(from)
         if (!from.exhausted()) malformed("bytes follow the last job")
         PeerStatus(
-            node = node,
+            nodeName = nodeName,
             fencingToken = fencingToken,
             isLeader = flags and IS_LEADER_FLAG != 0,
             reachesStore = flags and REACHES_STORE_FLAG != 0,
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -31,7 +31,7 @@
     /** Records a [status] that has just arrived from another controller. */
     fun recordStatus(status: PeerStatus) {
         val received = ReceivedStatus(status, clock.nowMicros())
-        latestByNode[status.node] = received
+        latestByNode[status.nodeName] = received
         if (!status.isLeader) return
         val previous = latestOfLeader
         if (previous != null && status.fencingToken < previous.status.fencingToken) return
--- a/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
+++ b/src/test/kotlin/linemast/admission/AdmissionPlanTest.kt
@@ -86,7 +86,7 @@
             }
             val demands = flows.associateWith { FlowDemand(random.nextDouble(9.0), random.nextInt(9).toDouble(), random.nextInt(99)) }
             val read = AdmissionCodec.decodeDemand(Cbor.decodeMap(Cbor.encode(AdmissionCodec.encode(DemandReport("mast-1", demands)))))
-            assertEquals("mast-1" to demands, read.node to read.demands)
+            assertEquals("mast-1" to demands, read.nodeName to read.demands)
         }
         val malformed = mapOf("crew" to "north", "lane" to "x", "head" to HashRing.SIZE, "width" to 1L, "pace" to 1L)
         for (range in listOf(malformed, malformed + ("head" to 0L) + ("pace" to 0L), malformed + ("head" to 0L) + ("width" to -1L))) {
--- a/src/test/kotlin/linemast/peers/PeerStatusCodecTest.kt
+++ b/src/test/kotlin/linemast/peers/PeerStatusCodecTest.kt
@@ -19,7 +19,7 @@
             val progress = (0 until random.nextInt(30)).associate { "req-$it" to JobProgress(random.nextInt(100), random.nextInt(100)) }
             val bytes = PeerStatusCodec.encode(
                 PeerStatus(
-                    node = "mast-1",
+                    nodeName = "mast-1",
                     fencingToken = random.nextLong(1000),
                     isLeader = random.nextBoolean(),
                     reachesStore = random.nextBoolean(),
--- a/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
+++ b/src/test/kotlin/linemast/upgrade/StoredFormatsTest.kt
@@ -140,7 +140,7 @@
         val read = PeerStatusCodec.decode(Buffer().write(bytes.decodeHex()))
         assertEquals(
             listOf("mast-1", 7L, true, true, false),
-            listOf(read.node, read.fencingToken, read.isLeader, read.reachesStore, read.receivesHeartbeats),
+            listOf(read.nodeName, read.fencingToken, read.isLeader, read.reachesStore, read.receivesHeartbeats),
         )
         assertEquals(2 to 3, read.progress.getValue("req-1").let { it.completed to it.running })
     }
