--- a/src/main/kotlin/linemast/app/Controller.kt
+++ b/src/main/kotlin/linemast/app/Controller.kt
@@ -14,16 +14,16 @@
 import linemast.transport.HttpServer
 import org.slf4j.LoggerFactory
 
-/** One controller: a [Node] and its sockets, all of which run on [loop]. */
+/** One controller: a [ControllerNode] and its sockets, all of which run on [loop]. */
 class Controller(private val configuration: ControllerConfiguration, private val loop: EventLoop) {
     private val settings = configuration.settings
     private val log = LoggerFactory.getLogger(Controller::class.java)
 
-    /** Serves until it is cancelled; the HTTP server, the peer links and the node run as its child coroutines. */
+    /** Serves until it is cancelled; the HTTP server, the peer links and the [ControllerNode] run as its child coroutines. */
     suspend fun run() = coroutineScope {
         val clock = SteadyClock
         val store = KeyValueStoreClient(loop, settings.storeAddress, settings.storeLimits, settings.controllerCount, clock)
-        val node = Node(
+        val node = ControllerNode(
             configuration = configuration,
             store = store,
             cloud = CloudClient(loop, settings.cloudAddress, settings.cloudLimits, clock),
--- a/src/main/kotlin/linemast/app/Node.kt
+++ b/src/main/kotlin/linemast/app/ControllerNode.kt
@@ -28,7 +28,7 @@
  *
  * All its code runs on one thread, in [scope].
  */
-class Node(
+class ControllerNode(
     private val configuration: ControllerConfiguration,
     private val store: KeyValueStore,
     cloud: Cloud,
@@ -59,7 +59,7 @@
     /** The plan by which this controller admits submissions; null if fair admission is not enabled. */
     val admissionPlan: AdmissionPlan? get() = admissionController?.plan
 
-    /** Starts the long-running coroutines in the node's scope. */
+    /** Starts the long-running coroutines of the controller in [scope]. */
     fun start() {
         scope.launch { machineTypes.load() }
         scope.launch { healthProbe.run(LeaderKeys.FENCING_TOKEN) }
@@ -92,7 +92,7 @@
         settings = JobServiceSettings(
             teams = settings.teams.associateBy { it.name },
             maxValueBytes = settings.storeLimits.maxValueBytes,
-            cancellationMicros = settings.workers.cancellationDeadlineMicros,
+            cancellationDeadlineMicros = settings.workers.cancellationDeadlineMicros,
         ),
         store = store,
         scope = scope,
--- a/src/main/kotlin/linemast/peers/PeerView.kt
+++ b/src/main/kotlin/linemast/peers/PeerView.kt
@@ -12,8 +12,8 @@
     private var latestOfLeader: ReceivedStatus? = null
 
     /**
-     * Whether another controller gets responses of the key-value store, according to its latest status. An earlier status is not used:
-     * one from before an outage of the store would make all controllers report themselves unhealthy when the outage begins.
+     * Whether another controller reads the key-value store with success, according to its latest status. An earlier status is not
+     * used: one from before an outage of the store would make all controllers report themselves unhealthy when the outage begins.
      */
     val anyPeerReachesStore: Boolean get() = freshStatuses().any { it.reachesStore }
 
@@ -31,7 +31,7 @@
     /** Records a [status] that has just arrived from another controller. */
     fun recordStatus(status: PeerStatus) {
         val received = ReceivedStatus(status, clock.nowMicros())
-        latestByNode[status.node] = received
+        latestByNode[status.nodeName] = received
         if (!status.isLeader) return
         val previous = latestOfLeader
         if (previous != null && status.fencingToken < previous.status.fencingToken) return
