--- a/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionPlanner.kt
@@ -35,7 +35,7 @@
         return next
     }
 
-    /** Whether a flow is limited. A limited flow stays limited a little longer, because its deferred jobs were told when to retry. */
+    /** Whether a flow is limited. A limited flow stays limited a little longer, because its deferred jobs were given a time to retry. */
     private fun isLimited(requestedRate: Double, allowedRate: Double, wasLimited: Boolean): Boolean =
         requestedRate > if (wasLimited) allowedRate * RELEASE_SHARE else allowedRate
 
@@ -53,8 +53,8 @@
     /** Returns the range with which [flow] is admitted at [allowedRate]; null if the range would always cover the whole hash ring. */
     private fun nextRange(flow: Flow, demand: FlowDemand, allowedRate: Double, range: HashRange?, elapsedMicros: Long): HashRange? {
         val dwellSeconds = settings.dwellMicros / 1e6
-        // The range is as long as the distance that it advances in the dwell time. Ids of new jobs are admitted anywhere in the range,
-        // ids of deferred jobs when the leading end of the range reaches them.
+        // The range is as long as the distance that it advances in the dwell time, so that it covers each id for that time. Ids of new
+        // jobs are admitted anywhere in the range, ids of deferred jobs when the leading end of the range reaches them.
         val reachedJobs = demand.offeredRate * dwellSeconds + demand.deferredJobs
         val ringShare = allowedRate / maxOf(reachedJobs, MIN_RATE) * correction(flow, demand, allowedRate, range)
         if (ringShare * dwellSeconds >= 1.0) return null
--- a/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
+++ b/src/main/kotlin/linemast/cloud/ScaleInPolicy.kt
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Returns how long a machine may stay idle. Once demand has ceased, no machine is kept idle for longer than the time in which a
-     * running task may be missing from heartbeats.
+     * Returns how long a machine may stay idle. Once demand has ceased, that is at most [maxHeartbeatAgeMicros], for baseline machines
+     * too: a running task may be missing from heartbeats for that long.
      */
     private fun maxIdleMicros(usualMicros: Long, conditions: Conditions): Long =
         if (conditions.demandCeased) minOf(usualMicros, maxHeartbeatAgeMicros) else usualMicros
--- a/src/main/kotlin/linemast/control/StateLoader.kt
+++ b/src/main/kotlin/linemast/control/StateLoader.kt
@@ -36,6 +36,7 @@
 
     private suspend fun read(): JobRevisions {
         val sentMicros = term.clock.nowMicros()
+        // A job that is released between these two reads is in neither; the watch for changes after the first read finds it.
         val open = term.store.listAll(JobKeys.OPEN_PREFIX)
         val blocked = term.store.listAll(JobKeys.BLOCKED_PREFIX)
         val completed = term.store.listAll(JobKeys.COMPLETED_TASKS_PREFIX)
@@ -49,7 +50,10 @@
         return JobRevisions(open.revision, blocked.revision)
     }
 
-    /** Applies the stored parts. Deletes parts without an open job: a previous leader failed before it deleted them. */
+    /**
+     * Applies the stored parts of the sets of completed tasks. Deletes parts without an open job: a previous leader failed before it
+     * deleted them.
+     */
     private fun applyCompletedTasks(entries: List<Entry>) {
         val orphanedKeys = ArrayList<String>()
         for (entry in entries) {
--- a/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/linemast/control/dependencies/DependencyGraph.kt
@@ -7,12 +7,12 @@
 internal const val MAX_VISITS = 20_000
 
 /**
- * The DAG of blocked jobs: decides which of them to release, and which to cancel with one of their dependencies.
+ * The DAG of blocked jobs: decides which of them to release, and which to cancel because one of their dependencies was cancelled.
  *
  * The class does no I/O: callers pass in the stored records and outcomes, and carry out the returned [Actions]. An outcome
  * counts only once it was read from the store or committed to it, so that no job is released before all its dependencies
- * are done in the store; a new leader starts from what it reads. No function recurses, since a chain of dependencies may
- * be long.
+ * are done in the store; a new leader starts from what it reads. Only a cancellation counts earlier: a job that is to be
+ * cancelled counts as cancelled for its own dependents at once. No function recurses, since a chain of dependencies may be long.
  */
 class DependencyGraph {
     /**
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Returns what is to be committed and read now; [isActive] tells which jobs are known to be neither done nor cancelled. */
+    /** Returns what is to be committed and read now; [isActive] returns whether a job is known to be neither done nor cancelled. */
     fun nextActions(isActive: (String) -> Boolean, nowMicros: Long): Actions {
         val toRelease = readyToRelease.filter { !it.isBeingCommitted }
         val newCancellations = toCancel.filter { !it.isBeingCommitted }
--- a/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
+++ b/src/main/kotlin/linemast/domain/HeartbeatSequence.kt
@@ -2,20 +2,21 @@
 
 /** How a heartbeat relates to those of the same machine that were accepted before it. */
 enum class HeartbeatOrder {
-    /** It is newer than all accepted heartbeats and comes from the same worker process. */
+    /** The heartbeat is newer than all accepted ones and comes from the same worker process. */
     NEWER,
 
-    /** Its worker has restarted, and counts incarnations and heartbeats from the beginning again. */
+    /** The worker that sent the heartbeat has restarted, and counts incarnations and heartbeats from the beginning again. */
     RESTARTED,
 
-    /** It is a delayed duplicate, or a newer heartbeat arrived before it: its worker no longer waits for a response. */
+    /** The heartbeat is a delayed duplicate, or a newer one arrived before it: its worker no longer waits for a response. */
     STALE,
 }
 
 /**
  * Orders the heartbeats of one machine, and detects whether responses reach its worker.
  *
- * Incarnations and sequence numbers order the heartbeats of one worker process. A restarted worker counts from the
+ * Incarnations and sequence numbers order the heartbeats of one worker process. A worker begins a new incarnation when its
+ * lease has expired, and numbers the heartbeats within each incarnation. A restarted worker counts from the
  * beginning, so a delayed duplicate from before the restart has a higher incarnation or sequence number than the
  * heartbeats after it; [classify] tells them apart. All times are of the leader's clock.
  */
@@ -50,8 +51,8 @@
     private var olderMicros = NEVER
 
     /**
-     * Until when the current incarnation cannot end: a response has reached the worker, and the heartbeat that it belongs to
-     * was sent less than a lease before this time.
+     * The current incarnation cannot end before this time. A response that has reached the worker renewed its lease as of when the
+     * worker sent the heartbeat, and this time is less than a lease after that.
      */
     private var incarnationValidUntilMicros = NEVER
 
--- a/src/main/kotlin/linemast/domain/Machine.kt
+++ b/src/main/kotlin/linemast/domain/Machine.kt
@@ -39,7 +39,10 @@
     /** Whether the machine is registered in the store as one that may run tasks. */
     var isRegistered = false
 
-    /** Whether the machine belongs to the baseline fleet, which is never scaled in. */
+    /**
+     * Whether the machine belongs to the baseline fleet. An idle baseline machine is scaled in too: by default after a much longer time
+     * than others while further jobs are expected.
+     */
     var isBaseline = false
 
     /** Whether no further starts are sent to the machine: it is being scaled in, preempted by the cloud, or quarantined. */
--- a/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
+++ b/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
@@ -12,7 +12,10 @@
 internal class IntentConflictResolver(private val slots: IntentSlots, private val retryIntervalMillis: Long) {
     private val logger = LoggerFactory.getLogger(IntentConflictResolver::class.java)
 
-    /** Returns those of [writes] that are still to be done, in order and with free slots; all if the store does not respond. */
+    /**
+     * Returns those of [writes] that are still to be done, in order and with free slots. If the store does not respond, returns all
+     * of them after the retry interval.
+     */
     suspend fun resolve(writes: List<IntentWrite>): List<IntentWrite> {
         if (storeResultOrNull(logger) { slots.load() } == null) {
             delay(retryIntervalMillis)
--- a/src/main/kotlin/linemast/jobs/JobKeys.kt
+++ b/src/main/kotlin/linemast/jobs/JobKeys.kt
@@ -4,7 +4,8 @@
  * The keys of a job in the store.
  *
  * - `j/ID` holds the outcome of the job and is never deleted.
- * - `o/ID` holds the record of the job while any of its tasks may be on a machine, so that a failover reads open jobs only.
+ * - `o/ID` holds the record of a released job until the job is done, or is cancelled and none of its tasks is on a machine any
+ *   more, so that a failover reads open jobs only.
  * - `d/ID/PART` holds one part of the set of completed tasks.
  * - `w/ID` holds, instead of `o/ID`, the record of a job that is blocked by its dependencies. The transaction that releases
  *   the job moves the record from `w/ID` to `o/ID`, so that a program version without support for dependencies never sees a
--- a/src/main/kotlin/linemast/jobs/OutcomeReader.kt
+++ b/src/main/kotlin/linemast/jobs/OutcomeReader.kt
@@ -44,7 +44,7 @@
     /** Caches the outcomes of all open jobs. */
     suspend fun cacheOpenJobs() = openJobListing.run()
 
-    /** Caches the result here rather than in the callers, because these may have been cancelled before the read ends. */
+    /** Reads an outcome and caches it. The callers do not cache the result, because they may be cancelled before the read ends. */
     private suspend fun readAndCache(id: String): OutcomeRecord? {
         val sentMicros = clock.nowMicros()
         val stored = readStoredRecord { store.readOutcome(id) } ?: return null
--- a/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
+++ b/src/main/kotlin/linemast/leadership/CancellationFreshness.kt
@@ -30,8 +30,8 @@
     val renewalsAllowedUntilMicros: Long get() = freshAsOfMicros?.let { it + maxRenewalStalenessMicros } ?: NEVER
 
     /**
-     * Until when tasks may be started; [NEVER] before the first read. No task may be started whose job has a confirmed
-     * cancellation.
+     * Until when tasks may be started; [NEVER] before the first read. The view may be at most [MAX_START_STALENESS_MICROS] old, and
+     * never older than for a renewal, because no task may be started whose job has a confirmed cancellation.
      */
     val startsAllowedUntilMicros: Long
         get() = freshAsOfMicros?.let { it + minOf(MAX_START_STALENESS_MICROS, maxRenewalStalenessMicros) } ?: NEVER
--- a/src/main/kotlin/linemast/planning/StagePlanner.kt
+++ b/src/main/kotlin/linemast/planning/StagePlanner.kt
@@ -19,7 +19,8 @@
      * stages planned afterwards cannot use it.
      *
      * [neighbour] is the plan of an adjacent stage of the pipeline. [stage] gets about the same throughput, measured as the share
-     * of a stage's tasks completed per unit of time, but never less than its own window requires.
+     * of a stage's tasks completed per unit of time, but never less than its own window requires. [startupMicros] is the startup
+     * time of a machine for the stage; machines that are scaled out now run no tasks for that long.
      */
     fun plan(stage: BlockedStage, neighbour: JobPlan?, startupMicros: Long, deadline: Deadline, reserve: Boolean): JobPlan {
         val taskMicros = runTimes.estimateMicros(stage.job)
@@ -74,6 +75,7 @@
 
     /** Returns the time over which scaled-out machines work on a stage: the same as for its neighbour, as far as its window allows. */
     private fun scaleOutSpanMicros(window: Window, startupMicros: Long, neighbour: JobPlan?): Long {
+        // Scaled-out machines cannot work on the stage before it starts, nor before they have started up.
         val availableMicros = window.endMicros - maxOf(window.startMicros, startupMicros)
         val longest = when {
             availableMicros < window.taskMicros -> JobPlan.maxScaleOutSpanMicros(horizon.intervalMicros, window.taskMicros)
--- a/src/main/kotlin/linemast/recovery/UnknownJobs.kt
+++ b/src/main/kotlin/linemast/recovery/UnknownJobs.kt
@@ -16,7 +16,10 @@
     /** The job's outcome is open, but the rest of its record is missing: its tasks and results are kept for operators. */
     INCONSISTENT,
 
-    /** The job's outcome could not be read in time: the job is treated as if recovery were not enabled. */
+    /**
+     * The job's outcome could not be read in time: its tasks may be stopped and its results discarded, as those of every job that is
+     * unknown to the leader if recovery is not enabled.
+     */
     UNKNOWN,
 }
 
@@ -108,6 +111,8 @@
 
     private companion object {
         const val LOOKUP_RETRY_INTERVAL_MICROS = 500_000L
+
+        /** If more jobs are tracked, the ones reported first are removed; the next report of such a job begins its lookups again. */
         const val MAX_TRACKED_JOBS = 5_000
     }
 }
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -10,8 +10,8 @@
  * Tracks, after a failover, the tasks that a previous leader may have started and that no worker has reported to this leader yet.
  *
  * The machines that may hold such tasks are registered in the store. A machine is unconfirmed until its worker has shown this
- * leader's fencing token, and thus ignores commands of previous leaders, or until its lease has certainly expired. Times are
- * monotonic times of the leader's process.
+ * leader's fencing token, and thus ignores commands of previous leaders, until its lease has certainly expired, or until the
+ * cloud has confirmed its termination. Times are monotonic times of the leader's process.
  */
 internal class FailoverReconciliation(
     private val cluster: Cluster,
@@ -94,6 +94,7 @@
         haveMachinesChanged = false
     }
 
+    /** Whether [machine] needs no confirmation any more. A machine that has been terminated is not in [Cluster.machines] any more. */
     private fun isConfirmed(machine: Machine, nowMicros: Long): Boolean = machine.fencingToken >= cluster.fencingToken ||
         nowMicros >= machine.leaseEndMicros ||
         cluster.machines[machine.name] !== machine
@@ -120,7 +121,10 @@
     /** Whether no unreported task of [job] can be on a machine; unconfirmed machines that cannot host the job are ignored. */
     fun isReconciledFor(job: Job): Boolean = isReconciled || !job.hasUnconfirmedTasks
 
-    /** Returns the [amount] that unreported tasks of previous leaders may use in [team]; all of it counts against the quota limit. */
+    /**
+     * Returns how much of a resource unreported tasks of previous leaders may use in [team]; all of it counts against the quota
+     * limit. [amount] returns how much of the resource one task of a job uses.
+     */
     fun unconfirmedAmount(team: String, amount: (Job) -> Double): Double {
         if (isReconciled) return 0.0
         val ofOpenJobs = cluster.jobs.values.filter { it.spec.team == team && !isReconciledFor(it) }.sumOf { it.pendingCount * amount(it) }
--- a/src/main/kotlin/linemast/scheduling/GangPreemption.kt
+++ b/src/main/kotlin/linemast/scheduling/GangPreemption.kt
@@ -18,7 +18,7 @@
 
     /**
      * Preempts tasks of the gang's own team, the latest started first, when only the team's quota limit prevents [gang] from
-     * starting.
+     * starting. Preempts none if all those tasks together do not free enough of the quota.
      *
      * The gang has [missing] tasks to start, of which [withinLimit] fit within the quota limit without preemption.
      */
@@ -78,6 +78,7 @@
      */
     private fun isLessUrgent(placement: Placement, gang: Job): Boolean {
         val job = placement.job ?: return false
+        // A higher JobPriority is a less urgent one.
         return job.priority > gang.priority && !job.spec.isGang && !placement.isExemptFromPreemption
     }
 
@@ -96,7 +97,8 @@
     /**
      * Returns the tasks to preempt on [machine] so that one task of [gang] fits; null if preempting all permitted tasks is not enough.
      *
-     * Tasks that are expected to complete within [windowMicros] are not preempted, because they would lose the most work.
+     * Tasks that are expected to complete within [windowMicros], the time that the gang can wait, are not preempted, because they
+     * would lose the most work. Their vcpus count as free. Of the other tasks the latest started are preempted first.
      */
     private fun victimsOn(machine: Machine, gang: Job, windowMicros: Long, nowMicros: Long): List<Placement>? {
         var vcpus = machine.freeVcpus
--- a/src/main/kotlin/linemast/store/StoreRateLimits.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimits.kt
@@ -5,9 +5,9 @@
 /**
  * Computes this controller's share of the store's rate limits.
  *
- * The store's next limits take effect at an unannounced time. A call that is refused for its rate while all controllers are
- * within their shares shows that the next limits are in effect. From then on this controller stays within them. The limit of
- * writes and the limit of requests are lowered separately, each after a refusal.
+ * The store's next limits, [StoreLimits.next], are known, but take effect at an unannounced time. A call that is refused for its
+ * rate while all controllers are within their shares shows that the next limits are in effect. From then on this controller stays
+ * within them. This class lowers the limit of writes and the limit of requests separately, each after a refusal.
  */
 class StoreRateLimits(private val limits: StoreLimits, private val controllerCount: Int) {
     /** Whether this controller is the leader, whose share of the writes is larger. */
--- a/src/main/kotlin/linemast/transport/ServerConnections.kt
+++ b/src/main/kotlin/linemast/transport/ServerConnections.kt
@@ -3,7 +3,7 @@
 import linemast.time.SECOND_MICROS
 import linemast.time.SteadyClock
 
-/** The open connections of an [HttpServer]; finds those that are idle and those that have been unused for too long. */
+/** The open connections of an [HttpServer]; closes those without a completed request for too long, and on demand the longest idle one. */
 internal class ServerConnections {
     /** When each connection last began to wait for a request. One check of all connections is cheaper than a timer for each. */
     private val waitingSinceMicros = HashMap<Connection, Long>()
--- a/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
+++ b/src/test/kotlin/linemast/scheduling/HeartbeatOrderTest.kt
@@ -75,6 +75,7 @@
         worker.tasks.clear()
         worker.heartbeatFor(2)
         assertEquals(4, machine.placements.size, "until the lease expires, the earlier worker may still run the tasks")
+        // Longer than a lease.
         fixture.advance(12_000_000)
         fixture.heartbeat(delayed)
         worker.heartbeatFor(5)
--- a/src/test/kotlin/linemast/simulation/GeneratedFaults.kt
+++ b/src/test/kotlin/linemast/simulation/GeneratedFaults.kt
@@ -7,7 +7,7 @@
 
 private const val FAULT_PERIOD_MILLIS = 240_000L
 
-/** Injects random, partly overlapping faults for four minutes, then waits until the longest of them has ended. */
+/** Injects random, partly overlapping faults for four minutes, and waits 45 s for the last ones to end. */
 internal suspend fun TestScope.injectGeneratedFaults(world: SimWorld) {
     world.network.messageLossProbability = 0.02
     world.network.delayedDuplicateProbability = 0.05
@@ -15,6 +15,7 @@
     world.store.lostResponseProbability = 0.02
     world.store.delayedDuplicateProbability = 0.05
     backgroundScope.launch {
+        // Lowers the limits of the store at a random time.
         delay(world.random.nextLong(FAULT_PERIOD_MILLIS))
         world.store.maxValueBytes = 1_536
         world.store.maxTransactionOperations = 5
@@ -28,7 +29,8 @@
     world.store.lostResponseProbability = 0.0
     world.store.delayedDuplicateProbability = 0.0
     world.users.cancelAtCompletionProbability = 0.0
-    // The longest fault takes up to 45 s and may have begun just now.
+    // An outage of the store takes up to 45 s and may have begun just now. An outage that refuseLeaderThenStartOutage has yet to start
+    // begins up to 6 s later, and may last beyond this wait.
     delay(45_000)
     world.checks.faultFreeSinceMicros = world.clock.nowMicros()
 }
@@ -106,8 +108,8 @@
         }
     }
 
-    fun pauseWorker(machine: SimWorker) {
-        machine.pausedUntilMicros = world.clock.nowMicros() + random.nextLong(1_000_000, 20_000_000)
+    fun pauseWorker(worker: SimWorker) {
+        worker.pausedUntilMicros = world.clock.nowMicros() + random.nextLong(1_000_000, 20_000_000)
     }
 
     fun loseMachine() {
--- a/src/test/kotlin/linemast/simulation/InvariantChecks.kt
+++ b/src/test/kotlin/linemast/simulation/InvariantChecks.kt
@@ -14,7 +14,10 @@
     /** Violations in the order in which they were found. */
     val violations = ArrayList<Violation>()
 
-    /** Since when no fault is injected; from then on no job may starve while machines have room for it and its team is under its limit. */
+    /**
+     * Since when no fault is injected. From then on no job may stay pending for long while machines have free capacity for it and its
+     * team is under its limit.
+     */
     var faultFreeSinceMicros: Long? = null
 
     /** Since when a pending job could start without interruption, counted from [faultFreeSinceMicros] at the earliest. */
@@ -90,8 +93,8 @@
         val acknowledgedStatus = job.acknowledgedStatus
         // The response to a request sent before the terminal status was acknowledged may arrive after it. A terminal status is
         // never followed by another one.
-        val isLater = sentMicros > job.acknowledgedMicros || isTerminal
-        if (acknowledgedStatus != null && status != acknowledgedStatus && isLater) {
+        val mustBeUnchanged = sentMicros > job.acknowledgedMicros || isTerminal
+        if (acknowledgedStatus != null && status != acknowledgedStatus && mustBeUnchanged) {
             recordViolation(Invariant.ACKNOWLEDGED_STATUS_IS_FINAL, job.id, "was $acknowledgedStatus, is $status")
         }
         if (!isTerminal) return checkDependentsAreCancelled(job, status, sentMicros)
@@ -148,7 +151,10 @@
         return if (job.sameZone) freeSlots.values.any { it >= requiredSlots } else freeSlots.values.sum() >= requiredSlots
     }
 
-    /** Returns for each zone how many tasks of [job] fit on the free machines that it may use. */
+    /**
+     * Returns for each zone how many tasks of [job] fit the free vcpus of the machines that it may use. If all its tasks have to be in
+     * one zone and some are already in the zones [boundTo], only these zones count.
+     */
     private fun freeTaskSlotsByZone(job: SimJob, boundTo: Set<String>): Map<String, Int> = world.workers.values
         .filter { (job.spot || !it.spot) && (!job.sameZone || boundTo.isEmpty() || it.zone in boundTo) }
         .groupBy { it.zone }
@@ -161,6 +167,8 @@
 
     private companion object {
         const val CHECK_INTERVAL_MILLIS = 500L
+
+        /** How long a job may stay pending although it could start. */
         const val MAX_WAIT_MICROS = 90_000_000L
         const val ROUNDING_TOLERANCE = 1e-6
     }
--- a/src/test/kotlin/linemast/size/FleetScenario.kt
+++ b/src/test/kotlin/linemast/size/FleetScenario.kt
@@ -66,6 +66,7 @@
     val heartbeatIntervalMicros = settings.workers.heartbeatIntervalMicros
 
     private val effects = object : ClusterEffects {
+        /** Activates [job] once the store has confirmed the write, which takes 20 ms. */
         override fun persistActivation(job: Job) {
             schedule(20_000) {
                 job.activation = Job.Activation.ACTIVE
@@ -172,6 +173,7 @@
     private fun tick() {
         measure("scheduling") { cluster.tick(now) }
         val actions = measure("autoscaler") { autoscaler.step(now, now) }
+        // The cloud executes a request 120 ms after the leader has sent it.
         for (request in actions.scaleOuts) {
             schedule(120_000) {
                 val type = types.first { it.name == request.machineType }
@@ -236,6 +238,10 @@
         private const val FIRST_FENCING_TOKEN = 5L
         private const val DEGRADED_MODE_MICROS = 10_000_000L
 
+        /**
+         * Returns the spec of a gang with all its tasks in one zone, or else of an array of less urgent tasks that may run on spot
+         * machines.
+         */
         fun spec(
             id: String,
             jobClass: String,
