--- a/src/main/kotlin/linemast/admission/DemandTable.kt
+++ b/src/main/kotlin/linemast/admission/DemandTable.kt
@@ -23,7 +23,7 @@
             try {
                 reports[entry.key] = ReadReport(entry.revision, nowMicros, AdmissionCodec.decodeDemand(entry.value))
             } catch (e: MalformedException) {
-                logger.error("{}: malformed demand report: {}", entry.key, e.message)
+                logger.error("{}: malformed demand report: {}; the report is ignored", entry.key, e.message)
             }
         }
     }
--- a/src/main/kotlin/linemast/app/Commands.kt
+++ b/src/main/kotlin/linemast/app/Commands.kt
@@ -18,7 +18,7 @@
     if (options.hasMatchedOption(TRAINING_OPTION)) return ArchiveTraining.run()
     val settingsFile = options.file(CONFIG_OPTION)
     if (settingsFile == null) {
-        System.err.println("linemast: $CONFIG_OPTION FILE is missing")
+        System.err.println("linemast: the option $CONFIG_OPTION FILE is required")
         return ExitCode.USAGE
     }
     val configuration = try {
--- a/src/main/kotlin/linemast/app/MachineTypeCatalog.kt
+++ b/src/main/kotlin/linemast/app/MachineTypeCatalog.kt
@@ -26,7 +26,7 @@
 
     /** Reads the machine types from the store, or else from the cloud; retries until it succeeds. */
     suspend fun load() {
-        val loaded = RETRY.untilResult(log, "machine types") { readStored() ?: fetchAndStore() }
+        val loaded = RETRY.untilResult(log, "reading the machine types") { readStored() ?: fetchAndStore() }
         types = loaded
         log.info("machine types: {}", loaded.map { it.name })
     }
--- a/src/main/kotlin/linemast/cloud/CloudClient.kt
+++ b/src/main/kotlin/linemast/cloud/CloudClient.kt
@@ -90,7 +90,7 @@
     }
 
     private fun errorStatus(response: HttpClientResponse, call: String) =
-        CloudException.ErrorStatus(response.status, "the cloud answered ${response.status} to $call")
+        CloudException.ErrorStatus(response.status, "the cloud responded with HTTP status ${response.status} to $call")
 
     private companion object {
         const val MAX_CONCURRENT_CALLS = 3
--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -46,7 +46,9 @@
         if (keys.isEmpty()) return
         term.scope.launch {
             for (chunk in keys.chunked(term.limits.maxTxnOps)) {
-                storeResultOrNull(log) { term.commit(emptyList(), chunk.map { Write.Delete(it) }) }
+                storeResultOrNull(log, "deleting completed tasks of ended jobs under", chunk) {
+                    term.commit(emptyList(), chunk.map { Write.Delete(it) })
+                }
             }
         }
     }
--- a/src/main/kotlin/linemast/control/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -30,7 +30,9 @@
         term.scope.launch {
             val parts = CompletedTaskPart.changed(job, term.limits.maxTxnOps)
             val isDone = job.isDone
-            val result = storeResultOrNull(log) { if (isDone) jobOutcomeStore.commitDone(job) else completedTaskStore.commit(job, parts) }
+            val result = storeResultOrNull(log, "writing the progress of job", job.id) {
+                if (isDone) jobOutcomeStore.commitDone(job) else completedTaskStore.commit(job, parts)
+            }
             term.eventLoop.enqueue {
                 finishWrite(job, result) { revision ->
                     recordStoredParts(job, parts, revision)
@@ -44,7 +46,7 @@
     fun deleteCancelled(job: Job) {
         job.storedProgress.isWriting = true
         term.scope.launch {
-            val result = storeResultOrNull(log) { jobOutcomeStore.commitCancelled(job) }
+            val result = storeResultOrNull(log, "deleting the record of cancelled job", job.id) { jobOutcomeStore.commitCancelled(job) }
             term.eventLoop.enqueue { finishWrite(job, result) { cluster.jobs.remove(job.id) } }
         }
     }
@@ -84,8 +86,9 @@
     private fun reload(job: Job) {
         term.scope.launch {
             val key = JobKeys.open(job.id)
-            val read = storeResultOrNull(log) { Result.success(term.store.get(key)) } ?: return@launch
-            val parts = storeResultOrNull(log) { completedTaskStore.read(job.id) } ?: return@launch
+            val read = storeResultOrNull(log, "reading the record of job", job.id) { Result.success(term.store.get(key)) } ?: return@launch
+            val parts = storeResultOrNull(log, "reading the completed tasks of job", job.id) { completedTaskStore.read(job.id) }
+                ?: return@launch
             term.eventLoop.enqueue {
                 val entry = read.getOrNull()
                 openJobUpdates.apply(KeyChange(key, entry?.value, entry?.revision ?: 0L))
--- a/src/main/kotlin/linemast/control/StepDownPolicy.kt
+++ b/src/main/kotlin/linemast/control/StepDownPolicy.kt
@@ -21,14 +21,14 @@
      */
     private fun stepDownIfWorkersReachOnlyPeers(nowMicros: Long) {
         if (!cluster.areMostHeartbeatsMissing(nowMicros) || !peers.anyPeerReceivesHeartbeats) return
-        log.info("stepping down: workers send their heartbeats to other controllers and do not get through here")
+        log.info("stepping down: the heartbeats of most workers do not reach this controller, but reach other controllers")
         lease.stepDown()
     }
 
     /** Steps down before the attempt numbers run out: they belong to a fencing token, and the next term has as many again. */
     private fun stepDownIfAttemptNumbersAreExhausted() {
         if (!cluster.attemptNumbers.isNearlyExhausted || lease.hasSteppedDown) return
-        log.info("stepping down: attempt numbers are nearly used up")
+        log.info("stepping down: the attempt numbers of this term are nearly exhausted; the next term has as many again")
         lease.stepDown()
     }
 }
--- a/src/main/kotlin/linemast/domain/PendingReason.kt
+++ b/src/main/kotlin/linemast/domain/PendingReason.kt
@@ -37,6 +37,6 @@
 
     /** The store does not record yet that tasks of the job may be started; see [Job.Activation]. */
     data object NotActivated : PendingReason {
-        override val description get() = "not opened yet"
+        override val description get() = "activation not yet recorded in the store"
     }
 }
--- a/src/main/kotlin/linemast/domain/StopReason.kt
+++ b/src/main/kotlin/linemast/domain/StopReason.kt
@@ -7,21 +7,21 @@
 
     /** Another [team] uses less than its quota, and the task occupies capacity that this team needs. */
     data class PreemptedForQuota(val team: String) : StopReason {
-        override val description get() = "preempted: quota of $team"
+        override val description get() = "preempted: team $team needs the capacity for its quota"
     }
 
     /** The more urgent [gang] of the same team exceeds the team's quota limit unless the task is stopped. */
     data class PreemptedAtQuotaLimit(val gang: String) : StopReason {
-        override val description get() = "preempted: quota limit of the team, for $gang"
+        override val description get() = "preempted: gang $gang would otherwise exceed the quota limit of the team"
     }
 
     /** The more urgent [gang] needs the capacity that the task uses on its machine. */
     data class PreemptedForGang(val gang: String) : StopReason {
-        override val description get() = "preempted: capacity for $gang"
+        override val description get() = "preempted: gang $gang needs the capacity on the machine"
     }
 
     /** The cloud preempts the spot machine [machineName]; the task writes a checkpoint before that. */
     data class MachinePreempted(val machineName: String) : StopReason {
-        override val description get() = "$machineName is preempted"
+        override val description get() = "stopped to write a checkpoint: the cloud preempts $machineName"
     }
 }
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -40,12 +40,13 @@
 
     /** Decodes the stored form of an intent; throws a `MalformedException` for any other value. */
     fun decode(fields: Fields): Intent {
-        val duty = Duty.of(fields.text("duty")) ?: fields.fail("duty", "is unknown")
+        val duty = Duty.of(fields.text("duty")) ?: fields.fail("duty", "must be one of ${Duty.entries.joinToString { it.storedName }}")
         return Intent(
             id = IntentId(fields.long("helm"), fields.long("n")),
             action = decodeAction(duty, fields),
             decidedWallMicros = fields.long("at_us"),
-            state = IntentState.of(fields.text("state")) ?: fields.fail("state", "is unknown"),
+            state = IntentState.of(fields.text("state"))
+                ?: fields.fail("state", "must be one of ${IntentState.entries.joinToString { it.storedName }}"),
             machineCount = fields.long("count").toInt(),
             closedByToken = fields.longOrNull("closed_by"),
         )
--- a/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
+++ b/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
@@ -14,7 +14,7 @@
 
     /** Returns those of [writes] that are still to be done, in order and with free slots; all if the store does not respond. */
     suspend fun resolve(writes: List<IntentWrite>): List<IntentWrite> {
-        if (storeResultOrNull(logger) { slots.load() } == null) {
+        if (storeResultOrNull(logger, "reading the intents") { slots.load() } == null) {
             delay(retryIntervalMillis)
             return writes
         }
--- a/src/main/kotlin/linemast/duties/IntentRunner.kt
+++ b/src/main/kotlin/linemast/duties/IntentRunner.kt
@@ -41,7 +41,7 @@
                 ScaleOutResult.Unknown -> delay(RETRY_INTERVAL_MILLIS)
             }
         }
-        logger.info("scale-out {} is abandoned: no answer", action.request.requestId)
+        logger.info("scale-out {} is abandoned: no response from the cloud before the retry timeout", action.request.requestId)
         writer.close(open, IntentState.ABANDONED, 0)
         return ScaleOutResult.Unknown
     }
@@ -64,7 +64,7 @@
             try {
                 return cloud.scaleIn(names)
             } catch (e: CloudException) {
-                logger.info("scale-in of {}: {}", names, e.message)
+                logger.info("scale-in of {}: failed, retried after a back-off: {}", names, e.message)
             }
             delay(backOffMillis)
             backOffMillis = minOf(backOffMillis * 2, MAX_BACK_OFF_MILLIS)
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -94,7 +94,9 @@
     /** Commits [writes] in one transaction; returns null if the store does not respond. */
     private suspend fun commit(writes: List<IntentWrite>): CommitResult? {
         val preconditions = listOf(leaderLease.fence) + writes.map { slots.unchangedPrecondition(it.slot) }
-        return storeResultOrNull(logger) { store.commit(preconditions, writes.map(IntentWrite::toStoreWrite), RequestPriority.HIGH) }
+        return storeResultOrNull(logger, "writing intents") {
+            store.commit(preconditions, writes.map(IntentWrite::toStoreWrite), RequestPriority.HIGH)
+        }
     }
 
     /** Fails [pendingWrites], all queued writes and all later ones, because the term has ended. */
--- a/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
+++ b/src/main/kotlin/linemast/duties/PendingIntentResolver.kt
@@ -86,7 +86,7 @@
         try {
             action()
         } catch (e: LeadershipLostException) {
-            logger.debug("{}", e.message)
+            logger.debug("resolving open actions of previous leaders stopped: {}", e.message)
         }
     }
 
--- a/src/main/kotlin/linemast/jobs/CompletedTasksCodec.kt
+++ b/src/main/kotlin/linemast/jobs/CompletedTasksCodec.kt
@@ -38,9 +38,11 @@
         val bits = try {
             BitSet.valueOf(Base64.getDecoder().decode(text))
         } catch (e: IllegalArgumentException) {
-            throw MalformedException("completed tasks: ${e.message}")
+            throw MalformedException("completed tasks: $BITS is not valid Base64: ${e.message}")
+        }
+        if (bits.length() > CompletedTaskParts.TASKS_PER_PART) {
+            throw MalformedException("completed tasks: $BITS contains more than ${CompletedTaskParts.TASKS_PER_PART} bits")
         }
-        if (bits.length() > CompletedTaskParts.TASKS_PER_PART) throw MalformedException("completed tasks: too many bits")
         bits.stream().forEach { into.set(part * CompletedTaskParts.TASKS_PER_PART + it) }
     }
 }
--- a/src/main/kotlin/linemast/jobs/DependencyCheck.kt
+++ b/src/main/kotlin/linemast/jobs/DependencyCheck.kt
@@ -31,7 +31,8 @@
         val key = dependencies.toSet()
         val check = runningChecks[key] ?: startCheck(key)
         val result = withTimeoutOrNull(CALLER_TIMEOUT_MILLIS) { check.await() }
-        return result?.getOrThrow() ?: throw StoreException.ReadAborted("the dependencies are still being read")
+        return result?.getOrThrow()
+            ?: throw StoreException.ReadAborted("the dependencies of the job are still being read after $CALLER_TIMEOUT_MILLIS ms")
     }
 
     private fun startCheck(dependencies: Set<String>): CompletableDeferred<Result<Boolean>> {
@@ -48,7 +49,7 @@
     private suspend fun findCancelledWithinTimeout(dependencies: Collection<String>): Boolean = try {
         withTimeout(timeoutMicros / MICROS_PER_MILLI) { findCancelled(dependencies) }
     } catch (e: TimeoutCancellationException) {
-        throw StoreException.ReadAborted("the dependencies could not be read before the timeout")
+        throw StoreException.ReadAborted("the dependencies of the job could not be read before the timeout")
     }
 
     /** Searches the dependency graph breadth-first, with one bulk read per level. */
--- a/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
@@ -65,21 +65,24 @@
      */
     fun decode(fields: Fields): JobSpec {
         val id = fields.text("name_id")
-        if (!JobSpec.isId(id)) fields.fail("name_id", "is not a job id")
+        if (!JobSpec.isId(id)) fields.fail("name_id", "must be a job id such as req-1")
         val taskCount = fields.long("pieces")
         if (taskCount !in 1..MAX_TASKS) fields.fail("pieces", "must be from 1 to $MAX_TASKS")
         val machineTypes = fields.textsOrNull("builds")
-        if (machineTypes != null && (machineTypes.isEmpty() || machineTypes.size > MAX_LENGTH)) fields.fail("builds", "must name a type")
+        if (machineTypes != null && (machineTypes.isEmpty() || machineTypes.size > MAX_LENGTH)) {
+            fields.fail("builds", "must name 1 to $MAX_LENGTH machine types")
+        }
         val vcpus = decodeAmount(fields, "vcpus")
         val gpus = decodeAmount(fields, "gpus")
-        if (vcpus == 0.0 && gpus == 0.0) fields.fail("vcpus", "must be more than 0")
-        val kind = kinds.byWireName[fields.text("shape")] ?: fields.fail("shape", "is unknown")
+        if (vcpus == 0.0 && gpus == 0.0) fields.fail("vcpus", "must be more than 0 if gpus is 0")
+        val kind = kinds.byWireName[fields.text("shape")] ?: fields.fail("shape", "must be one of ${kinds.byWireName.keys.joinToString()}")
         return JobSpec(
             id = id,
             jobClass = decodeShortText(fields, "lane"),
             team = decodeShortText(fields, "crew"),
             kind = kind,
-            priority = priorities.byWireName[fields.text("urgency")] ?: fields.fail("urgency", "is unknown"),
+            priority = priorities.byWireName[fields.text("urgency")]
+                ?: fields.fail("urgency", "must be one of ${priorities.byWireName.keys.joinToString()}"),
             taskCount = taskCount.toInt(),
             vcpus = vcpus,
             gpus = gpus,
@@ -108,19 +111,19 @@
     private fun decodeDependencies(fields: Fields): List<String> {
         val ids = fields.textsOrNull("awaits")?.distinct() ?: return emptyList()
         if (ids.size > MAX_DEPENDENCIES) fields.fail("awaits", "must name at most $MAX_DEPENDENCIES jobs")
-        if (!ids.all(JobSpec::isId)) fields.fail("awaits", "must hold job ids only")
+        if (!ids.all(JobSpec::isId)) fields.fail("awaits", "must hold only job ids such as req-1")
         return ids
     }
 
     private fun decodeShortText(fields: Fields, name: String): String =
-        fields.text(name).also { if (it.isEmpty() || it.length > MAX_LENGTH) fields.fail(name, "must not be empty or too long") }
+        fields.text(name).also { if (it.isEmpty() || it.length > MAX_LENGTH) fields.fail(name, "must have 1 to $MAX_LENGTH characters") }
 
     private fun decodeAmount(fields: Fields, name: String): Double =
-        fields.number(name).also { if (it < 0 || it > MAX_AMOUNT) fields.fail(name, "is out of range") }
+        fields.number(name).also { if (it < 0 || it > MAX_AMOUNT) fields.fail(name, "must be from 0 to $MAX_AMOUNT") }
 
     private fun decodeDuration(fields: Fields, name: String): Long {
         val seconds = fields.number(name)
-        if (seconds < 0 || seconds > MAX_DURATION_SECONDS) fields.fail(name, "is out of range")
+        if (seconds < 0 || seconds > MAX_DURATION_SECONDS) fields.fail(name, "must be from 0 to $MAX_DURATION_SECONDS")
         return (seconds * 1e6).toLong()
     }
 }
--- a/src/main/kotlin/linemast/jobs/OutcomeRecordCodec.kt
+++ b/src/main/kotlin/linemast/jobs/OutcomeRecordCodec.kt
@@ -18,7 +18,8 @@
 
     /** Decodes a stored outcome; throws [linemast.serialization.MalformedException] if a field is missing or has an unknown value. */
     fun decode(fields: Fields): OutcomeRecord {
-        val outcome = outcomesByName[fields.text("verdict")] ?: fields.fail("verdict", "is unknown")
+        val outcome = outcomesByName[fields.text("verdict")]
+            ?: fields.fail("verdict", "must be one of ${outcomesByName.keys.joinToString()}")
         return OutcomeRecord(outcome, fields.long("pieces").toInt(), fields.textsOrNull("awaits") ?: emptyList())
     }
 }
--- a/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
@@ -66,7 +66,9 @@
             reconciliation.unknownJobs.needingAttention,
         )
         val write = Write.Put(ReconciliationReportCodec.KEY, ReconciliationReportCodec.encode(report))
-        storeResultOrNull(logger) { store.commit(listOf(leaderLease.fence), listOf(write), RequestPriority.BACKGROUND) }
+        storeResultOrNull(logger, "writing the reconciliation report") {
+            store.commit(listOf(leaderLease.fence), listOf(write), RequestPriority.BACKGROUND)
+        }
     }
 
     private companion object {
--- a/src/main/kotlin/linemast/scheduling/TaskEndings.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskEndings.kt
@@ -56,7 +56,7 @@
         if (!job.failedOn.add(machine.name) && !machine.failedJobs.add(job.id)) return
         machine.failedJobs += job.id
         job.failureBackOff.recordFailure(nowMicros)
-        log.debug("{}: failed on {}, {} times in all", job.id, machine.name, job.failureBackOff.failures)
+        log.debug("{}: a task failed on {}, {} failures since the last completed task", job.id, machine.name, job.failureBackOff.failures)
         if (machine.failedJobs.size >= FAILED_JOBS_BEFORE_QUARANTINE && !machine.draining) quarantine(machine)
         cluster.needsScheduling = true
     }
--- a/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/TaskReconciliation.kt
@@ -75,7 +75,7 @@
     private fun removeLost(placement: Placement) {
         cluster.stateReconciliation?.count(ReconciliationStatistics.Difference.LOST)
         if (placement.phase != Placement.Phase.SENT) {
-            log.info("{} on {}: not reported any more", placement.task, placement.machine.name)
+            log.info("{} on {}: not reported any more, treated as lost", placement.task, placement.machine.name)
         }
         cluster.remove(placement)
     }
--- a/src/main/kotlin/linemast/serialization/ValueTree.kt
+++ b/src/main/kotlin/linemast/serialization/ValueTree.kt
@@ -34,7 +34,7 @@
     fun readMap(parser: JsonParser): Map<String, Any?> {
         val map = LinkedHashMap<String, Any?>()
         while (nextToken(parser) != JsonToken.END_OBJECT) {
-            val name = parser.currentName() ?: throw MalformedException("a key is not text")
+            val name = parser.currentName() ?: throw MalformedException("a key of a map is not text")
             nextToken(parser)
             map[name] = read(parser)
         }
--- a/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
+++ b/src/main/kotlin/linemast/store/KeyValueStoreClient.kt
@@ -96,7 +96,7 @@
         val response = try {
             client.call(method, path, body, timeoutMicros)
         } catch (e: NoResponseException) {
-            throw StoreException.NoResponse(e.message ?: "no response")
+            throw StoreException.NoResponse(e.message ?: "no response from the key-value store")
         }
         if (response.status == HttpStatus.TOO_MANY_REQUESTS) rateLimiter.onRefused(isCommit = path == StoreCodec.COMMIT_PATH)
         if (response.status == HttpStatus.SERVICE_UNAVAILABLE || response.status == HttpStatus.TOO_MANY_REQUESTS) throwErrorStatus(response)
--- a/src/main/kotlin/linemast/store/StoreException.kt
+++ b/src/main/kotlin/linemast/store/StoreException.kt
@@ -8,12 +8,12 @@
     abstract val mayHaveExecuted: Boolean
 
     /** The store responded with the HTTP error [status]: it did not execute the request. */
-    class ErrorStatus(val status: Int) : StoreException("the key-value store answered $status") {
+    class ErrorStatus(val status: Int) : StoreException("the key-value store responded with HTTP status $status") {
         override val mayHaveExecuted get() = false
     }
 
     /** The call was not sent: this controller's rate limiter had no token for it within the queue timeout of its priority. */
-    class RateLimited : StoreException("no token within the queue timeout") {
+    class RateLimited : StoreException("call not sent: the rate limiter of this controller had no token within the queue timeout") {
         override val mayHaveExecuted get() = false
     }
 
@@ -29,7 +29,7 @@
     }
 
     /** A stored record cannot be decoded. */
-    class MalformedRecord : StoreException("malformed record") {
+    class MalformedRecord : StoreException("a record in the store is malformed") {
         override val mayHaveExecuted get() = false
     }
 
