--- a/src/main/kotlin/linemast/control/StepDownPolicy.kt
+++ b/src/main/kotlin/linemast/control/StepDownPolicy.kt
@@ -21,7 +21,7 @@
      */
     private fun stepDownIfWorkersReachOnlyPeers(nowMicros: Long) {
         if (!cluster.areMostHeartbeatsMissing(nowMicros) || !peers.anyPeerReceivesHeartbeats) return
-        log.info("stepping down: the heartbeats of most workers do not reach this controller, but reach other controllers")
+        log.info("stepping down: heartbeats of most workers are overdue at this controller, but another controller receives heartbeats")
         lease.stepDown()
     }
 
--- a/src/main/kotlin/linemast/domain/StopReason.kt
+++ b/src/main/kotlin/linemast/domain/StopReason.kt
@@ -12,7 +12,7 @@
 
     /** The more urgent [gang] of the same team exceeds the team's quota limit unless the task is stopped. */
     data class PreemptedAtQuotaLimit(val gang: String) : StopReason {
-        override val description get() = "preempted: gang $gang would otherwise exceed the quota limit of the team"
+        override val description get() = "preempted: gang $gang would otherwise exceed the quota limit of its team"
     }
 
     /** The more urgent [gang] needs the capacity that the task uses on its machine. */
--- a/src/main/kotlin/linemast/store/StoreRateLimiter.kt
+++ b/src/main/kotlin/linemast/store/StoreRateLimiter.kt
@@ -36,7 +36,7 @@
     /** Lowers the rates after the store has refused a call for its rate although this controller was within its share. */
     fun onRefused(isCommit: Boolean) {
         if (!rates.tightenAfterRefusal(isCommit)) return
-        log.info("the key-value store refused a call for its rate: the limits under 'next' in the settings apply from now on")
+        log.info("the key-value store refused a call for its rate: a limit under 'next' in the settings applies from now on")
         requests.ratePerSecond = rates.requestsPerSecond
         writes.ratePerSecond = rates.writesPerSecond
     }
