--- a/src/main/kotlin/linemast/cloud/Fleet.kt
+++ b/src/main/kotlin/linemast/cloud/Fleet.kt
@@ -48,7 +48,7 @@
         val type = types[request.machineType] ?: return
         inventory.addGranted(names, type, request.zone, request.spot, nowMicros)
         log.info(
-            "scaled out: {} of {} {} in {}{}",
+            "scaled out: {} of {} machines of type {} in zone {}{}",
             names.size,
             request.machineCount,
             request.machineType,
@@ -62,7 +62,7 @@
     /** Records that the cloud has no capacity for [request]; its machine shape is not requested again during a back-off. */
     fun recordScaleOutRefused(request: ScaleOutRequest, types: Map<String, MachineType>, nowMicros: Long) {
         scaleOutPlanner.removePending(request)
-        log.debug("no capacity for {} in {}{}", request.machineType, request.zone, spotSuffix(request.spot))
+        log.debug("no capacity for machine type {} in zone {}{}", request.machineType, request.zone, spotSuffix(request.spot))
         val type = types[request.machineType] ?: return
         backOff.recordRefusal(MachineShape(type, request.zone, request.spot), nowMicros)
     }
--- a/src/main/kotlin/linemast/control/BlockedJobStore.kt
+++ b/src/main/kotlin/linemast/control/BlockedJobStore.kt
@@ -32,7 +32,7 @@
             val key = JobKeys.blocked(job.id)
             val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Delete(key))
             val preconditions = listOf(Precondition(key, job.revision))
-            val result = storeResultOrNull(log, "releasing job", job.id) { term.commit(preconditions, writes, RequestPriority.HIGH) }
+            val result = storeResultOrNull(log, "releasing a job") { term.commit(preconditions, writes, RequestPriority.HIGH) }
             applyResult(listOf(job), result) { revision ->
                 log.info("{}: released: all that it depends on is done", job.id)
                 cluster.applyJobRecord(record, revision)
--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -44,7 +44,7 @@
     private suspend fun write(change: () -> Map<String, Map<String, Any?>>): Boolean = writeMutex.withLock {
         for ((key, value) in change()) {
             val preconditions = listOf(Precondition(key, registry.revisionOf(key)))
-            val result = storeResultOrNull(log, "writing the machine registry to", key) {
+            val result = storeResultOrNull(log, "writing the machine registry") {
                 term.commit(preconditions, listOf(Write.Put(key, value)))
             }
             if (result is TermCommitResult.Applied) {
--- a/src/main/kotlin/linemast/duties/IntentCodec.kt
+++ b/src/main/kotlin/linemast/duties/IntentCodec.kt
@@ -40,13 +40,13 @@
 
     /** Decodes the stored form of an intent; throws a `MalformedException` for any other value. */
     fun decode(fields: Fields): Intent {
-        val duty = Duty.of(fields.text("duty")) ?: fields.fail("duty", "must be one of ${Duty.entries.joinToString { it.storedName }}")
+        val duty = Duty.of(fields.text("duty")) ?: fields.fail("duty", "must be one of rent, return, reclaim, clean-up")
         return Intent(
             id = IntentId(fields.long("helm"), fields.long("n")),
             action = decodeAction(duty, fields),
             decidedWallMicros = fields.long("at_us"),
             state = IntentState.of(fields.text("state"))
-                ?: fields.fail("state", "must be one of ${IntentState.entries.joinToString { it.storedName }}"),
+                ?: fields.fail("state", "must be one of open, carried-out, refused, abandoned"),
             machineCount = fields.long("count").toInt(),
             closedByToken = fields.longOrNull("closed_by"),
         )
--- a/src/main/kotlin/linemast/jobs/CancellationHandler.kt
+++ b/src/main/kotlin/linemast/jobs/CancellationHandler.kt
@@ -26,7 +26,7 @@
         if (!JobSpec.isId(id)) return JobResponse.NotFound
         repeat(MAX_ATTEMPTS) {
             outcomes.cachedTerminal(id)?.let { return statusReporter.status(id, it) }
-            val stored = readStoredRecord(id) { store.readOutcome(id, RequestPriority.HIGH) } ?: return JobResponse.NotFound
+            val stored = readStoredRecord { store.readOutcome(id, RequestPriority.HIGH) } ?: return JobResponse.NotFound
             if (stored.record.outcome.isTerminal) return statusReporter.status(id, outcomes.cacheOutcome(id, stored.record))
             val jobEntry = readJobEntry(id, hasDependencies = stored.record.dependencies.isNotEmpty()) ?: return@repeat
             val cancelled = OutcomeRecord(JobOutcome.CANCELLED, stored.record.taskCount)
@@ -58,7 +58,7 @@
 
     /** Returns the record of an open job with the cancelled flag set, which notifies the leader of the cancellation. */
     private fun cancelledRecord(jobEntry: Entry): Map<String, Any?> {
-        val record = readStoredRecord(jobEntry.key) { JobRecordCodec.decode(jobEntry.value) }.with(cancelled = true)
+        val record = readStoredRecord { JobRecordCodec.decode(jobEntry.value) }.with(cancelled = true)
         val types = machineTypes() ?: return JobRecordCodec.encode(record)
         return JobRecordCodec.encode(record.withKnownMachineTypes(types))
     }
--- a/src/main/kotlin/linemast/jobs/JobService.kt
+++ b/src/main/kotlin/linemast/jobs/JobService.kt
@@ -65,20 +65,20 @@
     suspend fun handle(request: HttpRequest): HttpResponse? {
         val path = request.path
         return when {
-            path == JOBS_PATH -> if (request.method == "POST") respond(request) { submission.submit(request.body) } else null
+            path == JOBS_PATH -> if (request.method == "POST") respond { submission.submit(request.body) } else null
             !path.startsWith("$JOBS_PATH/") -> null
             request.method == "POST" && path.endsWith(CANCEL_SUFFIX) ->
-                respond(request) { cancellation.cancel(path.substring(JOBS_PATH.length + 1, path.length - CANCEL_SUFFIX.length)) }
-            request.method == "GET" -> respond(request) { statusQuery.query(path.substring(JOBS_PATH.length + 1)) }
+                respond { cancellation.cancel(path.substring(JOBS_PATH.length + 1, path.length - CANCEL_SUFFIX.length)) }
+            request.method == "GET" -> respond { statusQuery.query(path.substring(JOBS_PATH.length + 1)) }
             else -> null
         }
     }
 
-    private suspend fun respond(request: HttpRequest, handle: suspend () -> JobResponse): HttpResponse {
+    private suspend fun respond(handle: suspend () -> JobResponse): HttpResponse {
         val response = try {
             handle()
         } catch (e: StoreException) {
-            log.debug("{} {} rejected: {}; responding with 503", request.method, request.path, e.message)
+            log.debug("request rejected: {}; responding with 503", e.message)
             JobResponse.Unavailable
         }
         return JobResponseCodec.encode(response)
--- a/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
+++ b/src/main/kotlin/linemast/jobs/JobSpecCodec.kt
@@ -75,14 +75,14 @@
         val vcpus = decodeAmount(fields, "vcpus")
         val gpus = decodeAmount(fields, "gpus")
         if (vcpus == 0.0 && gpus == 0.0) fields.fail("vcpus", "must be more than 0 if gpus is 0")
-        val kind = kinds.byWireName[fields.text("shape")] ?: fields.fail("shape", "must be one of ${kinds.byWireName.keys.joinToString()}")
+        val kind = kinds.byWireName[fields.text("shape")] ?: fields.fail("shape", "must be one of sweep, gang, standing")
         return JobSpec(
             id = id,
             jobClass = decodeShortText(fields, "lane"),
             team = decodeShortText(fields, "crew"),
             kind = kind,
             priority = priorities.byWireName[fields.text("urgency")]
-                ?: fields.fail("urgency", "must be one of ${priorities.byWireName.keys.joinToString()}"),
+                ?: fields.fail("urgency", "must be one of critical, high, normal, idle"),
             taskCount = taskCount.toInt(),
             vcpus = vcpus,
             gpus = gpus,
--- a/src/main/kotlin/linemast/jobs/OpenJobListing.kt
+++ b/src/main/kotlin/linemast/jobs/OpenJobListing.kt
@@ -35,7 +35,7 @@
         val sentMicros = clock.nowMicros()
         for (prefix in listOf(JobKeys.BLOCKED_PREFIX, JobKeys.OPEN_PREFIX)) {
             for (entry in store.listAll(prefix).entries) {
-                val record = readStoredRecord(entry.key) { JobRecordCodec.decode(entry.value) }
+                val record = readStoredRecord { JobRecordCodec.decode(entry.value) }
                 val outcome = if (record.cancelled) JobOutcome.CANCELLED else JobOutcome.OPEN
                 cache.put(record.spec.id, OutcomeRecord(outcome, record.spec.taskCount, record.spec.dependencies), sentMicros)
             }
--- a/src/main/kotlin/linemast/jobs/OutcomeReader.kt
+++ b/src/main/kotlin/linemast/jobs/OutcomeReader.kt
@@ -47,7 +47,7 @@
     /** Reads an outcome and caches it. The callers do not cache the result, because they may be cancelled before the read ends. */
     private suspend fun readAndCache(id: String): OutcomeRecord? {
         val sentMicros = clock.nowMicros()
-        val stored = readStoredRecord(id) { store.readOutcome(id) } ?: return null
+        val stored = readStoredRecord { store.readOutcome(id) } ?: return null
         return cacheOutcome(id, stored.record, sentMicros)
     }
 }
--- a/src/main/kotlin/linemast/jobs/OutcomeRecordCodec.kt
+++ b/src/main/kotlin/linemast/jobs/OutcomeRecordCodec.kt
@@ -19,7 +19,7 @@
     /** Decodes a stored outcome; throws [linemast.serialization.MalformedException] if a field is missing or has an unknown value. */
     fun decode(fields: Fields): OutcomeRecord {
         val outcome = outcomesByName[fields.text("verdict")]
-            ?: fields.fail("verdict", "must be one of ${outcomesByName.keys.joinToString()}")
+            ?: fields.fail("verdict", "must be one of open, done, withdrawn")
         return OutcomeRecord(outcome, fields.long("pieces").toInt(), fields.textsOrNull("awaits") ?: emptyList())
     }
 }
--- a/src/main/kotlin/linemast/jobs/StoredOutcome.kt
+++ b/src/main/kotlin/linemast/jobs/StoredOutcome.kt
@@ -21,16 +21,15 @@
 
 /**
  * Runs [read] and converts a MalformedException into a [StoreException]: the stored record is malformed and not the user's
- * request, so the user must not get the status code of a malformed request. [subject] identifies the record in the log: the id
- * of its job, or its key.
+ * request, so the user must not get the status code of a malformed request.
  */
-internal inline fun <T> readStoredRecord(subject: String, read: () -> T): T = try {
+internal inline fun <T> readStoredRecord(read: () -> T): T = try {
     read()
 } catch (e: MalformedException) {
-    throw malformedRecord(subject, e)
+    throw malformedRecord(e)
 }
 
-internal fun malformedRecord(subject: String, cause: MalformedException): StoreException {
-    log.error("malformed record in the store: {}: {}", subject, cause.message)
+internal fun malformedRecord(cause: MalformedException): StoreException {
+    log.error("malformed record in the store: {}", cause.message)
     return StoreException.MalformedRecord()
 }
--- a/src/main/kotlin/linemast/jobs/SubmissionDeferral.kt
+++ b/src/main/kotlin/linemast/jobs/SubmissionDeferral.kt
@@ -45,7 +45,7 @@
      * returns null. A submission that is repeated soon after its acceptance is admitted, and so does not need this read.
      */
     private suspend fun readInBackground(id: String): OutcomeRecord? = try {
-        readStoredRecord(id) { store.readOutcome(id, RequestPriority.BACKGROUND) }?.record
+        readStoredRecord { store.readOutcome(id, RequestPriority.BACKGROUND) }?.record
     } catch (e: StoreException) {
         log.debug("{}: deferred without reading its outcome: {}", id, e.message)
         null
--- a/src/main/kotlin/linemast/peers/PeerLinks.kt
+++ b/src/main/kotlin/linemast/peers/PeerLinks.kt
@@ -34,14 +34,12 @@
     /** Sends and receives statuses until [scope] is cancelled. */
     suspend fun run(scope: CoroutineScope) {
         for (member in settings.members) scope.launch { sendRepeatedlyTo(member.peerAddress) }
-        Listener(loop, settings.peerListenAddress, MAX_CONNECTIONS).serve(scope) { connection ->
-            logFailure("from", "a peer") { receiveFrom(connection) }
-        }
+        Listener(loop, settings.peerListenAddress, MAX_CONNECTIONS).serve(scope) { connection -> logFailure { receiveFrom(connection) } }
     }
 
     private suspend fun sendRepeatedlyTo(address: Address) {
         while (true) {
-            logFailure("to peer", address) {
+            logFailure {
                 withTimeout(SEND_TIMEOUT_MILLIS) { connect(loop, address) }.use { sendTo(it) }
             }
             delay(RECONNECT_DELAY_MILLIS)
@@ -72,15 +70,15 @@
     }
 
     /** Runs [action]. Logs a failure at debug level only, because broken connections between controllers are expected. */
-    private suspend fun logFailure(direction: String, peer: Any, action: suspend () -> Unit) {
+    private suspend fun logFailure(action: suspend () -> Unit) {
         try {
             action()
         } catch (e: TimeoutCancellationException) {
-            log.debug("connection {} {} failed: {}", direction, peer, e.toString())
+            log.debug("connection to or from a peer failed: {}", e.toString())
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            log.debug("connection {} {} failed: {}", direction, peer, e.toString())
+            log.debug("connection to or from a peer failed: {}", e.toString())
         }
     }
 
--- a/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
+++ b/src/main/kotlin/linemast/scheduling/FailoverReconciliation.kt
@@ -104,7 +104,12 @@
         finishedUnconfirmedGangs.clear()
         cluster.needsScheduling = true
         val tookMillis = (nowMicros - loadedMicros) / MICROS_PER_MILLI
-        log.info("reconciled {} ms after loading: {} machines, {} jobs", tookMillis, cluster.machines.size, cluster.jobs.size)
+        log.info(
+            "tasks of previous leaders reconciled {} ms after loading: {} machines, {} jobs",
+            tookMillis,
+            cluster.machines.size,
+            cluster.jobs.size,
+        )
     }
 
     /** Returns the machines that are unconfirmed although their workers have had time to find the new leader. */
--- a/src/main/kotlin/linemast/store/StoreResult.kt
+++ b/src/main/kotlin/linemast/store/StoreResult.kt
@@ -7,27 +7,30 @@
  * Returns the result of [call], or null if the key-value store returned none or a record is malformed.
  *
  * Failures are logged: a failed call at debug level, because such failures are expected during outages, a malformed record as
- * an error. [operation] and the [subject] of the operation precede the message in the log unless they are null. Cancellation and
- * other exceptions are propagated.
+ * an error. [operation] precedes the message in the log unless it is null. Cancellation and other exceptions are propagated.
  */
-internal suspend fun <T> storeResultOrNull(log: Logger, operation: String? = null, subject: Any? = null, call: suspend () -> T?): T? = try {
+internal suspend fun <T> storeResultOrNull(log: Logger, operation: String? = null, call: suspend () -> T?): T? = try {
     call()
 } catch (e: StoreException) {
-    logFailure(log, operation, e, subject)
+    logFailure(log, operation, e)
     null
 } catch (e: MalformedException) {
-    logMalformed(log, operation, e, subject)
+    logMalformed(log, operation, e)
     null
 }
 
-internal fun logFailure(log: Logger, operation: String?, failure: StoreException, subject: Any? = null) = when {
-    operation == null -> log.debug("call to the key-value store failed: {}", failure.message)
-    subject == null -> log.debug("{} failed: {}", operation, failure.message)
-    else -> log.debug("{} {} failed: {}", operation, subject, failure.message)
+internal fun logFailure(log: Logger, operation: String?, failure: StoreException) {
+    if (operation == null) {
+        log.debug("call to the key-value store failed: {}", failure.message)
+    } else {
+        log.debug("{} failed: {}", operation, failure.message)
+    }
 }
 
-internal fun logMalformed(log: Logger, operation: String?, failure: MalformedException, subject: Any? = null) = when {
-    operation == null -> log.error("malformed record: {}", failure.message)
-    subject == null -> log.error("{}: malformed record: {}", operation, failure.message)
-    else -> log.error("{} {}: malformed record: {}", operation, subject, failure.message)
+internal fun logMalformed(log: Logger, operation: String?, failure: MalformedException) {
+    if (operation == null) {
+        log.error("malformed record: {}", failure.message)
+    } else {
+        log.error("{}: malformed record: {}", operation, failure.message)
+    }
 }
--- a/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
+++ b/src/main/kotlin/linemast/workers/HeartbeatCodec.kt
@@ -46,7 +46,7 @@
     private fun decodeTask(fields: Fields) = TaskStatus(
         task = TaskId.parse(fields.text("piece")) ?: throw MalformedException("piece: must be a task id of the form job/index"),
         attempt = fields.long("try"),
-        state = states[fields.text("status")] ?: fields.fail("status", "must be one of ${states.keys.joinToString()}"),
+        state = states[fields.text("status")] ?: fields.fail("status", "must be one of fetching, gathering, running, saving, ended"),
         cause = fields.textOrNull("cause")?.let { causes[it] ?: EndCause.OTHER },
         hasCheckpoint = fields.flagOrNull("saved") ?: false,
     )
