--- a/src/main/kotlin/linemast/planning/BaselineTargets.kt
+++ b/src/main/kotlin/linemast/planning/BaselineTargets.kt
@@ -1,7 +1,7 @@
 package linemast.planning
 
 /**
- * Returns the baseline target of one interval by equation 4 of the paper: the interval's share of [tasks], in proportion to
+ * Returns the baseline target of one interval by equation 4 of the paper that [Planner] follows: the interval's share of [tasks], in proportion to
  * its part [throughput] of [totalThroughput], but at most [throughput]. If [totalThroughput] is 0, nothing runs on baseline machines.
  */
 internal fun baselineTarget(tasks: Double, throughput: Double, totalThroughput: Double): Double =
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -6,9 +6,12 @@
 import linemast.settings.Settings
 
 /**
- * Plans each job over long intervals as the paper does: baseline targets in proportion to forecast capacity, the remaining tasks
- * scaled out, backup slots for baseline capacity that is not free yet, and a top-up for the shortfall against the previous plan.
- * Holds the current plan of each job.
+ * Plans each job over long intervals: baseline targets in proportion to forecast capacity, the remaining tasks scaled out, backup
+ * slots for baseline capacity that is not free yet, and a top-up for the shortfall against the previous plan. Holds the current
+ * plan of each job.
+ *
+ * The method is that of the paper "Predictive Execution of Workflows in a HPC+Cloud Environment" (Behera et al.); docs/design.md
+ * lists what is kept and what differs.
  */
 class Planner(settings: Settings, private val policy: Policy, private val runTimes: RunTimeEstimates) {
     /** Computes which service-level objectives jobs can still meet. */
@@ -65,7 +68,7 @@
         return Deadline(deadlineWallMicros, deadlineWallMicros - request.wallMicros)
     }
 
-    /** Plans the blocked stages of pipelines in the paper's order; each stage gets about the same throughput as its neighbour. */
+    /** Plans the blocked stages of pipelines in the order of [costliestFirst]; each stage gets about the same throughput as its neighbour. */
     private fun planStages(request: PlanningRequest, stagePlanner: StagePlanner) {
         fun plan(stage: BlockedStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
             stagePlanner.plan(stage, neighbour, request.scaleOutEstimates.startupMicros(stage.job), deadline(stage.job, request), reserve)
