--- a/src/main/kotlin/linemast/planning/BlockedStage.kt
+++ b/src/main/kotlin/linemast/planning/BlockedStage.kt
@@ -15,8 +15,8 @@
 internal class OrderedStage(val stage: BlockedStage, val neighbour: BlockedStage?)
 
 /**
- * Returns [stages] in the order of planning of the paper that [Planner] follows: from the stage with the highest scale-out cost outward to its parents and
- * children.
+ * Returns [stages] in the order of planning of the paper that [Planner] follows: from the stage with the highest scale-out cost
+ * outward to its parents and children.
  *
  * Stages that are connected by dependencies form one pipeline; each pipeline begins with its costliest stage.
  */
--- a/src/main/kotlin/linemast/planning/Planner.kt
+++ b/src/main/kotlin/linemast/planning/Planner.kt
@@ -68,7 +68,7 @@
         return Deadline(deadlineWallMicros, deadlineWallMicros - request.wallMicros)
     }
 
-    /** Plans the blocked stages of pipelines in the order of [costliestFirst]; each stage gets about the same throughput as its neighbour. */
+    /** Plans the blocked stages of pipelines, ordered by [costliestFirst]; each stage gets about the throughput of its neighbour. */
     private fun planStages(request: PlanningRequest, stagePlanner: StagePlanner) {
         fun plan(stage: BlockedStage, neighbour: JobPlan?, reserve: Boolean): JobPlan =
             stagePlanner.plan(stage, neighbour, request.scaleOutEstimates.startupMicros(stage.job), deadline(stage.job, request), reserve)
--- a/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
+++ b/src/test/kotlin/linemast/loopback/LoopbackCluster.kt
@@ -7,7 +7,6 @@
 import linemast.domain.MachineType
 import linemast.settings.Settings
 import linemast.settings.SettingsReader
-import linemast.simulation.CONTROLLER_COUNT
 import linemast.simulation.SimWorld
 import linemast.time.SteadyClock
 import linemast.transport.Address
@@ -32,8 +31,8 @@
     val requestsPerSecond: Double = 3_000.0,
     val writesPerSecond: Double = 1_000.0,
     val objectives: String = "",
-    /** The jar that each controller runs, by the index of the controller. */
-    val programs: List<Path> = List(CONTROLLER_COUNT) { Path.of("target", "linemast.jar") },
+    /** Returns the jar that a controller runs. */
+    val jarOf: (index: Int) -> String = { "target/linemast.jar" },
 )
 
 /**
@@ -101,7 +100,7 @@
         Files.writeString(config, settingsText("mast-$index"))
         val policy = directory.resolve("policy.lua")
         Files.writeString(policy, options.policy)
-        val command = listOf("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-jar", options.programs[index].toString()) +
+        val command = listOf("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-jar", options.jarOf(index)) +
             options.arguments + listOf("--policy", policy.toString(), "--config", config.toString())
         processes[index] = ProcessBuilder(command).redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(Path.of("target", "loopback-${options.seed}-$index.log").toFile())).start()
@@ -179,6 +178,7 @@
     private fun freeAddress(): Address = ServerSocket(0, 1, InetAddress.getLoopbackAddress()).use { Address("127.0.0.1", it.localPort) }
 
     private companion object {
+        const val CONTROLLER_COUNT = 3
         const val LEASE_MICROS = 8_000_000L
         const val MAX_CONNECTIONS = 1_000
         const val CALL_TIMEOUT_MICROS = 5_000_000L
--- a/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
+++ b/src/test/kotlin/linemast/loopback/UpgradeLoopbackTest.kt
@@ -35,14 +35,13 @@
     @ValueSource(ints = [1, 2])
     fun `no job is lost and no rule is violated while both builds lead in turn`(previousCount: Int) {
         assumeTrue(Files.exists(previousJar), "linemast.previous.jar does not name an existing file")
-        val programs = List(CONTROLLER_COUNT) { if (it < previousCount) previousJar else Path.of("target", "linemast.jar") }
         val options = LoopbackOptions(
             seed = SEED + previousCount,
             arguments = listOf("--duties", "deploy/duties.toml"),
             policy = "return { leader_hold_s = 1, idle_return_s = 1.5, short_interval_s = 1 }",
             baselineMachines = 4,
             maxMachines = 16,
-            programs = programs,
+            jarOf = { if (it < previousCount) previousJar.toString() else "target/linemast.jar" },
         )
         val cluster = LoopbackCluster(options)
         cluster.runScenario {
