--- a/src/main/kotlin/linemast/admission/AdmissionFollower.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionFollower.kt
@@ -44,7 +44,7 @@
 
     private suspend fun followPlan() {
         while (true) {
-            val revision = RETRY.untilResult(logger, "reading the admission plan") { readPlan() }
+            val revision = RETRY.untilResult(logger) { readPlan() }
             watchPlan(revision)
         }
     }
@@ -59,7 +59,7 @@
     private suspend fun watchPlan(fromRevision: Long) {
         var revision = fromRevision
         while (true) {
-            val result = RETRY.untilResult(logger, "watching the admission plan") {
+            val result = RETRY.untilResult(logger) {
                 store.watch(AdmissionCodec.PLAN_KEY, revision, WATCH_TIMEOUT_MICROS)
             }
             when (result) {
@@ -73,7 +73,7 @@
     }
 
     private suspend fun apply(value: Fields) {
-        storeResultOrNull(logger, "reading the admission plan") { AdmissionCodec.decodePlan(value) }?.let(controller::apply)
+        storeResultOrNull(logger) { AdmissionCodec.decodePlan(value) }?.let(controller::apply)
     }
 
     private suspend fun reportDemand() {
@@ -84,7 +84,7 @@
             // After a report of high demand, the first report of low demand is still written, so that it replaces the other one.
             if (isLow && !hasReportedHighDemand) continue
             hasReportedHighDemand = !isLow
-            storeResultOrNull(logger, "writing the demand report") { put(reportWithinLimit(demands)) }
+            storeResultOrNull(logger) { put(reportWithinLimit(demands)) }
         }
     }
 
--- a/src/main/kotlin/linemast/admission/AdmissionLeader.kt
+++ b/src/main/kotlin/linemast/admission/AdmissionLeader.kt
@@ -40,10 +40,10 @@
 
     /** Makes a plan in each epoch until the coroutine is cancelled. */
     suspend fun run() {
-        RETRY.untilResult(logger, "reading the admission plan") { readPlan() }
+        RETRY.untilResult(logger) { readPlan() }
         while (true) {
             delay(settings.epochMicros / MICROS_PER_MILLI)
-            if (leaderLease.mayIssueCommands(clock.nowMicros())) storeResultOrNull(logger, "making the admission plan") { planEpoch() }
+            if (leaderLease.mayIssueCommands(clock.nowMicros())) storeResultOrNull(logger) { planEpoch() }
         }
     }
 
@@ -56,7 +56,7 @@
         planRevision = entry?.revision ?: NO_REVISION
         plannedMicros = clock.nowMicros()
         // A malformed plan is replaced by the next one.
-        plan = entry?.let { storeResultOrNull(logger, "reading the admission plan") { AdmissionCodec.decodePlan(it.value) } }
+        plan = entry?.let { storeResultOrNull(logger) { AdmissionCodec.decodePlan(it.value) } }
             ?: AdmissionPlan.UNLIMITED
     }
 
@@ -85,9 +85,7 @@
         val put = Write.Put(AdmissionCodec.PLAN_KEY, AdmissionCodec.encode(next))
         when (val result = store.commit(preconditions, listOf(put), RequestPriority.CRITICAL)) {
             is CommitResult.Applied -> {
-                if (plan.ranges.keys != next.ranges.keys) {
-                    logger.info("admission epoch {}: submissions are limited for the flows {}", next.epoch, next.ranges.keys)
-                }
+                if (plan.ranges.keys != next.ranges.keys) logger.info("admission epoch {}: limited flows {}", next.epoch, next.ranges.keys)
                 plan = next
                 planRevision = result.revision
                 plannedMicros = nowMicros
--- a/src/main/kotlin/linemast/control/BlockedJobStore.kt
+++ b/src/main/kotlin/linemast/control/BlockedJobStore.kt
@@ -32,7 +32,7 @@
             val key = JobKeys.blocked(job.id)
             val writes = listOf(Write.Put(JobKeys.open(job.id), JobRecordCodec.encode(record)), Write.Delete(key))
             val preconditions = listOf(Precondition(key, job.revision))
-            val result = storeResultOrNull(log, "releasing a job") { term.commit(preconditions, writes, RequestPriority.HIGH) }
+            val result = storeResultOrNull(log) { term.commit(preconditions, writes, RequestPriority.HIGH) }
             applyResult(listOf(job), result) { revision ->
                 log.info("{}: released: all that it depends on is done", job.id)
                 cluster.applyJobRecord(record, revision)
@@ -48,7 +48,7 @@
             val preconditions = jobs.map { Precondition(JobKeys.blocked(it.id), it.revision) }
             val writes = jobs.flatMap(::cancellationWrites)
             val result = cancellationPermits.withPermit {
-                storeResultOrNull(log, "cancelling blocked jobs") { term.commit(preconditions, writes, RequestPriority.HIGH) }
+                storeResultOrNull(log) { term.commit(preconditions, writes, RequestPriority.HIGH) }
             }
             applyResult(jobs, result) { log.info("{}: cancelled with a job that they depend on", jobs.map { it.id }) }
         }
--- a/src/main/kotlin/linemast/control/CompletedTaskStore.kt
+++ b/src/main/kotlin/linemast/control/CompletedTaskStore.kt
@@ -46,7 +46,7 @@
         if (keys.isEmpty()) return
         term.scope.launch {
             for (chunk in keys.chunked(term.limits.maxTxnOps)) {
-                storeResultOrNull(log, "deleting completed tasks of ended jobs") {
+                storeResultOrNull(log) {
                     term.commit(emptyList(), chunk.map { Write.Delete(it) })
                 }
             }
--- a/src/main/kotlin/linemast/control/DependencyCoordinator.kt
+++ b/src/main/kotlin/linemast/control/DependencyCoordinator.kt
@@ -62,8 +62,8 @@
 
     private fun readOutcome(id: String) {
         term.scope.launch {
-            val entry = storeResultOrNull(log, "reading the outcome of a job") { term.store.get(JobKeys.outcome(id)) } ?: return@launch
-            val outcome = storeResultOrNull(log, "reading the outcome of a job") { OutcomeRecordCodec.decode(entry.value).outcome }
+            val entry = storeResultOrNull(log) { term.store.get(JobKeys.outcome(id)) } ?: return@launch
+            val outcome = storeResultOrNull(log) { OutcomeRecordCodec.decode(entry.value).outcome }
                 ?: return@launch
             term.eventLoop.enqueue { recordOutcome(id, outcome) }
         }
--- a/src/main/kotlin/linemast/control/InheritedIntents.kt
+++ b/src/main/kotlin/linemast/control/InheritedIntents.kt
@@ -27,7 +27,7 @@
      * Intents that are still open are carried out by coroutines in the term's scope.
      */
     suspend fun adopt() {
-        RETRY.untilResult(log, "reading the intents") { executor.load() }
+        RETRY.untilResult(log) { executor.load() }
         val pendingIntents = PendingIntentResolver(executor, this, term.eventLoop::enqueue)
         cluster.markScalingIn(pendingIntents.machinesScalingIn)
         fleet.markScalingIn(pendingIntents.machinesScalingIn)
--- a/src/main/kotlin/linemast/control/JobActivationStore.kt
+++ b/src/main/kotlin/linemast/control/JobActivationStore.kt
@@ -24,7 +24,7 @@
     private suspend fun activateWithRetries(job: Job) {
         while (true) {
             val revision = job.revision
-            when (storeResultOrNull(log, "activating a job") { commitActivation(job) } ?: TermCommitResult.NoResult) {
+            when (storeResultOrNull(log) { commitActivation(job) } ?: TermCommitResult.NoResult) {
                 is TermCommitResult.Applied -> return term.eventLoop.enqueue {
                     job.activation = Job.Activation.ACTIVE
                     cluster.needsScheduling = true
--- a/src/main/kotlin/linemast/control/JobStore.kt
+++ b/src/main/kotlin/linemast/control/JobStore.kt
@@ -30,7 +30,7 @@
         term.scope.launch {
             val parts = CompletedTaskPart.changed(job, term.limits.maxTxnOps)
             val isDone = job.isDone
-            val result = storeResultOrNull(log, "writing the progress of a job") {
+            val result = storeResultOrNull(log) {
                 if (isDone) jobOutcomeStore.commitDone(job) else completedTaskStore.commit(job, parts)
             }
             term.eventLoop.enqueue {
@@ -46,7 +46,7 @@
     fun deleteCancelled(job: Job) {
         job.storedProgress.isWriting = true
         term.scope.launch {
-            val result = storeResultOrNull(log, "deleting the record of a cancelled job") { jobOutcomeStore.commitCancelled(job) }
+            val result = storeResultOrNull(log) { jobOutcomeStore.commitCancelled(job) }
             term.eventLoop.enqueue { finishWrite(job, result) { cluster.jobs.remove(job.id) } }
         }
     }
@@ -86,8 +86,8 @@
     private fun reload(job: Job) {
         term.scope.launch {
             val key = JobKeys.open(job.id)
-            val read = storeResultOrNull(log, "reading the record of a job") { Result.success(term.store.get(key)) } ?: return@launch
-            val parts = storeResultOrNull(log, "reading the completed tasks of a job") { completedTaskStore.read(job.id) }
+            val read = storeResultOrNull(log) { Result.success(term.store.get(key)) } ?: return@launch
+            val parts = storeResultOrNull(log) { completedTaskStore.read(job.id) }
                 ?: return@launch
             term.eventLoop.enqueue {
                 val entry = read.getOrNull()
--- a/src/main/kotlin/linemast/control/MachineRegistryStore.kt
+++ b/src/main/kotlin/linemast/control/MachineRegistryStore.kt
@@ -44,13 +44,13 @@
     private suspend fun write(change: () -> Map<String, Map<String, Any?>>): Boolean = writeMutex.withLock {
         for ((key, value) in change()) {
             val preconditions = listOf(Precondition(key, registry.revisionOf(key)))
-            val result = storeResultOrNull(log, "writing the machine registry") {
+            val result = storeResultOrNull(log) {
                 term.commit(preconditions, listOf(Write.Put(key, value)))
             }
             if (result is TermCommitResult.Applied) {
                 registry.recordWritten(key, result.revision)
             } else {
-                storeResultOrNull(log, "reading the machine registry") { load() }
+                storeResultOrNull(log) { load() }
                 return@withLock false
             }
         }
--- a/src/main/kotlin/linemast/control/PlanStore.kt
+++ b/src/main/kotlin/linemast/control/PlanStore.kt
@@ -19,7 +19,7 @@
         val plans = jobs.take(MAX_PLANS).mapNotNull { job -> planner.planOf(job)?.let { PlanCodec.encode(job.id, it) } }
         term.scope.launch {
             val storedPlans = limitToValueSize(plans)
-            storeResultOrNull(log, "writing the plans of jobs") {
+            storeResultOrNull(log) {
                 term.commit(emptyList(), listOf(Write.Put(KEY, encode(storedPlans))), RequestPriority.BACKGROUND)
             }
         }
--- a/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
+++ b/src/main/kotlin/linemast/duties/IntentConflictResolver.kt
@@ -17,7 +17,7 @@
      * of them after the retry interval.
      */
     suspend fun resolve(writes: List<IntentWrite>): List<IntentWrite> {
-        if (storeResultOrNull(logger, "reading the intents") { slots.load() } == null) {
+        if (storeResultOrNull(logger) { slots.load() } == null) {
             delay(retryIntervalMillis)
             return writes
         }
--- a/src/main/kotlin/linemast/duties/IntentSlots.kt
+++ b/src/main/kotlin/linemast/duties/IntentSlots.kt
@@ -16,9 +16,7 @@
     /** Reads all slots; throws a `StoreException` if the store does not respond. */
     suspend fun load() {
         log = log.reload(store.listAll(IntentCodec.PREFIX).entries)
-        if (log.unreadable.isNotEmpty()) {
-            logger.error("slots {} of the intent log hold malformed records and are neither used nor overwritten", log.unreadable)
-        }
+        if (log.unreadable.isNotEmpty()) logger.error("slots {} hold malformed records and are not used", log.unreadable)
     }
 
     /** Reserves and returns a slot for a new intent; returns null if none is free. */
--- a/src/main/kotlin/linemast/duties/IntentWriter.kt
+++ b/src/main/kotlin/linemast/duties/IntentWriter.kt
@@ -94,7 +94,7 @@
     /** Commits [writes] in one transaction; returns null if the store does not respond. */
     private suspend fun commit(writes: List<IntentWrite>): CommitResult? {
         val preconditions = listOf(leaderLease.fence) + writes.map { slots.unchangedPrecondition(it.slot) }
-        return storeResultOrNull(logger, "writing intents") {
+        return storeResultOrNull(logger) {
             store.commit(preconditions, writes.map(IntentWrite::toStoreWrite), RequestPriority.HIGH)
         }
     }
--- a/src/main/kotlin/linemast/jobs/CompletedTasksCodec.kt
+++ b/src/main/kotlin/linemast/jobs/CompletedTasksCodec.kt
@@ -38,11 +38,9 @@
         val bits = try {
             BitSet.valueOf(Base64.getDecoder().decode(text))
         } catch (e: IllegalArgumentException) {
-            throw MalformedException("completed tasks: $BITS is not valid Base64: ${e.message}")
-        }
-        if (bits.length() > CompletedTaskParts.TASKS_PER_PART) {
-            throw MalformedException("completed tasks: $BITS contains more than ${CompletedTaskParts.TASKS_PER_PART} bits")
+            throw MalformedException("completed tasks: not valid Base64: ${e.message}")
         }
+        if (bits.length() > CompletedTaskParts.TASKS_PER_PART) throw MalformedException("completed tasks: too many bits for one part")
         bits.stream().forEach { into.set(part * CompletedTaskParts.TASKS_PER_PART + it) }
     }
 }
--- a/src/main/kotlin/linemast/jobs/DependencyCheck.kt
+++ b/src/main/kotlin/linemast/jobs/DependencyCheck.kt
@@ -32,7 +32,7 @@
         val check = runningChecks[key] ?: startCheck(key)
         val result = withTimeoutOrNull(CALLER_TIMEOUT_MILLIS) { check.await() }
         return result?.getOrThrow()
-            ?: throw StoreException.ReadAborted("the dependencies of the job are still being read after $CALLER_TIMEOUT_MILLIS ms")
+            ?: throw StoreException.ReadAborted("the dependencies of the job are still being read")
     }
 
     private fun startCheck(dependencies: Set<String>): CompletableDeferred<Result<Boolean>> {
--- a/src/main/kotlin/linemast/jobs/JobWriter.kt
+++ b/src/main/kotlin/linemast/jobs/JobWriter.kt
@@ -39,7 +39,7 @@
      */
     suspend fun write(spec: JobSpec, outcome: JobOutcome): JobWriteResult {
         val record = JobRecordCodec.encode(JobRecord(spec, wallMicros(), activated = false, cancelled = false))
-        if (JsonSize.of(record) > maxValueBytes) throw MalformedException("the record of ${spec.id} exceeds $maxValueBytes bytes")
+        if (JsonSize.of(record) > maxValueBytes) throw MalformedException("the job record exceeds the size limit of a stored value")
         val outcomeRecord = OutcomeRecord(outcome, spec.taskCount, spec.dependencies)
         val writes = ArrayList<Write>()
         writes += Write.Put(JobKeys.outcome(spec.id), OutcomeRecordCodec.encode(outcomeRecord))
--- a/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
+++ b/src/main/kotlin/linemast/peers/PeerStatusCodec.kt
@@ -47,7 +47,7 @@
 
     /** Decodes a status; throws a [MalformedException] if [from] does not hold exactly one status. */
     fun decode(from: Buffer): PeerStatus = try {
-        if (from.readByte().toInt() != VERSION) malformed("the version is not $VERSION")
+        if (from.readByte().toInt() != VERSION) malformed("unsupported version")
         val nodeName = readText(from)
         val fencingToken = from.readLong()
         val flags = from.readByte().toInt()
@@ -67,7 +67,7 @@
 
     private fun readProgress(from: Buffer): Map<String, JobProgress> {
         val count = from.readShort().toInt()
-        if (count !in 0..MAX_JOBS) malformed("the number of jobs is not from 0 to $MAX_JOBS")
+        if (count !in 0..MAX_JOBS) malformed("the number of jobs is out of range")
         val progress = LinkedHashMap<String, JobProgress>(count * 2)
         repeat(count) { progress[readText(from)] = JobProgress(from.readInt(), from.readInt()) }
         return progress
@@ -81,7 +81,7 @@
 
     private fun readText(from: Buffer): String {
         val length = from.readShort().toInt()
-        if (length !in 0..MAX_TEXT_BYTES) malformed("the length of a text is not from 0 to $MAX_TEXT_BYTES bytes")
+        if (length !in 0..MAX_TEXT_BYTES) malformed("the length of a text is out of range")
         return from.readUtf8(length.toLong())
     }
 
--- a/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
+++ b/src/main/kotlin/linemast/recovery/ReconciliationMonitor.kt
@@ -66,7 +66,7 @@
             reconciliation.unknownJobs.needingAttention,
         )
         val write = Write.Put(ReconciliationReportCodec.KEY, ReconciliationReportCodec.encode(report))
-        storeResultOrNull(logger, "writing the reconciliation report") {
+        storeResultOrNull(logger) {
             store.commit(listOf(leaderLease.fence), listOf(write), RequestPriority.BACKGROUND)
         }
     }
--- a/src/main/kotlin/linemast/settings/LuaSandbox.kt
+++ b/src/main/kotlin/linemast/settings/LuaSandbox.kt
@@ -58,7 +58,7 @@
 
         override fun onInstruction(pc: Int, args: Varargs?, top: Int) {
             super.onInstruction(pc, args, top)
-            if (--remaining < 0) throw LuaError("executes more than $MAX_INSTRUCTIONS instructions")
+            if (--remaining < 0) throw LuaError("executes too many instructions")
         }
     }
 }
--- a/src/main/kotlin/linemast/settings/PolicyScript.kt
+++ b/src/main/kotlin/linemast/settings/PolicyScript.kt
@@ -38,7 +38,7 @@
 
     /** Returns why [value] is invalid for [setting]; null if it is valid. */
     private fun problemWith(setting: Setting?, value: LuaValue): String? = when {
-        setting == null -> "is not a setting; allowed: ${settings.keys.joinToString()}"
+        setting == null -> "is not a setting"
         value.type() != LuaValue.TNUMBER -> "must be a number"
         // NaN fails both comparisons and is rejected below.
         value.todouble() >= setting.min && value.todouble() <= setting.max -> null
--- a/src/main/kotlin/linemast/store/StoreResult.kt
+++ b/src/main/kotlin/linemast/store/StoreResult.kt
@@ -20,11 +20,7 @@
 }
 
 internal fun logFailure(log: Logger, operation: String?, failure: StoreException) {
-    if (operation == null) {
-        log.debug("call to the key-value store failed: {}", failure.message)
-    } else {
-        log.debug("{} failed: {}", operation, failure.message)
-    }
+    if (operation == null) log.debug("store call failed: {}", failure.message) else log.debug("{} failed: {}", operation, failure.message)
 }
 
 internal fun logMalformed(log: Logger, operation: String?, failure: MalformedException) {
--- a/src/main/kotlin/linemast/transport/HttpClient.kt
+++ b/src/main/kotlin/linemast/transport/HttpClient.kt
@@ -68,7 +68,7 @@
             throw e
         } catch (e: Exception) {
             // The request may have been executed, whatever the failure was.
-            throw NoResponseException("$address: no usable response to $method $path: $e")
+            throw NoResponseException("$address: no usable response: $e")
         } finally {
             if (reusable) idle.addLast(IdleConnection(connection, SteadyClock.nowMicros())) else connection.close()
         }
